--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -9,20 +9,20 @@
 use tokio::time::Instant;
 
 use crate::answer::{ROOM, write_line};
-use crate::dialect::Attempt;
+use crate::dialect::AttemptHeaders;
 use crate::exchange::{Fate, Opened, open};
-use crate::gate::Gate;
-use crate::moving::{Mover, Taken};
+use crate::gate::Gateway;
+use crate::moving::{KvCopy, Mover};
 use crate::notice::Notice;
 use crate::pool::connect;
 use crate::request::Request;
-use crate::upstreams::Chosen;
+use crate::upstreams::ChosenUpstream;
 
 /// Frees what a request holds at an upstream, also when its caller has gone and the work is dropped.
 #[derive(Debug)]
 pub struct Running {
-    gate: Rc<Gate>,
-    chosen: Chosen,
+    gate: Rc<Gateway>,
+    chosen: ChosenUpstream,
     /// Number under which it waits for its first event.
     number: u64,
     /// When it was sent.
@@ -54,7 +54,7 @@
     }
 
     /// Notes that the upstream broke off.
-    pub(crate) fn note_failed(&self, gate: &Gate) {
+    pub(crate) fn note_failed(&self, gate: &Gateway) {
         if let Some(upstream) = gate.upstreams.borrow_mut().get(&self.chosen.id) {
             upstream.failed(gate.clock.now());
         }
@@ -74,10 +74,10 @@
     /// Sends the request to an upstream and waits for the head of its answer.
     pub(crate) async fn attempt(
         &self,
-        gate: &Rc<Gate>,
-        chosen: &Chosen,
+        gate: &Rc<Gateway>,
+        chosen: &ChosenUpstream,
         after: Option<u64>,
-        copy: Option<&Taken>,
+        copy: Option<&KvCopy>,
     ) -> Result<(Opened, Running), Fate> {
         let once = !self.is_idempotent();
         self.placed.replace(Some(chosen.clone()));
@@ -120,7 +120,7 @@
         Ok((opened, running))
     }
 
-    fn running(gate: &Rc<Gate>, chosen: &Chosen, number: u64) -> Running {
+    fn running(gate: &Rc<Gateway>, chosen: &ChosenUpstream, number: u64) -> Running {
         let mut upstreams = gate.upstreams.borrow_mut();
         let upstream = upstreams.get(&chosen.id);
         let (reach, notice) = upstream.map_or_else(
@@ -138,7 +138,7 @@
     }
 
     /// Notes that the request leaves for an upstream; gives the number under which it waits for its first event there.
-    fn note_sent(&self, gate: &Gate, chosen: &Chosen) -> u64 {
+    fn note_sent(&self, gate: &Gateway, chosen: &ChosenUpstream) -> u64 {
         let now = gate.clock.now();
         gate.note_reading(&self.service, chosen.predicted.reading_ms);
         let mut upstreams = gate.upstreams.borrow_mut();
@@ -148,7 +148,7 @@
     }
 
     /// Writes the request as the upstream gets it.
-    fn render(&self, gate: &Gate, chosen: &Chosen, after: Option<u64>, copy: Option<&Taken>) -> Vec<u8> {
+    fn render(&self, gate: &Gateway, chosen: &ChosenUpstream, after: Option<u64>, copy: Option<&KvCopy>) -> Vec<u8> {
         let mut out = Vec::with_capacity(ROOM + self.body.len());
         let start = &self.head.start;
         for part in [&*start.method, b" ", &*start.target, b" HTTP/1.1\r\n"] {
@@ -159,7 +159,7 @@
                 write_line(&mut out, &line.name, &line.value);
             }
         }
-        let attempt = Attempt {
+        let attempt = AttemptHeaders {
             left: self.until.saturating_duration_since(Instant::now()),
             upstream: &chosen.id,
             account: self.account.as_ref().map(|account| account.name.as_str()),
@@ -183,7 +183,7 @@
     }
 
     /// Takes in what an attempt tells about its upstream.
-    pub(crate) fn note_fate(&self, gate: &Gate, chosen: &Chosen, fate: &Fate) {
+    pub(crate) fn note_fate(&self, gate: &Gateway, chosen: &ChosenUpstream, fate: &Fate) {
         let now = gate.clock.now();
         if let Some(upstream) = gate.upstreams.borrow_mut().get(&chosen.id) {
             match fate {
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -13,7 +13,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::dialect::Asked;
+use crate::dialect::RequestInfo;
 use crate::head::{Framing, HeadError};
 use crate::input::{Input, NoRequest};
 use crate::refusal::Refusal;
@@ -214,7 +214,7 @@
     }
 
     /// Refuses a request that is over its account's quota.
-    fn over_quota(&self, over: &Over, account: Option<&str>, asked: &Asked, keep: bool) -> NoService {
+    fn over_quota(&self, over: &Over, account: Option<&str>, asked: &RequestInfo, keep: bool) -> NoService {
         let wait = Duration::from_secs_f64(over.wait_s.clamp(QUOTA_WAIT_S.0, QUOTA_WAIT_S.1));
         info!(self.gate.logger, "over quota"; "request" => &asked.id, "account" => account,
             "saved" => over.saved as i64, "rate" => over.rate as i64,
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -7,11 +7,11 @@
 use policy::place::Part;
 
 use crate::head::{Head, RequestLine, StatusLine};
-use crate::moving::Taken;
+use crate::moving::KvCopy;
 
 /// What a request's head asks for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct RequestInfo {
     /// The caller's id of this attempt.
     pub id: String,
     /// How long the caller waits.
@@ -21,14 +21,14 @@
     /// Id of the last event that the caller has of the stream.
     pub after: Option<u64>,
     /// Tokens of prompt and answer.
-    pub tokens: Option<Tokens>,
+    pub tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
     pub parts: Vec<Part>,
 }
 
 /// Size of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tokens {
+pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Most tokens of the answer.
@@ -37,7 +37,7 @@
 
 /// What the head of one attempt says besides the caller's own lines.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt<'a> {
+pub struct AttemptHeaders<'a> {
     /// Time that is left.
     pub left: Duration,
     /// The upstream's incarnation; any other refuses the request.
@@ -49,12 +49,12 @@
     /// Rank, 0 is the most urgent.
     pub priority: u8,
     /// The copy of its KV cache with which the upstream goes on.
-    pub copy: Option<&'a Taken>,
+    pub copy: Option<&'a KvCopy>,
 }
 
 /// A call that copies a stream's KV cache to another upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Copying {
+pub struct KvCopyRequest {
     /// The upstream that runs the stream.
     pub host: SocketAddr,
     /// The request's id.
@@ -67,7 +67,7 @@
 
 /// What an upstream's answer says in its head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct ResponseInfo {
     /// Id of the request that it answers.
     pub id: Option<String>,
     /// Whether it states that the request was not run.
@@ -77,14 +77,14 @@
     /// Whether it bears the upstream's signature.
     pub signed: bool,
     /// Its load.
-    pub load: Option<Load>,
+    pub load: Option<ReportedLoad>,
     /// How long the connection may stay idle.
     pub idle: Option<Duration>,
 }
 
 /// The load that an upstream tells.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -94,27 +94,27 @@
 }
 
 /// Reads and writes the headers of callers and upstreams.
-pub trait Dialect {
+pub trait HeaderCodec {
     /// Reads a request's head.
     ///
     /// # Errors
     /// Returns what is wrong with it, in words.
-    fn asked(&self, head: &Head<RequestLine>) -> Result<Asked, String>;
+    fn asked(&self, head: &Head<RequestLine>) -> Result<RequestInfo, String>;
 
     /// Tells whether a caller's header line is passed to upstreams as it is.
     fn passes(&self, name: &[u8]) -> bool;
 
     /// Writes the header lines of an attempt.
-    fn write(&self, out: &mut Vec<u8>, attempt: &Attempt<'_>);
+    fn write(&self, out: &mut Vec<u8>, attempt: &AttemptHeaders<'_>);
 
     /// Writes the whole request of a call that copies a KV cache.
-    fn write_copy(&self, out: &mut Vec<u8>, copying: &Copying);
+    fn write_copy(&self, out: &mut Vec<u8>, copying: &KvCopyRequest);
 
     /// Reads the name of a copy from the body of the answer to such a call.
     fn copied(&self, body: &[u8]) -> Option<String>;
 
     /// Reads an answer's head.
-    fn told(&self, head: &Head<StatusLine>) -> Told;
+    fn told(&self, head: &Head<StatusLine>) -> ResponseInfo;
 
     /// Gives the path that tells whether this entry host takes new connections.
     fn ready_path(&self) -> &'static str;
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use crate::body::Decoder;
-use crate::dialect::{Dialect, Told};
+use crate::dialect::{HeaderCodec, ResponseInfo};
 use crate::head::{self, Head, StatusLine};
 use crate::pool::Connection;
 
@@ -59,7 +59,7 @@
     /// The head.
     pub head: Head<StatusLine>,
     /// What it says.
-    pub told: Told,
+    pub told: ResponseInfo,
     /// Finds the end of the body.
     pub decoder: Decoder,
     /// Whether the whole request was sent before the answer came.
@@ -70,7 +70,12 @@
 ///
 /// # Errors
 /// Tells what is certain about the request when no answer to it comes.
-pub async fn open(mut connection: Connection, request: &[u8], id: &str, dialect: &dyn Dialect) -> Result<Opened, Fate> {
+pub async fn open(
+    mut connection: Connection,
+    request: &[u8],
+    id: &str,
+    dialect: &dyn HeaderCodec,
+) -> Result<Opened, Fate> {
     let (head, told, decoder, sent) = send_and_read(&mut connection, request, id, dialect).await?;
     if told.refused || told.other {
         let (status, other) = (head.start.status, told.other);
@@ -90,8 +95,8 @@
     connection: &mut Connection,
     request: &[u8],
     id: &str,
-    dialect: &dyn Dialect,
-) -> Result<(Head<StatusLine>, Told, Decoder, bool), Fate> {
+    dialect: &dyn HeaderCodec,
+) -> Result<(Head<StatusLine>, ResponseInfo, Decoder, bool), Fate> {
     let Connection { stream, buffer, .. } = connection;
     let (mut reader, mut writer) = stream.split();
     let writing = writer.write_all(request);
@@ -128,12 +133,12 @@
     }
 }
 
-type Answer = (Head<StatusLine>, Told, Decoder);
+type Answer = (Head<StatusLine>, ResponseInfo, Decoder);
 
 /// Takes the next head that is no interim answer.
-fn next_answer(buffer: &mut BytesMut, dialect: &dyn Dialect) -> Result<Option<Answer>, Fate> {
+fn next_answer(buffer: &mut BytesMut, dialect: &dyn HeaderCodec) -> Result<Option<Answer>, Fate> {
     loop {
-        let taken = head::take_answer(buffer, MAX_HEAD).map_err(|error| Fate::unknown(error.to_string()))?;
+        let taken = head::take_response(buffer, MAX_HEAD).map_err(|error| Fate::unknown(error.to_string()))?;
         let Some(head) = taken else {
             return Ok(None);
         };
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -17,7 +17,7 @@
 use wire::catalog::{CatalogRpcClient, Followed};
 use wire::client::Calls;
 
-use crate::link::{Known, Link};
+use crate::link::{Known, StateSync};
 use crate::mirror::Mirror;
 
 /// Longest that a state node holds a question for news. Together with the wait for an answer it is how soon a silent node is
@@ -33,7 +33,7 @@
 /// The thread that follows the catalog.
 #[derive(Debug)]
 pub(crate) struct Follower {
-    link: Link,
+    link: StateSync,
     calls: Calls,
     known: Arc<Mutex<Known>>,
     mirror: Mirror,
@@ -57,7 +57,7 @@
 }
 
 impl Follower {
-    pub(crate) fn new(link: Link, calls: Calls, known: Arc<Mutex<Known>>) -> Self {
+    pub(crate) fn new(link: StateSync, calls: Calls, known: Arc<Mutex<Known>>) -> Self {
         let turn = link.run as usize;
         Self {
             link,
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -20,8 +20,8 @@
 use telemetry::Clock;
 use wire::registry::{Beat, Parts, ServiceLoad, Sign};
 
-use crate::dialect::{Asked, Dialect};
-use crate::lender::Lender;
+use crate::dialect::{HeaderCodec, RequestInfo};
+use crate::lender::QuotaBorrower;
 use crate::pool::Pool;
 use crate::table::Table;
 use crate::upstreams::Upstreams;
@@ -84,7 +84,7 @@
 
 /// Fixed properties of an entry host.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct HostSettings {
     /// Its data centre.
     pub zone: Zone,
     /// Bounds of repeated sends.
@@ -96,13 +96,13 @@
 }
 
 /// What all requests share.
-pub struct Gate {
+pub struct Gateway {
     /// What headers say.
-    pub dialect: Box<dyn Dialect>,
+    pub dialect: Box<dyn HeaderCodec>,
     /// What other threads share.
     pub shared: Arc<Shared>,
     /// Fixed properties.
-    pub place: Place,
+    pub place: HostSettings,
     /// The clock.
     pub clock: Clock,
     /// The log.
@@ -113,7 +113,7 @@
     pub pool: RefCell<Pool>,
     /// Requests that began to run.
     pub began: RefCell<Began>,
-    lender: Lender,
+    lender: QuotaBorrower,
     buckets: RefCell<HashMap<String, Bucket>>,
     repeats: RefCell<HashMap<ServiceName, Repeats>>,
     loads: RefCell<BTreeMap<String, ServiceLoad>>,
@@ -153,7 +153,7 @@
     }
 }
 
-impl std::fmt::Debug for Gate {
+impl std::fmt::Debug for Gateway {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Gate")
             .field("place", &self.place)
@@ -170,14 +170,14 @@
     Overdraw,
 }
 
-impl Gate {
+impl Gateway {
     /// Makes what requests share.
     #[must_use]
     pub fn new(
-        dialect: Box<dyn Dialect>,
+        dialect: Box<dyn HeaderCodec>,
         shared: Arc<Shared>,
-        place: Place,
-        lender: Lender,
+        place: HostSettings,
+        lender: QuotaBorrower,
         (clock, logger): (Clock, Logger),
     ) -> Self {
         Self {
@@ -225,7 +225,7 @@
     ///
     /// # Errors
     /// Tells how long it would have to wait when there is no room for it.
-    pub async fn admit(&self, account: &ClientAccount, asked: &Asked) -> Result<f64, Over> {
+    pub async fn admit(&self, account: &ClientAccount, asked: &RequestInfo) -> Result<f64, Over> {
         let Some(quota) = account.quota else {
             return Ok(0.0);
         };
--- a/crates/gateway/src/head.rs
+++ b/crates/gateway/src/head.rs
@@ -219,7 +219,7 @@
 ///
 /// # Errors
 /// Fails on what is no head, or one that is longer than `most` bytes.
-pub fn take_answer(buffer: &mut BytesMut, most: usize) -> Result<Option<Head<StatusLine>>, HeadError> {
+pub fn take_response(buffer: &mut BytesMut, most: usize) -> Result<Option<Head<StatusLine>>, HeadError> {
     if !buffer.is_empty() && !b"HTTP/1.".starts_with(&buffer[..buffer.len().min(7)]) {
         return Err(HeadError::Malformed);
     }
--- a/crates/gateway/src/lender.rs
+++ b/crates/gateway/src/lender.rs
@@ -20,13 +20,13 @@
 
 /// The client towards the leader.
 #[derive(Debug)]
-pub struct Lender {
+pub struct QuotaBorrower {
     node: NodeId,
     shared: Arc<Shared>,
     client: RefCell<Option<(SocketAddr, HttpClient)>>,
 }
 
-impl Lender {
+impl QuotaBorrower {
     /// Asks in the name of a process.
     #[must_use]
     pub const fn new(node: NodeId, shared: Arc<Shared>) -> Self {
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -46,7 +46,7 @@
 
 /// What the threads need.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct StateSync {
     /// Name of this process.
     pub node: NodeId,
     /// Its incarnation.
@@ -70,7 +70,7 @@
     pub(crate) leader: Option<SocketAddr>,
 }
 
-impl Link {
+impl StateSync {
     /// Starts the threads.
     ///
     /// # Errors
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -18,14 +18,14 @@
 use slog::info;
 use tokio::time::{Sleep, sleep, timeout};
 
-use crate::dialect::Copying;
+use crate::dialect::KvCopyRequest;
 use crate::events::Events;
 use crate::exchange::{Fate, open};
-use crate::gate::Gate;
+use crate::gate::Gateway;
 use crate::notice::Notice;
 use crate::pool::connect;
 use crate::request::Request;
-use crate::upstreams::Chosen;
+use crate::upstreams::ChosenUpstream;
 
 /// Longest wait for a copy: the time between a notice and the end that it announces is two seconds and a half.
 const COPY: Duration = Duration::from_millis(2_500);
@@ -74,9 +74,9 @@
 
 /// A stream's cache at another upstream, for the request that goes on with it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct KvCopy {
     /// The upstream that holds the copy.
-    pub at: Chosen,
+    pub at: ChosenUpstream,
     /// Where the copy came from.
     pub source: SocketAddr,
     /// Name of the copy there.
@@ -92,16 +92,16 @@
     /// Streams that would be lost go first.
     Yielding(Pin<Box<Sleep>>),
     /// The cache is copied while the stream goes on.
-    Copying(Chosen, Call),
+    Copying(ChosenUpstream, Call),
     /// The upstream stops the stream and hands the rest over.
-    Stopping(Chosen, Call),
+    Stopping(ChosenUpstream, Call),
     /// The copy is whole, and the stream's connection ends.
-    Ready(Taken, Pin<Box<Sleep>>),
+    Ready(KvCopy, Pin<Box<Sleep>>),
 }
 
 /// Moves one stream away from an upstream that is taken away.
 pub(crate) struct Mover {
-    from: Chosen,
+    from: ChosenUpstream,
     notice: Rc<Notice>,
     step: Step,
     /// Whether the end was looked at; streams that end in time, or can't be moved, stay.
@@ -110,7 +110,7 @@
 }
 
 impl Mover {
-    pub(crate) const fn new(from: Chosen, notice: Rc<Notice>) -> Self {
+    pub(crate) const fn new(from: ChosenUpstream, notice: Rc<Notice>) -> Self {
         Self {
             from,
             notice,
@@ -122,7 +122,7 @@
 
     /// Waits until the move is one step further, and tells whether the stream has been handed over long enough for its
     /// connection to have ended; ends never while there is nothing to do. It may be dropped and called again.
-    pub(crate) async fn advance(&mut self, request: &Request, gate: &Rc<Gate>, events: &Events) -> bool {
+    pub(crate) async fn advance(&mut self, request: &Request, gate: &Rc<Gateway>, events: &Events) -> bool {
         match &mut self.step {
             Step::Idle if self.decided => std::future::pending().await,
             Step::Idle => {
@@ -148,7 +148,7 @@
     }
 
     /// Gives the time for which a stream lets others go first.
-    fn yields(&self, request: &Request, gate: &Gate) -> Duration {
+    fn yields(&self, request: &Request, gate: &Gateway) -> Duration {
         if !request.is_idempotent() {
             return Duration::ZERO;
         }
@@ -157,14 +157,14 @@
     }
 
     /// Takes the next step after a call for a copy has ended.
-    fn copied(&mut self, ended: Result<String, MoveError>, request: &Request, gate: &Rc<Gate>, events: &Events) {
+    fn copied(&mut self, ended: Result<String, MoveError>, request: &Request, gate: &Rc<Gateway>, events: &Events) {
         match (std::mem::replace(&mut self.step, Step::Idle), ended) {
             (Step::Copying(to, _), Ok(_)) => {
                 let call = self.call(request, gate, &to, true);
                 self.step = Step::Stopping(to, call);
             }
             (Step::Stopping(to, _), Ok(handle)) => {
-                let taken = Taken {
+                let taken = KvCopy {
                     at: to,
                     source: self.from.address,
                     handle,
@@ -177,7 +177,7 @@
     }
 
     /// Notes a copy that came to nothing; one that did not stop the stream is made once more.
-    fn fail(&mut self, step: &Step, error: &MoveError, request: &Request, gate: &Rc<Gate>, events: &Events) {
+    fn fail(&mut self, step: &Step, error: &MoveError, request: &Request, gate: &Rc<Gateway>, events: &Events) {
         counter!("gentian_gateway_moves_failed_total").increment(1);
         self.failed += 1;
         info!(gate.logger, "stream not moved"; "request" => &request.asked.id, "upstream" => &self.from.id,
@@ -188,7 +188,7 @@
     }
 
     /// Gives the copy once the stream has ended at its upstream; waits for it if the upstream is handing it over.
-    pub(crate) async fn taken(&mut self, request: &Request, gate: &Rc<Gate>, events: &Events) -> Option<Taken> {
+    pub(crate) async fn taken(&mut self, request: &Request, gate: &Rc<Gateway>, events: &Events) -> Option<KvCopy> {
         if matches!(self.step, Step::Stopping(..)) {
             self.advance(request, gate, events).await;
         }
@@ -199,7 +199,7 @@
     }
 
     /// Begins to copy the cache, unless the stream ends in time or the copy would not.
-    fn begin(&mut self, request: &Request, gate: &Rc<Gate>, events: &Events) {
+    fn begin(&mut self, request: &Request, gate: &Rc<Gateway>, events: &Events) {
         let Some(left) = self.notice.left(gate.clock.now()) else {
             return;
         };
@@ -223,7 +223,7 @@
     }
 
     /// Chooses where the stream goes on; a move is one more send of the request.
-    fn target(&self, request: &Request, gate: &Rc<Gate>) -> Option<Chosen> {
+    fn target(&self, request: &Request, gate: &Rc<Gateway>) -> Option<ChosenUpstream> {
         let tried = [self.from.id.clone()];
         let chosen = request.choose(gate, &tried).ok()?;
         // A copy takes a slot there at once.
@@ -240,14 +240,14 @@
             reading_ms: 0.0,
             ..chosen.predicted
         };
-        Some(Chosen {
+        Some(ChosenUpstream {
             predicted,
             reading,
             ..chosen
         })
     }
 
-    fn stream(&self, request: &Request, gate: &Gate, events: &Events, left: Duration) -> Stream<()> {
+    fn stream(&self, request: &Request, gate: &Gateway, events: &Events, left: Duration) -> Stream<()> {
         let engine = gate.engine(&request.service).unwrap_or_default();
         let made = events.count() * u64::from(engine.event_tokens);
         let asked = request.asked.tokens.unwrap_or_default();
@@ -262,10 +262,10 @@
         }
     }
 
-    fn call(&self, request: &Request, gate: &Rc<Gate>, to: &Chosen, last: bool) -> Call {
+    fn call(&self, request: &Request, gate: &Rc<Gateway>, to: &ChosenUpstream, last: bool) -> Call {
         let (peer, to) = (self.from.address, to.address);
         let gate = Rc::clone(gate);
-        let copying = Copying {
+        let copying = KvCopyRequest {
             host: peer,
             request: request.asked.id.clone(),
             to,
@@ -298,7 +298,7 @@
 }
 
 /// Asks an upstream to copy a stream's cache; gives status and body of its answer.
-async fn copy(gate: &Gate, copying: &Copying) -> Result<(u16, bytes::Bytes), Fate> {
+async fn copy(gate: &Gateway, copying: &KvCopyRequest) -> Result<(u16, bytes::Bytes), Fate> {
     let connection = connect(copying.host, COPY).await.map_err(|error| Fate::NotSent {
         why: format!("connect to {}: {error}", copying.host),
     })?;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -15,13 +15,13 @@
 
 use crate::answer::answer_head;
 use crate::attempt::Running;
-use crate::dialect::Asked;
+use crate::dialect::RequestInfo;
 use crate::exchange::{Fate, Opened};
-use crate::gate::Gate;
+use crate::gate::Gateway;
 use crate::head::{Head, RequestLine};
 use crate::refusal::Refusal;
 use crate::stream;
-use crate::upstreams::{Chosen, Need, NoUpstream};
+use crate::upstreams::{ChosenUpstream, Need, NoUpstream};
 
 /// Connections that may fail before the request is given up; nothing was sent on them.
 const MAX_UNSENT: usize = 3;
@@ -37,7 +37,7 @@
     /// Its head.
     pub head: Head<RequestLine>,
     /// What the head asks for.
-    pub asked: Asked,
+    pub asked: RequestInfo,
     /// Its body.
     pub body: Bytes,
     /// The route.
@@ -57,7 +57,7 @@
     /// How far it is.
     pub progress: Cell<Progress>,
     /// The upstream that was chosen last.
-    pub placed: RefCell<Option<Chosen>>,
+    pub placed: RefCell<Option<ChosenUpstream>>,
 }
 
 /// How far a request is, for what is answered when its time is over.
@@ -98,7 +98,7 @@
 
 impl Request {
     /// Serves the request and tells how it ended; what is written has left by then.
-    pub async fn serve(&self, gate: &Rc<Gate>, out: &mut OwnedWriteHalf) -> End {
+    pub async fn serve(&self, gate: &Rc<Gateway>, out: &mut OwnedWriteHalf) -> End {
         gate.note_running(&self.service, 1.0);
         let end = match timeout_at(self.until, self.attempts(gate, out)).await {
             Ok(end) => end,
@@ -140,7 +140,7 @@
         End::Refused(Refusal::new(503, "not run: no upstream took the request in time"))
     }
 
-    async fn attempts(&self, gate: &Rc<Gate>, out: &mut OwnedWriteHalf) -> End {
+    async fn attempts(&self, gate: &Rc<Gateway>, out: &mut OwnedWriteHalf) -> End {
         let mut tried: Vec<String> = Vec::new();
         let mut unsent = 0;
         let mut last: Option<Fate> = None;
@@ -186,7 +186,7 @@
         End::Refused(Refusal::new(503, format!("not run: {why}")).retry_in(self.come_back()))
     }
 
-    pub(crate) fn choose(&self, gate: &Gate, tried: &[String]) -> Result<Chosen, NoUpstream> {
+    pub(crate) fn choose(&self, gate: &Gateway, tried: &[String]) -> Result<ChosenUpstream, NoUpstream> {
         let need = Need {
             service: &self.service,
             parts: &self.asked.parts,
@@ -216,7 +216,7 @@
     /// Tells what is certain about the request when nothing of the answer has left yet and it can't be used.
     async fn answer(
         &self,
-        gate: &Rc<Gate>,
+        gate: &Rc<Gateway>,
         out: &mut OwnedWriteHalf,
         mut opened: Opened,
         running: Running,
@@ -281,7 +281,7 @@
     }
 
     /// Counts the request as begun, once.
-    pub(crate) fn count(&self, gate: &Gate) {
+    pub(crate) fn count(&self, gate: &Gateway) {
         let mut progress = self.progress.get();
         if let (Some(account), false) = (&self.account, progress.counted) {
             gate.began.borrow_mut().count(&account.name);
@@ -297,7 +297,7 @@
         Some(passed / u32::try_from(made).ok().filter(|made| *made > 0)?)
     }
 
-    fn note(&self, gate: &Gate, end: &End) {
+    fn note(&self, gate: &Gateway, end: &End) {
         let took = self.came.elapsed();
         let outcome = match end {
             End::Passed { status } if *status < 400 => "passed",
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -6,8 +6,8 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use crate::dialect::Asked;
-use crate::gate::Gate;
+use crate::dialect::RequestInfo;
+use crate::gate::Gateway;
 use crate::head::{Head, RequestLine};
 use crate::refusal::Refusal;
 use crate::table::{Table, draw_service};
@@ -19,7 +19,7 @@
 /// Time after which a caller comes back that found a host without a configuration.
 const UNKNOWN_AGAIN: Duration = Duration::from_millis(500);
 
-impl Gate {
+impl Gateway {
     /// Finds route, service and account of a request.
     ///
     /// # Errors
@@ -27,7 +27,7 @@
     pub fn route(
         &self,
         head: &Head<RequestLine>,
-        asked: &Asked,
+        asked: &RequestInfo,
     ) -> Result<(Route, ServiceName, Option<ClientAccount>), Refusal> {
         let Some(table) = self.shared.table.load_full() else {
             return Err(Refusal::new(503, "not run: no configuration is known yet").retry_in(UNKNOWN_AGAIN));
@@ -57,7 +57,7 @@
 
     /// Gives the time at which a request gets its final answer at the latest.
     #[must_use]
-    pub fn until(&self, came: Instant, asked: &Asked, route: &Route) -> Instant {
+    pub fn until(&self, came: Instant, asked: &RequestInfo, route: &Route) -> Instant {
         let patience = asked.patience.unwrap_or(DEFAULT_PATIENCE).saturating_sub(EARLY);
         came + patience.min(Duration::from_millis(route.timeout_ms))
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -16,7 +16,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::gate::Gate;
+use crate::gate::Gateway;
 use crate::head::{self, Head, RequestLine};
 use crate::learnt::Learnt;
 
@@ -39,7 +39,7 @@
 
 /// Where an entry host listens, and how long a stop may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Listen {
+pub struct ServerSettings {
     /// For callers.
     pub callers: SocketAddr,
     /// For the balancer's question whether the host takes new connections.
@@ -52,7 +52,7 @@
 
 /// What the connections of a process share besides the gate.
 pub(crate) struct Server {
-    pub(crate) gate: Rc<Gate>,
+    pub(crate) gate: Rc<Gateway>,
     stop: Arc<AtomicBool>,
     /// When the request to stop came.
     pub(crate) stopping: Cell<Option<Instant>>,
@@ -66,7 +66,12 @@
 ///
 /// # Errors
 /// Fails when an address can't be listened on.
-pub fn run(gate: Gate, listen: Listen, stop: Arc<AtomicBool>, render: Box<dyn Fn() -> String>) -> io::Result<()> {
+pub fn run(
+    gate: Gateway,
+    listen: ServerSettings,
+    stop: Arc<AtomicBool>,
+    render: Box<dyn Fn() -> String>,
+) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let server = Rc::new(Server {
         gate: Rc::new(gate),
@@ -80,7 +85,7 @@
 }
 
 impl Server {
-    async fn serve(self: Rc<Self>, listen: Listen) -> io::Result<()> {
+    async fn serve(self: Rc<Self>, listen: ServerSettings) -> io::Result<()> {
         let callers = bind(listen.callers)?;
         let ready = bind(listen.ready)?;
         spawn_local(Rc::clone(&self).accept(ready, Kind::Question));
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,8 +15,8 @@
 use crate::attempt::Running;
 use crate::events::{Event, EventError, Events};
 use crate::exchange::{Fate, Opened, Piece};
-use crate::gate::Gate;
-use crate::moving::{Mover, Taken};
+use crate::gate::Gateway;
+use crate::moving::{KvCopy, Mover};
 use crate::request::{End, Request};
 
 /// Silence before the first event after which a stream that can go on elsewhere does; an engine with a long queue may
@@ -31,7 +31,7 @@
 /// Tells what is certain about the request when it breaks off before its first event.
 pub(crate) async fn pass(
     request: &Request,
-    gate: &Rc<Gate>,
+    gate: &Rc<Gateway>,
     out: &mut OwnedWriteHalf,
     opened: Opened,
     running: Running,
@@ -94,7 +94,7 @@
         Self { opened, running, mover }
     }
 
-    fn done(self, gate: &Gate) {
+    fn done(self, gate: &Gateway) {
         let Self { opened, running, .. } = self;
         drop(running);
         let address = opened.connection.stream.peer_addr();
@@ -139,7 +139,7 @@
 /// Passes events on until the stream is whole.
 async fn forward(
     request: &Request,
-    gate: &Rc<Gate>,
+    gate: &Rc<Gateway>,
     source: &mut Source,
     events: &mut Events,
     sink: &mut Sink<'_>,
@@ -207,9 +207,9 @@
 /// Goes on where the stream's KV cache was moved to, after the last event that was passed on.
 async fn go_on(
     request: &Request,
-    gate: &Rc<Gate>,
+    gate: &Rc<Gateway>,
     events: &Events,
-    taken: &Taken,
+    taken: &KvCopy,
     tried: &mut Vec<String>,
 ) -> Option<Source> {
     tried.push(taken.at.id.clone());
@@ -233,7 +233,7 @@
 }
 
 /// Goes on at another upstream after the last event that was passed on.
-async fn resume(request: &Request, gate: &Rc<Gate>, events: &Events, tried: &mut Vec<String>) -> Option<Source> {
+async fn resume(request: &Request, gate: &Rc<Gateway>, events: &Events, tried: &mut Vec<String>) -> Option<Source> {
     if request.route.repeat != Repeatable::ResumableStream {
         return None;
     }
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -85,7 +85,7 @@
 
 /// The upstream that was chosen.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Chosen {
+pub struct ChosenUpstream {
     /// Its incarnation.
     pub id: String,
     /// Where it answers.
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// Tells why there is none.
-    pub fn choose(&self, need: &Need<'_>, now: Tick) -> Result<Chosen, NoUpstream> {
+    pub fn choose(&self, need: &Need<'_>, now: Tick) -> Result<ChosenUpstream, NoUpstream> {
         self.judge_reach(now);
         let open = self.open(need, now)?;
         let lead = lead(need.parts);
@@ -164,7 +164,7 @@
         let predicted = choose(&candidates, need.wish(), close_ms).ok_or(NoUpstream::Full)?;
         let chosen = open[predicted.at];
         let candidate = candidates.iter().find(|one| one.at == predicted.at);
-        Ok(Chosen {
+        Ok(ChosenUpstream {
             id: chosen.listed.id.clone(),
             address: chosen.listed.address,
             predicted,
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -15,8 +15,8 @@
 use wire::registry::Sign;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Chosen, Need};
-use crate::dialect::Load;
+use super::{ChosenUpstream, Need};
+use crate::dialect::ReportedLoad;
 use crate::notice::Notice;
 
 /// How long a load that an upstream told counts; afterwards own requests stand for those of all entry hosts. What others
@@ -45,7 +45,7 @@
     pub(super) since: Tick,
     pub(super) backlog: Backlog,
     /// Load that it told this entry host, and when.
-    sight: Option<(Load, Tick)>,
+    sight: Option<(ReportedLoad, Tick)>,
     /// Until when it reads what other entry hosts have sent.
     pub(super) others_until: Tick,
     /// Until when requests of other entry hosts are taken to be overdue there.
@@ -109,7 +109,7 @@
 
     /// Notes that a request is sent; with a prompt, its parts will be cached. Gives the number under which it waits for
     /// its first event.
-    pub fn sent(&mut self, parts: &[Part], chosen: &Chosen, now: Tick) -> u64 {
+    pub fn sent(&mut self, parts: &[Part], chosen: &ChosenUpstream, now: Tick) -> u64 {
         let alone = self.before_ms(now) < LITTLE_MS && chosen.load < f64::from(self.listed.slots) * ALONE;
         let sent = Sent {
             reading: chosen.reading,
@@ -178,7 +178,7 @@
     }
 
     /// Notes the load that it told.
-    pub fn told(&mut self, load: Load, now: Tick) {
+    pub fn told(&mut self, load: ReportedLoad, now: Tick) {
         if load.slots > 0 {
             self.listed.slots = load.slots;
         }
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -10,9 +10,9 @@
 use contract::{
     Catalog, ClientAccount, KeyHash, Listed, NodeId, Quota, Repeatable, Route, Service, ServiceName, Share, Zone,
 };
-use gateway::gate::{Gate, Place, Shared};
-use gateway::lender::Lender;
-use gateway::server::{self, Listen};
+use gateway::gate::{Gateway, HostSettings, Shared};
+use gateway::lender::QuotaBorrower;
+use gateway::server::{self, ServerSettings};
 use gateway::table::Table;
 use load::trial::process::free_address;
 use policy::Tick;
@@ -111,7 +111,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let flag = Arc::clone(&stop);
         let work = move || {
-            let place = Place {
+            let place = HostSettings {
                 zone: Zone::from("z"),
                 repeats: Bounds {
                     ratio: 0.2,
@@ -121,10 +121,10 @@
                 slack: Slack::default(),
                 window: Duration::from_secs(5),
             };
-            let lender = Lender::new(NodeId::from("e"), Arc::clone(&shared));
+            let lender = QuotaBorrower::new(NodeId::from("e"), Arc::clone(&shared));
             let log = (Clock::start(), Logger::root(Discard, o!()));
-            let gate = Gate::new(Box::new(Words), shared, place, lender, log);
-            let listen = Listen {
+            let gate = Gateway::new(Box::new(Words), shared, place, lender, log);
+            let listen = ServerSettings {
                 callers,
                 ready,
                 metrics: None,
--- a/crates/gateway/tests/common/words.rs
+++ b/crates/gateway/tests/common/words.rs
@@ -3,24 +3,24 @@
 use std::time::Duration;
 
 use contract::KeyHash;
-use gateway::dialect::{Asked, Attempt, Copying, Dialect, Tokens, Told};
+use gateway::dialect::{AttemptHeaders, HeaderCodec, KvCopyRequest, RequestInfo, ResponseInfo, TokenCounts};
 use gateway::head::{Head, RequestLine, StatusLine};
 
 /// Headers of the tests' own.
 pub(super) struct Words;
 
-impl Dialect for Words {
-    fn asked(&self, head: &Head<RequestLine>) -> Result<Asked, String> {
+impl HeaderCodec for Words {
+    fn asked(&self, head: &Head<RequestLine>) -> Result<RequestInfo, String> {
         let number = |name| head.get(name).and_then(|text| text.parse().ok());
-        Ok(Asked {
+        Ok(RequestInfo {
             id: head.get("id").unwrap_or_default().to_owned(),
             patience: number("wait-ms").map(Duration::from_millis),
             key: head.get("key").map(KeyHash::of),
             after: number("after"),
             tokens: number("prompt")
                 .zip(number("most"))
-                .map(|(prompt, answer)| Tokens { prompt, answer }),
-            ..Asked::default()
+                .map(|(prompt, answer)| TokenCounts { prompt, answer }),
+            ..RequestInfo::default()
         })
     }
 
@@ -30,7 +30,7 @@
             .any(|own| name.eq_ignore_ascii_case(own.as_bytes()))
     }
 
-    fn write(&self, out: &mut Vec<u8>, attempt: &Attempt<'_>) {
+    fn write(&self, out: &mut Vec<u8>, attempt: &AttemptHeaders<'_>) {
         let after = attempt
             .after
             .map(|after| format!("After: {after}\r\n"))
@@ -44,8 +44,8 @@
         out.extend_from_slice(lines.as_bytes());
     }
 
-    fn write_copy(&self, out: &mut Vec<u8>, copying: &Copying) {
-        let Copying { request, to, last, .. } = copying;
+    fn write_copy(&self, out: &mut Vec<u8>, copying: &KvCopyRequest) {
+        let KvCopyRequest { request, to, last, .. } = copying;
         let text =
             format!("POST /copy HTTP/1.1\r\nOf: {request}\r\nTo: {to}\r\nLast: {last}\r\nContent-Length: 0\r\n\r\n");
         out.extend_from_slice(text.as_bytes());
@@ -55,8 +55,8 @@
         String::from_utf8(body.to_vec()).ok()
     }
 
-    fn told(&self, head: &Head<StatusLine>) -> Told {
-        Told {
+    fn told(&self, head: &Head<StatusLine>) -> ResponseInfo {
+        ResponseInfo {
             id: head.get("id").map(str::to_owned),
             refused: head.get("not-run").is_some(),
             other: head.start.status == 421,
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use contract::{Listed, NodeId, ServiceName, Zone};
-use gateway::dialect::Load as Told;
-use gateway::upstreams::{Chosen, Need, Upstreams};
+use gateway::dialect::ReportedLoad as ResponseInfo;
+use gateway::upstreams::{ChosenUpstream, Need, Upstreams};
 use policy::Tick;
 use policy::place::Part;
 use rand::rngs::StdRng;
@@ -76,7 +76,7 @@
     host: usize,
     kind: usize,
     came_ms: f64,
-    chosen: Chosen,
+    chosen: ChosenUpstream,
     number: u64,
     begun_late: bool,
 }
@@ -222,7 +222,7 @@
 
     fn step(&mut self, at: usize, now_ms: f64) {
         let now = tick(now_ms);
-        let load = Told {
+        let load = ResponseInfo {
             running: self.engines[at].running.len() as u32,
             waiting: self.engines[at].waiting.len() as u32,
             slots: SLOTS as u32,
--- a/crates/gateway/tests/head_syntax.rs
+++ b/crates/gateway/tests/head_syntax.rs
@@ -1,7 +1,7 @@
 //! Heads of requests: what leaves open where a message ends is refused.
 
 use bytes::BytesMut;
-use gateway::head::{Framing, HeadError, take_answer, take_request};
+use gateway::head::{Framing, HeadError, take_request, take_response};
 use quickcheck::quickcheck;
 
 const MOST: usize = 4_096;
@@ -63,7 +63,7 @@
 #[test]
 fn no_answer() {
     let mut buffer = BytesMut::from("garbage that is no answer");
-    assert_eq!(take_answer(&mut buffer, MOST), Err(HeadError::Malformed));
+    assert_eq!(take_response(&mut buffer, MOST), Err(HeadError::Malformed));
 }
 
 quickcheck! {
--- a/crates/gateway/tests/slow_node/mod.rs
+++ b/crates/gateway/tests/slow_node/mod.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwap;
 use contract::{Catalog, Listed, NodeId, Route, Service, ServiceName, Share};
 use gateway::gate::Shared;
-use gateway::link::Link;
+use gateway::link::StateSync;
 use jsonrpsee::core::{ClientError, RpcResult, async_trait};
 use jsonrpsee::http_client::HttpClient;
 use jsonrpsee::server::{Server, ServerConfig, ServerHandle};
@@ -102,7 +102,7 @@
     /// Starts an entry host's link; gives what it shares with requests.
     pub fn entry(&self) -> Arc<Shared> {
         let shared = Arc::new(Shared::default());
-        let link = Link {
+        let link = StateSync {
             node: NodeId::from("entry-1"),
             run: 0,
             seeds: Arc::new(ArcSwap::from_pointee(vec![self.address])),
