--- a/crates/ctl/src/state.rs
+++ b/crates/ctl/src/state.rs
@@ -154,24 +154,24 @@
     if json {
         let value = json!({
             "disk": id,
-            "term": report.hard.term.0,
+            "term": report.hard_state.term.0,
             "snapshot": report.snapshot.index.0,
             "snapshot_bytes": report.snapshot_bytes,
             "segments": report.segments,
             "records": report.records,
-            "last": report.last.index.0,
-            "torn_bytes": report.torn,
+            "last": report.log_end.index.0,
+            "torn_bytes": report.torn_bytes,
         });
         return Ok(serde_json::to_string_pretty(&value)?);
     }
     Ok(format!(
         "sound: disk {id}, term {}, snapshot at {} ({} bytes), {} records in {} segments, last {}, {} torn bytes at the end",
-        report.hard.term,
+        report.hard_state.term,
         report.snapshot,
         report.snapshot_bytes,
         report.records,
         report.segments,
-        report.last,
-        report.torn
+        report.log_end,
+        report.torn_bytes
     ))
 }
--- a/crates/entry/tests/config_feed.rs
+++ b/crates/entry/tests/config_feed.rs
@@ -12,7 +12,7 @@
 use entry::current::Current;
 use policy::Tick;
 use quickcheck::{Gen, QuickCheck};
-use state::applied::{Applied, Command, Entry};
+use state::applied::{AppliedState, Command, LogEntry};
 use wire::client::{Calls, StateClient};
 use wire::state::{Propose, Proposed};
 
@@ -34,12 +34,12 @@
 }
 
 /// Gives a node's state after each change.
-fn history(count: usize) -> Vec<Applied> {
-    let mut applied = Applied::default();
+fn history(count: usize) -> Vec<AppliedState> {
+    let mut applied = AppliedState::default();
     let mut states = vec![applied.clone()];
     for number in 0..count {
         let command = Command::Propose(propose(number));
-        applied.apply(&Entry {
+        applied.apply(&LogEntry {
             at_ms: 0,
             wall_ms: 0,
             command,
--- a/crates/gateway/benches/rollout.rs
+++ b/crates/gateway/benches/rollout.rs
@@ -12,7 +12,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use gateway::mirror::Mirror;
 use gateway::table::Table;
-use state::feed::Feed;
+use state::feed::CatalogFeed;
 use wire::catalog::Followed;
 
 const SIZES: [usize; 3] = [100, 1_000, 10_000];
@@ -48,7 +48,7 @@
 }
 
 /// Fetches what a copy lacks; gives the bytes.
-fn fetch(mirror: &mut Mirror, feed: &mut Feed, newest: &Catalog) -> usize {
+fn fetch(mirror: &mut Mirror, feed: &mut CatalogFeed, newest: &Catalog) -> usize {
     let mut bytes = 0;
     while mirror.version() != Some(newest.version) {
         let news = Followed {
@@ -67,7 +67,7 @@
     let mut group = criterion.benchmark_group("one_route");
     for routes in SIZES {
         let (old, new) = versions(routes);
-        let mut feed = Feed::default();
+        let mut feed = CatalogFeed::default();
         let mut mirror = Mirror::default();
         let whole = fetch(&mut mirror, &mut feed, &old);
         feed.publish(&old, &new);
@@ -78,11 +78,11 @@
             json.len()
         );
         group.bench_function(BenchmarkId::new("node_compares", routes), |bencher| {
-            bencher.iter(|| Feed::default().publish(&old, black_box(&new)));
+            bencher.iter(|| CatalogFeed::default().publish(&old, black_box(&new)));
         });
         let ask = {
             let mut behind = Mirror::default();
-            fetch(&mut behind, &mut Feed::default(), &old);
+            fetch(&mut behind, &mut CatalogFeed::default(), &old);
             behind.ask(Duration::ZERO)
         };
         group.bench_function(BenchmarkId::new("node_answers", routes), |bencher| {
--- a/crates/gateway/tests/catalog_transfer.rs
+++ b/crates/gateway/tests/catalog_transfer.rs
@@ -6,7 +6,7 @@
 use gateway::mirror::Mirror;
 use gateway::table::Table;
 use quickcheck::quickcheck;
-use state::feed::Feed;
+use state::feed::CatalogFeed;
 use wire::catalog::{Follow, Followed};
 
 const HOSTS: u8 = 3;
@@ -67,7 +67,7 @@
     one.version() == other.version() && same_routes && same_keys && same_services && same_limits
 }
 
-fn told(ask: &Follow, feed: &mut Feed, newest: &Catalog) -> Followed {
+fn told(ask: &Follow, feed: &mut CatalogFeed, newest: &Catalog) -> Followed {
     Followed {
         parts: feed.answer(ask, newest),
         newest: newest.version,
@@ -89,7 +89,7 @@
     /// Guards against a transfer that never ends, or ends in another catalog, while nodes restart, versions go on, answers are
     /// lost and the host turns from node to node.
     fn reaches_newest(versions: Vec<Drawn>, steps: Vec<u8>) -> bool {
-        let mut feeds = [Feed::default(), Feed::default()];
+        let mut feeds = [CatalogFeed::default(), CatalogFeed::default()];
         let mut mirror = Mirror::default();
         let mut newest = Catalog { version: 1, ..Catalog::default() };
         let drawn = versions.iter().zip(1..);
@@ -132,7 +132,7 @@
     }
 }
 
-fn take(mirror: &mut Mirror, feed: &mut Feed, newest: &Catalog) -> usize {
+fn take(mirror: &mut Mirror, feed: &mut CatalogFeed, newest: &Catalog) -> usize {
     let news = told(&mirror.ask(Duration::ZERO), feed, newest);
     mirror.take(news, Duration::ZERO).expect("the transfer fits")
 }
@@ -141,7 +141,7 @@
 #[test]
 fn resumed_elsewhere() {
     let newest = many(3, 5_000);
-    let (mut first, mut second) = (Feed::default(), Feed::default());
+    let (mut first, mut second) = (CatalogFeed::default(), CatalogFeed::default());
     let mut mirror = Mirror::default();
     let mut bytes = take(&mut mirror, &mut first, &newest);
     assert!(mirror.is_fetching(), "the catalog does not fit into one page");
@@ -161,7 +161,7 @@
 #[test]
 fn finished_under_changes() {
     let mut newest = many(1, 5_000);
-    let mut feed = Feed::default();
+    let mut feed = CatalogFeed::default();
     let mut mirror = Mirror::default();
     let mut pages = 0;
     while mirror.version() != Some(newest.version) {
@@ -182,7 +182,7 @@
 #[test]
 fn first_is_newest() {
     let mut old = many(1, 5_000);
-    let mut feed = Feed::default();
+    let mut feed = CatalogFeed::default();
     let mut other = Mirror::default();
     while other.version().is_none() {
         take(&mut other, &mut feed, &old);
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -14,7 +14,7 @@
 use policy::place::Part;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use state::registry::{Registry, Sharing};
+use state::registry::{EntryRegistry, SharedLimits};
 use wire::registry::Beat;
 
 use engine::{Engine, Made, SLOTS};
@@ -97,7 +97,7 @@
     events: BinaryHeap<Reverse<(u64, Event)>>,
     /// What the step under way brings at its end, by engine.
     made: Vec<Option<Vec<Made>>>,
-    registry: Registry,
+    registry: EntryRegistry,
     report: Report,
 }
 
@@ -116,7 +116,7 @@
         asked: Vec::new(),
         events: BinaryHeap::new(),
         made: (0..load.engines).map(|_| None).collect(),
-        registry: Registry::default(),
+        registry: EntryRegistry::default(),
         report: Report {
             kinds: vec![Outcome::default(); load.kinds.len()],
             read_again: 0.0,
@@ -261,11 +261,11 @@
             ..Beat::default()
         };
         let node = NodeId::from(format!("e{host}"));
-        let sharing = Sharing {
+        let sharing = SharedLimits {
             sharers: self.load.hosts as u32,
-            ..Sharing::default()
+            ..SharedLimits::default()
         };
-        if let Some(news) = self.registry.beat(1, (&node, beat), &sharing, now) {
+        if let Some(news) = self.registry.heartbeat(1, (&node, beat), &sharing, now) {
             self.hosts[host].take_signs(&news.signs, now);
         }
         self.push(now_ms + self.load.beat_s * 1_000.0, Event::Beat(host));
--- a/crates/gateway/tests/list_copy.rs
+++ b/crates/gateway/tests/list_copy.rs
@@ -6,7 +6,7 @@
 use gateway::listing::Listing;
 use policy::Tick;
 use quickcheck::quickcheck;
-use state::registry::{Registry, Sharing};
+use state::registry::{EntryRegistry, SharedLimits};
 use wire::registry::{Beat, ListNews};
 
 const TERM: u64 = 1;
@@ -27,15 +27,15 @@
 }
 
 /// Beats once, with so many entries in the answer at most.
-fn beat(registry: &Registry, copy: &mut Listing, most: u32, now: Tick) -> ListNews {
-    let sharing = Sharing {
+fn beat(registry: &EntryRegistry, copy: &mut Listing, most: u32, now: Tick) -> ListNews {
+    let sharing = SharedLimits {
         sharers: 1,
-        ..Sharing::default()
+        ..SharedLimits::default()
     };
     let mut beat = Beat::default();
     copy.ask(&mut beat);
     beat.max_listed = Some(most);
-    let news = registry.beat(TERM, (&NodeId::from("e"), beat), &sharing, now);
+    let news = registry.heartbeat(TERM, (&NodeId::from("e"), beat), &sharing, now);
     let news = news.expect("the number of sharers is known").list;
     if let Some(age_ms) = news.age_ms {
         copy.take(news.clone(), now - Duration::from_millis(age_ms), Duration::ZERO);
@@ -47,7 +47,7 @@
     /// Guards against upstreams that an entry host misses, or keeps although they are gone, when the list changes while it is on
     /// its way in pieces, or another leader tells it.
     fn copy_is_equal(lists: Vec<Vec<(u8, u8)>>, beats: Vec<u8>, other_leader: bool) -> bool {
-        let mut registry = Registry::default();
+        let mut registry = EntryRegistry::default();
         let mut copy = Listing::default();
         let mut newest = Vec::new();
         let mut now_ms = 0;
@@ -57,7 +57,7 @@
             newest.sort_by(|a: &Listed, b| a.id.cmp(&b.id));
             newest.dedup_by(|a, b| a.id == b.id);
             if other_leader && at == lists.len() / 2 {
-                registry = Registry::default();
+                registry = EntryRegistry::default();
             }
             let term = if other_leader && at >= lists.len() / 2 { TERM + 1 } else { TERM };
             registry.set_list(term, newest.clone(), Tick::from_millis(now_ms));
@@ -81,7 +81,7 @@
 /// Guards against an answer with all entries when one of them has changed.
 #[test]
 fn one_entry_changed() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     let mut copy = Listing::default();
     let mut list: Vec<Listed> = (0..3_300).map(|id| listed(id, 4)).collect();
     registry.set_list(TERM, list.clone(), Tick::from_millis(1_000));
@@ -106,7 +106,7 @@
 /// Guards against a copy that is told the whole list for ever, after many upstreams have come and gone.
 #[test]
 fn many_gone() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     let mut copy = Listing::default();
     for round in 0..30 {
         let list: Vec<Listed> = (0..200).map(|id| listed(round * 200 + id, 4)).collect();
--- a/crates/gateway/tests/slow_node/mod.rs
+++ b/crates/gateway/tests/slow_node/mod.rs
@@ -18,8 +18,8 @@
 use policy::parts::Slack;
 use serde::Serialize;
 use slog::{Discard, Logger, o};
-use state::core::{Me, Membership};
-use state::program::Program;
+use state::core::{MembershipMode, NodeConfig};
+use state::program::StateNode;
 use telemetry::Clock;
 use tempfile::TempDir;
 use upstream::directory::Directory;
@@ -39,7 +39,7 @@
 pub struct SlowNode {
     address: SocketAddr,
     bytes: Arc<AtomicU64>,
-    program: Program,
+    program: StateNode,
     data: TempDir,
     server: ServerHandle,
 }
@@ -49,15 +49,15 @@
     pub fn start(bytes_per_s: f64) -> Self {
         let data = TempDir::new().expect("a folder for the log");
         let inner = free_address();
-        let me = Me {
+        let me = NodeConfig {
             node: NodeId::from("state-1"),
             address: inner,
             peers: vec![inner],
-            membership: Membership::Operators,
+            membership: MembershipMode::Manual,
         };
         let logger = Logger::root(Discard, o!());
         let stop = Arc::new(AtomicBool::new(false));
-        let program = Program::start(me, data.path(), Slack::default(), &logger, &stop).expect("a state node starts");
+        let program = StateNode::start(me, data.path(), Slack::default(), &logger, &stop).expect("a state node starts");
         let address = free_address();
         let bytes = Arc::new(AtomicU64::new(0));
         let relay = Relay {
@@ -83,7 +83,7 @@
 
     /// Publishes a catalog.
     pub fn publish(&self, catalog: &Catalog) {
-        let group = self.program.group(&NodeId::from("operator"));
+        let group = self.program.group_client(&NodeId::from("operator"));
         let accepted = || {
             let ask = Publish {
                 document: Vec::new(),
--- a/crates/state/examples/measure/size.rs
+++ b/crates/state/examples/measure/size.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use state::applied::{Applied, Command, Entry};
+use state::applied::{AppliedState, Command, LogEntry};
 use wire::state::{Claim, Outcome, Settle};
 
 use crate::process::memory_mib;
@@ -13,7 +13,7 @@
         "claims", "bytes each", "memory, B each", "encode ms", "decode ms"
     );
     let before = memory_mib(std::process::id());
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     let mut number = 0;
     for count in [10_000, 100_000, 1_000_000] {
         while number < count {
@@ -25,7 +25,7 @@
         let bytes = postcard::to_stdvec(&applied).unwrap();
         let encoded = begin.elapsed();
         let begin = Instant::now();
-        let again: Applied = postcard::from_bytes(&bytes).unwrap();
+        let again: AppliedState = postcard::from_bytes(&bytes).unwrap();
         let decoded = begin.elapsed();
         assert_eq!(again.claim_count(), applied.claim_count());
         println!(
@@ -38,7 +38,7 @@
 }
 
 /// Adds a claim with the outcome of a small booking.
-fn add(applied: &mut Applied, number: i32) {
+fn add(applied: &mut AppliedState, number: i32) {
     let key = format!("deposit-{number:08}");
     let request = format!("entry-1-19ac4b2f1e0-{number}");
     let claim = Claim {
@@ -61,7 +61,7 @@
         },
     };
     for command in [Command::Claim(claim), Command::Settle(settle)] {
-        applied.apply(&Entry {
+        applied.apply(&LogEntry {
             at_ms: 1,
             wall_ms: 0,
             command,
--- a/crates/state/src/admin/mod.rs
+++ b/crates/state/src/admin/mod.rs
@@ -18,7 +18,7 @@
 use tokio::sync::oneshot;
 use wire::state::Propose;
 
-use crate::applied::{Applied, Command, Operator, PutOperator, Reply};
+use crate::applied::{AppliedState, Command, Operator, PutOperator, Reply};
 use crate::core::Ask;
 use access::{Caller, Right};
 use answer::{problem, proposed, unavailable};
@@ -119,9 +119,9 @@
 
     fn read<T: Serialize + Send + 'static>(
         &self,
-        part: impl FnOnce(&Applied) -> Option<T> + Send + 'static,
+        part: impl FnOnce(&AppliedState) -> Option<T> + Send + 'static,
     ) -> Response {
-        let read = |applied: &Applied, age_ms| (applied.config.revision, part(applied), age_ms);
+        let read = |applied: &AppliedState, age_ms| (applied.config.revision, part(applied), age_ms);
         match self.ask(read) {
             Some((revision, Some(item), age_ms)) => {
                 Response::json(&json!({"revision": revision, "age_ms": age_ms, "item": item}))
@@ -131,9 +131,9 @@
         }
     }
 
-    fn ask<T: Send + 'static>(&self, read: impl FnOnce(&Applied, u64) -> T + Send + 'static) -> Option<T> {
+    fn ask<T: Send + 'static>(&self, read: impl FnOnce(&AppliedState, u64) -> T + Send + 'static) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        let read = Box::new(move |applied: &Applied, age: std::time::Duration| {
+        let read = Box::new(move |applied: &AppliedState, age: std::time::Duration| {
             // An asker that has gone away needs no answer.
             let _ = reply.send(read(applied, age.as_millis() as u64));
         });
--- a/crates/state/src/applied.rs
+++ b/crates/state/src/applied.rs
@@ -24,7 +24,7 @@
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// Log time in milliseconds, set by the leader; it never goes back.
     pub at_ms: u64,
     /// The leader's wall clock in milliseconds since 1970; only for people who read the audit trail.
@@ -51,7 +51,7 @@
     /// Reads the newest document; an answer shows that a majority still follows, so that no newer one exists elsewhere.
     Fetch,
     /// Fixes the usage of a window before it is reported.
-    Usage(Usage),
+    Usage(WindowUsage),
     /// Notes how many entry hosts share limits, for the next leader.
     Sharers(u32),
     /// Adds a piece to a publication.
@@ -60,7 +60,7 @@
 
 /// The usage of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Usage {
+pub struct WindowUsage {
     /// Number of the window.
     pub window: u64,
     /// Requests that began in it, by client account.
@@ -122,7 +122,7 @@
     /// To a read of the newest document.
     Fetched(Fetched),
     /// To the usage of a window: what is to be reported.
-    Usage(Usage),
+    Usage(WindowUsage),
     /// To what only is noted.
     Noted,
 }
@@ -144,7 +144,7 @@
 
 /// Everything that the log has produced so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Applied {
+pub struct AppliedState {
     /// Index of the newest entry that is contained.
     pub index: u64,
     /// Log time of that entry.
@@ -192,15 +192,15 @@
     until_ms: u64,
 }
 
-impl Applied {
+impl AppliedState {
     /// Applies the entry at an index of the log; indexes in between held no entries.
-    pub fn apply_at(&mut self, index: u64, entry: &Entry) -> Reply {
+    pub fn apply_at(&mut self, index: u64, entry: &LogEntry) -> Reply {
         self.index = index.saturating_sub(1);
         self.apply(entry)
     }
 
     /// Applies the entry at the next index.
-    pub fn apply(&mut self, entry: &Entry) -> Reply {
+    pub fn apply(&mut self, entry: &LogEntry) -> Reply {
         self.index += 1;
         self.at_ms = self.at_ms.max(entry.at_ms);
         self.expire();
@@ -286,7 +286,7 @@
     }
 
     /// Keeps the first counts of a window: two reports of one window must be equal, whoever sends the second.
-    fn fix_usage(&mut self, ask: &Usage) -> Usage {
+    fn fix_usage(&mut self, ask: &WindowUsage) -> WindowUsage {
         let counts = self
             .usage
             .entry(ask.window)
@@ -295,7 +295,7 @@
         while self.usage.len() > KEPT_WINDOWS {
             self.usage.pop_first();
         }
-        Usage {
+        WindowUsage {
             window: ask.window,
             counts,
         }
--- a/crates/state/src/core/ask.rs
+++ b/crates/state/src/core/ask.rs
@@ -12,7 +12,7 @@
 use wire::catalog::{Follow, Followed};
 use wire::state::{StateStatus, Unavailable, Watch, Watched};
 
-use crate::applied::{Applied, Command, Reply};
+use crate::applied::{AppliedState, Command, Reply};
 use crate::peers::Delivery;
 use crate::raft::{ChangeError, MemberId, Members};
 
@@ -20,7 +20,7 @@
 pub const RING: usize = 4_096;
 
 /// Looks at the applied state and at the time for which news may have passed it by.
-pub type Read = Box<dyn FnOnce(&Applied, Duration) + Send>;
+pub type Read = Box<dyn FnOnce(&AppliedState, Duration) + Send>;
 
 /// A question to the thread.
 #[derive(derive_more::Debug)]
--- a/crates/state/src/core/forming.rs
+++ b/crates/state/src/core/forming.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Core, encode};
-use crate::applied::Applied;
+use crate::applied::AppliedState;
 use crate::peers::{Delivery, Parcel};
 use crate::raft::{Body, Index, Member, MemberId, Members, Position, Snapshot, Term};
 
@@ -24,7 +24,7 @@
 
 /// Who this node is, from its settings.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct NodeConfig {
     /// Its name.
     pub node: NodeId,
     /// Its address.
@@ -32,22 +32,22 @@
     /// All nodes that the group starts with, this one among them; with automatic membership the seeds.
     pub peers: Vec<SocketAddr>,
     /// Who decides on the members.
-    pub membership: Membership,
+    pub membership: MembershipMode,
 }
 
 /// Who decides on the members of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Membership {
+pub enum MembershipMode {
     /// Operators: the group starts with the peers, and disks are replaced on request.
-    Operators,
+    Manual,
     /// The leader: whoever announces itself joins, and who is lost makes room.
     Automatic {
         /// Whether the whole system starts for the first time, so that blank seeds may form the group.
-        first: bool,
+        bootstrap: bool,
     },
 }
 
-impl Membership {
+impl MembershipMode {
     const fn is_automatic(self) -> bool {
         matches!(self, Self::Automatic { .. })
     }
@@ -139,7 +139,7 @@
     /// Gives the first members once every other node has said that it is blank.
     ///
     /// All must answer: a node that is silent might be what is left of a group whose other disks were lost.
-    fn first_members(&self, me: &Me, now: Tick) -> Option<Members> {
+    fn first_members(&self, me: &NodeConfig, now: Tick) -> Option<Members> {
         let blank: BTreeMap<SocketAddr, (MemberId, &NodeId)> = self
             .blank(now)
             .map(|(id, node, address)| (address, (id, node)))
@@ -175,7 +175,9 @@
         for peer in self.known() {
             self.peers.send(peer, Parcel::Hello(hello.clone()));
         }
-        if !self.node.members().is_empty() || matches!(self.me.membership, Membership::Automatic { first: false }) {
+        if !self.node.members().is_empty()
+            || matches!(self.me.membership, MembershipMode::Automatic { bootstrap: false })
+        {
             return;
         }
         // Only one node may decide on the first members: two that decide differently would be two groups.
@@ -186,7 +188,7 @@
                 term: Term(1),
                 index: Index(1),
             };
-            let mut applied = Applied::default();
+            let mut applied = AppliedState::default();
             applied.index = 1;
             self.node.form(&Snapshot {
                 at,
--- a/crates/state/src/core/membership.rs
+++ b/crates/state/src/core/membership.rs
@@ -7,7 +7,7 @@
 use slog::info;
 
 use super::Core;
-use super::forming::Membership;
+use super::forming::MembershipMode;
 use crate::raft::{Member, MemberId};
 
 /// Pause between two looks at the members.
@@ -28,7 +28,7 @@
 impl Core {
     /// Lets whoever announced itself join, in the place of a lost member if there is one.
     pub(super) fn keep_members(&mut self, now: Tick) {
-        let automatic = matches!(self.me.membership, Membership::Automatic { .. });
+        let automatic = matches!(self.me.membership, MembershipMode::Automatic { .. });
         if !automatic || now < self.members_at || !self.node.leads(now) {
             return;
         }
--- a/crates/state/src/core/mod.rs
+++ b/crates/state/src/core/mod.rs
@@ -20,14 +20,14 @@
 
 pub use ask::{Ask, Lead, MemberList, Replace, ReplaceError, Replaced, ring};
 use forming::Forming;
-pub use forming::{Hello, Me, Membership};
+pub use forming::{Hello, MembershipMode, NodeConfig};
 use log_time::LogTime;
 use pending::Pending;
 use watchers::Watchers;
 
-use crate::applied::{Applied, Entry};
+use crate::applied::{AppliedState, LogEntry};
 use crate::disk::{DiskError, Folder};
-use crate::feed::Feed;
+use crate::feed::CatalogFeed;
 use crate::peers::{Parcel, Peers};
 use crate::raft::{Message, Node, Payload, Ready, Record, Restored, Timing};
 
@@ -45,11 +45,11 @@
 /// The state together with its agreement and disk.
 #[derive(Debug)]
 pub struct Core {
-    me: Me,
+    me: NodeConfig,
     node: Node,
     folder: Folder,
-    applied: Applied,
-    feed: Feed,
+    applied: AppliedState,
+    feed: CatalogFeed,
     peers: Peers,
     forming: Forming,
     pending: Pending,
@@ -76,7 +76,7 @@
     /// # Errors
     /// Fails when the snapshot holds something else than this program's state.
     pub fn new(
-        me: Me,
+        me: NodeConfig,
         folder: Folder,
         restored: Restored,
         peers: Peers,
@@ -94,7 +94,7 @@
             node,
             folder,
             applied,
-            feed: Feed::default(),
+            feed: CatalogFeed::default(),
             peers,
             forming,
             pending: Pending::default(),
@@ -259,7 +259,7 @@
         let Payload::Command(bytes) = &record.payload else {
             return;
         };
-        let entry: Entry = postcard::from_bytes(bytes).expect("the leader encoded this entry in the same version");
+        let entry: LogEntry = postcard::from_bytes(bytes).expect("the leader encoded this entry in the same version");
         let now = self.clock.now();
         self.time.heard(entry.at_ms, self.role == "leader", now);
         let before = self.applied.published.clone();
@@ -317,13 +317,13 @@
 }
 
 /// Encodes the applied state for a snapshot.
-fn encode(applied: &Applied) -> Vec<u8> {
+fn encode(applied: &AppliedState) -> Vec<u8> {
     postcard::to_stdvec(applied).expect("every part of the state can be encoded")
 }
 
-fn decode(data: &[u8]) -> Result<Applied, DiskError> {
+fn decode(data: &[u8]) -> Result<AppliedState, DiskError> {
     if data.is_empty() {
-        return Ok(Applied::default());
+        return Ok(AppliedState::default());
     }
     postcard::from_bytes(data).map_err(|source| DiskError::Codec { source })
 }
--- a/crates/state/src/core/serve.rs
+++ b/crates/state/src/core/serve.rs
@@ -9,7 +9,7 @@
 
 use super::ask::{Lead, MemberList, ReplaceError};
 use super::{Ask, Core, Replace, Replaced};
-use crate::applied::{Command, Entry};
+use crate::applied::{Command, LogEntry};
 use crate::raft::{ChangeError, Member, MemberId};
 
 impl Core {
@@ -61,7 +61,7 @@
         let at_ms = self.time.now_ms(now);
         let wall_ms = wall_ms();
         let encode = |command| {
-            postcard::to_stdvec(&Entry {
+            postcard::to_stdvec(&LogEntry {
                 at_ms,
                 wall_ms,
                 command,
--- a/crates/state/src/core/watchers.rs
+++ b/crates/state/src/core/watchers.rs
@@ -7,8 +7,8 @@
 use wire::catalog::{Follow, Followed};
 use wire::state::{Watch, Watched};
 
-use crate::applied::Applied;
-use crate::feed::Feed;
+use crate::applied::AppliedState;
+use crate::feed::CatalogFeed;
 
 /// Longest that a question is held.
 const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -38,8 +38,8 @@
     /// Answers who has news of the catalog or has waited long enough; `told` holds what all of them are told.
     pub(super) fn answer_followers(
         &mut self,
-        applied: &Applied,
-        feed: &mut Feed,
+        applied: &AppliedState,
+        feed: &mut CatalogFeed,
         told: impl Fn() -> Followed,
         now: Tick,
     ) {
@@ -58,7 +58,7 @@
     }
 
     /// Answers who has news or has waited long enough.
-    pub(super) fn answer(&mut self, applied: &Applied, age: Duration, now: Tick) {
+    pub(super) fn answer(&mut self, applied: &AppliedState, age: Duration, now: Tick) {
         let revision = applied.config.revision;
         let ready = |(until, watch, _): &mut (Tick, Watch, _)| watch.after < revision || *until <= now;
         let age_ms = age.as_millis() as u64;
--- a/crates/state/src/disk/check.rs
+++ b/crates/state/src/disk/check.rs
@@ -8,11 +8,11 @@
 
 /// What a sound folder holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct FolderReport {
     /// The incarnation; `None` when the folder is blank.
     pub id: Option<MemberId>,
     /// Term and vote.
-    pub hard: Hard,
+    pub hard_state: Hard,
     /// Position of the snapshot.
     pub snapshot: Position,
     /// Bytes of the snapshot.
@@ -22,16 +22,16 @@
     /// Records behind the snapshot.
     pub records: usize,
     /// End of the log.
-    pub last: Position,
+    pub log_end: Position,
     /// Bytes of a torn last frame, which the next start cuts off.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 /// Reads every file of a folder.
 ///
 /// # Errors
 /// Names the first file that is damaged and the offset in it.
-pub fn check(folder: &Path) -> Result<Report, DiskError> {
+pub fn check(folder: &Path) -> Result<FolderReport, DiskError> {
     let id = identity::read(folder)?;
     let (snapshot, snapshot_bytes) = snapshot::read(folder)?;
     let segments = segment::list(folder)?;
@@ -43,14 +43,14 @@
         torn = content.torn;
     }
     let last = replay.records.last().map_or(snapshot.at, |record| record.at);
-    Ok(Report {
+    Ok(FolderReport {
         id,
-        hard: replay.hard,
+        hard_state: replay.hard,
         snapshot: snapshot.at,
         snapshot_bytes,
         segments: segments.len(),
         records: replay.records.len(),
-        last,
-        torn,
+        log_end: last,
+        torn_bytes: torn,
     })
 }
--- a/crates/state/src/duties/mod.rs
+++ b/crates/state/src/duties/mod.rs
@@ -22,9 +22,9 @@
 
 use orders::Orders;
 
-use crate::applied::{Command, Reply, Usage};
+use crate::applied::{Command, Reply, WindowUsage};
 use crate::core::{Ask, Lead};
-use crate::registry::Registry;
+use crate::registry::EntryRegistry;
 
 /// Pause between two looks at what is due.
 const PAUSE: Duration = Duration::from_millis(250);
@@ -39,16 +39,16 @@
 
 /// Who makes a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Seat<'a> {
+pub struct DutyHolder<'a> {
     /// Name of the process.
-    pub holder: &'a str,
+    pub name: &'a str,
     /// Fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// A wanted number of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct CapacityOrder {
     /// The service.
     pub service: String,
     /// The data centre.
@@ -61,7 +61,7 @@
 
 /// A call that failed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum OfficeError {
+pub enum PlatformError {
     /// No answer; the call may have counted.
     #[display("no answer: {_0}")]
     Unanswered(#[error(not(source))] String),
@@ -70,27 +70,27 @@
     Refused(#[error(not(source))] u16),
     /// Nothing of what was ordered is available.
     #[display("none available")]
-    NoneLeft,
+    NoCapacity,
 }
 
 /// Takes reports and orders.
-pub trait Office: Send {
+pub trait PlatformApi: Send {
     /// Reports the usage of a window; an exact repeat changes nothing.
     ///
     /// # Errors
     /// Tells why the report may not have counted.
-    fn report(&self, seat: &Seat<'_>, usage: &Usage) -> Result<(), OfficeError>;
+    fn report(&self, seat: &DutyHolder<'_>, usage: &WindowUsage) -> Result<(), PlatformError>;
 
     /// Orders capacity.
     ///
     /// # Errors
     /// Tells why the order may not have counted.
-    fn order(&self, seat: &Seat<'_>, order: &Order) -> Result<(), OfficeError>;
+    fn order(&self, seat: &DutyHolder<'_>, order: &CapacityOrder) -> Result<(), PlatformError>;
 }
 
 /// Times of the duties, from the settings.
 #[derive(Clone, Copy, Debug)]
-pub struct Timing {
+pub struct DutyTiming {
     /// Time in which holders must not take turns.
     pub lease: Duration,
     /// Length of a window of usage.
@@ -99,14 +99,14 @@
 
 /// The thread that does the duties while its process leads.
 #[derive(derive_more::Debug)]
-pub struct Duties {
+pub struct LeaderDuties {
     node: NodeId,
     ring: Sender<Ask>,
-    registry: Arc<Registry>,
+    registry: Arc<EntryRegistry>,
     clock: Clock,
-    timing: Timing,
+    timing: DutyTiming,
     #[debug("office")]
-    office: Box<dyn Office>,
+    office: Box<dyn PlatformApi>,
     logger: Logger,
     /// Windows whose report was accepted in this term.
     reported: BTreeSet<u64>,
@@ -117,14 +117,14 @@
     orders: Orders,
 }
 
-impl Duties {
+impl LeaderDuties {
     /// Makes the duties of a node.
     #[must_use]
     pub fn new(
         node: NodeId,
-        (ring, registry, clock): (Sender<Ask>, Arc<Registry>, Clock),
-        timing: Timing,
-        office: Box<dyn Office>,
+        (ring, registry, clock): (Sender<Ask>, Arc<EntryRegistry>, Clock),
+        timing: DutyTiming,
+        office: Box<dyn PlatformApi>,
         logger: Logger,
     ) -> Self {
         let acted = clock.now();
@@ -203,7 +203,7 @@
     /// Reports a window with the counts that the group has fixed; tells whether it was accepted.
     fn report(&mut self, window: u64) -> bool {
         let counts = self.registry.counts(window);
-        let command = Command::Usage(Usage { window, counts });
+        let command = Command::Usage(WindowUsage { window, counts });
         let fixed = self.ask(|reply| Ask::Command(Box::new(command), reply));
         let Some(Ok(Reply::Usage(usage))) = fixed else {
             return false;
@@ -212,9 +212,9 @@
         let Some((term, _)) = self.leads().filter(|(term, _)| *term == self.term) else {
             return false;
         };
-        let seat = Seat {
-            holder: self.node.as_str(),
-            fence: term,
+        let seat = DutyHolder {
+            name: self.node.as_str(),
+            fencing_token: term,
         };
         self.acted = self.clock.now();
         match self.office.report(&seat, &usage) {
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -9,7 +9,7 @@
 use slog::info;
 use tokio::sync::oneshot;
 
-use super::{Duties, OfficeError, Order, Seat};
+use super::{CapacityOrder, DutyHolder, LeaderDuties, PlatformError};
 use crate::core::Ask;
 
 /// Pause between two looks at the list for the plan of capacity.
@@ -86,7 +86,7 @@
     at: Tick,
 }
 
-impl Duties {
+impl LeaderDuties {
     /// Orders what the plan of each service wants.
     pub(super) fn keep_capacity(&mut self) {
         let now = self.clock.now();
@@ -212,15 +212,15 @@
             return;
         };
         let (service, zone, spot) = &subject;
-        let order = Order {
+        let order = CapacityOrder {
             service: service.to_string(),
             zone: zone.to_string(),
             count: wanted,
             spot: *spot,
         };
-        let seat = Seat {
-            holder: self.node.as_str(),
-            fence,
+        let seat = DutyHolder {
+            name: self.node.as_str(),
+            fencing_token: fence,
         };
         self.acted = now;
         let result = self.office.order(&seat, &order);
@@ -229,7 +229,7 @@
             .map_or_else(ToString::to_string, |()| "taken".to_owned());
         info!(self.logger, "capacity ordered"; "service" => &order.service, "zone" => &order.zone, "spot" => spot,
             "count" => wanted, "there" => there, "needed" => needed, "fence" => fence, "outcome" => outcome);
-        let dry = matches!(result, Err(OfficeError::NoneLeft));
+        let dry = matches!(result, Err(PlatformError::NoCapacity));
         if dry && *spot {
             self.orders.refused.insert((service.clone(), zone.clone()), now);
         }
--- a/crates/state/src/feed.rs
+++ b/crates/state/src/feed.rs
@@ -17,7 +17,7 @@
 
 /// Changes from version to version, each encoded once, and the whole catalog as of one of them.
 #[derive(Debug, Default)]
-pub struct Feed {
+pub struct CatalogFeed {
     /// Each one begins at the version to which the one before leads.
     changes: VecDeque<Arc<Encoded>>,
     bytes: usize,
@@ -54,7 +54,7 @@
     }
 }
 
-impl Feed {
+impl CatalogFeed {
     /// Adds the change from one catalog to the next.
     pub fn publish(&mut self, old: &Catalog, new: &Catalog) {
         let change = Encoded::new(&Delta::between(old, new));
--- a/crates/state/src/lists.rs
+++ b/crates/state/src/lists.rs
@@ -12,7 +12,7 @@
 use upstream::directory::Directory;
 
 use crate::core::{Ask, Lead};
-use crate::registry::Registry;
+use crate::registry::EntryRegistry;
 
 /// Pause between two reads. A reclaim's notice comes two seconds and a half before its end; the list tells it up to a second
 /// late and the news takes a beat to reach the entry hosts, so that half a second more is a third of what streams have to
@@ -21,11 +21,11 @@
 
 /// The thread that reads the list while its process leads.
 #[derive(derive_more::Debug)]
-pub struct Lists {
+pub struct ListPoller {
     /// Questions to the thread that owns the state.
     pub ring: Sender<Ask>,
     /// Where lists go.
-    pub registry: Arc<Registry>,
+    pub registry: Arc<EntryRegistry>,
     /// The clock.
     pub clock: Clock,
     /// What reads.
@@ -35,7 +35,7 @@
     pub logger: Logger,
 }
 
-impl Lists {
+impl ListPoller {
     /// Starts the thread.
     ///
     /// # Errors
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -12,8 +12,8 @@
 use slog::{Logger, info};
 use state::admin::Admin;
 use state::cli::Options;
-use state::core::{Ask, Me, Membership};
-use state::program::Program;
+use state::core::{Ask, MembershipMode, NodeConfig};
+use state::program::StateNode;
 use state::settings::Settings;
 use telemetry::scrape::Scrape;
 use telemetry::{ended, log};
@@ -39,13 +39,13 @@
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
     signal_hook::flag::register(SIGINT, Arc::clone(&stop))?;
     let scrape = Scrape::install()?;
-    let me = Me {
+    let me = NodeConfig {
         node: settings.node.clone(),
         address: settings.listen,
         peers: settings.peers.clone(),
-        membership: Membership::Operators,
+        membership: MembershipMode::Manual,
     };
-    let program = Program::start(me, &settings.data, Slack::default(), logger, &stop)?;
+    let program = StateNode::start(me, &settings.data, Slack::default(), logger, &stop)?;
     let admin = start_admin(settings, program.ring.clone(), scrape)?;
     info!(logger, "serving"; "inner" => %settings.listen, "admin" => %admin.server_addr());
     while !stop.load(Ordering::Relaxed) {
--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -14,7 +14,7 @@
 use upstream::directory::Engines;
 
 use crate::core::{Ask, Lead};
-use crate::registry::Registry;
+use crate::registry::EntryRegistry;
 
 /// Pause between two rounds of questions, one to each data centre. The shortest notices leave 1.1 s, of which engines tell after
 /// 0.2 s and entry hosts hear within a beat.
@@ -24,11 +24,11 @@
 
 /// The thread that asks while its process leads.
 #[derive(derive_more::Debug)]
-pub struct Notices {
+pub struct ReclaimPoller {
     /// Questions to the thread that owns the state.
     pub ring: Sender<Ask>,
     /// Where reclaims go.
-    pub registry: Arc<Registry>,
+    pub registry: Arc<EntryRegistry>,
     /// The clock.
     pub clock: Clock,
     /// Who is asked.
@@ -38,7 +38,7 @@
     pub logger: Logger,
 }
 
-impl Notices {
+impl ReclaimPoller {
     /// Starts the thread.
     ///
     /// # Errors
@@ -100,6 +100,6 @@
         let now = self.clock.now();
         info!(self.logger, "engines tell of a reclaim"; "service" => %group.0, "zone" => %group.1,
             "left_ms" => left.as_millis() as u64, "witnesses" => witnesses);
-        self.registry.note_reclaim(term, group, now + left, now);
+        self.registry.record_reclaim(term, group, now + left, now);
     }
 }
--- a/crates/state/src/program.rs
+++ b/crates/state/src/program.rs
@@ -23,10 +23,10 @@
 
 use crate::applied::{Command, Reply};
 
-use crate::core::{Ask, Core, Me, ring};
+use crate::core::{Ask, Core, NodeConfig, ring};
 use crate::disk::{Folder, Limits};
 use crate::peers::Peers;
-use crate::registry::Registry;
+use crate::registry::EntryRegistry;
 use crate::rpc::Rpc;
 
 /// Longest wait for another node.
@@ -38,11 +38,11 @@
 
 /// A running state node.
 #[derive(Debug)]
-pub struct Program {
+pub struct StateNode {
     /// Questions to the thread that owns the state.
     pub ring: Sender<Ask>,
     /// What is known of the entry hosts while this node leads.
-    pub registry: Arc<Registry>,
+    pub registry: Arc<EntryRegistry>,
     /// The clock of all its parts.
     pub clock: Clock,
     /// Calls to other nodes.
@@ -51,17 +51,23 @@
     server: ServerHandle,
 }
 
-impl Program {
+impl StateNode {
     /// Opens the data folder and starts the node; `stop` is set when the folder can't be written any more, `slack` is what
     /// may pass beyond each quota in a window.
     ///
     /// # Errors
     /// Fails when the data folder or the address can't be used.
-    pub fn start(me: Me, data: &Path, slack: Slack, logger: &Logger, stop: &Arc<AtomicBool>) -> anyhow::Result<Self> {
+    pub fn start(
+        me: NodeConfig,
+        data: &Path,
+        slack: Slack,
+        logger: &Logger,
+        stop: &Arc<AtomicBool>,
+    ) -> anyhow::Result<Self> {
         let clock = Clock::start();
         let calls = Calls::start(2, TIMEOUT)?;
         let (ring, asks) = ring();
-        let registry = Arc::new(Registry::new(slack));
+        let registry = Arc::new(EntryRegistry::new(slack));
         let rpc = Rpc::new(
             me.node.clone(),
             ring.clone(),
@@ -109,7 +115,7 @@
 }
 
 fn start_owner(
-    me: Me,
+    me: NodeConfig,
     data: &Path,
     calls: &Calls,
     asks: Receiver<Ask>,
@@ -144,17 +150,17 @@
 
 /// The group as an operator's API at any of its nodes sees it: what another node has to decide is passed on to it.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct GroupClient {
     node: NodeId,
     ring: Sender<Ask>,
     calls: Calls,
 }
 
-impl Program {
+impl StateNode {
     /// Gives the group as seen from this node.
     #[must_use]
-    pub fn group(&self, node: &NodeId) -> Group {
-        Group {
+    pub fn group_client(&self, node: &NodeId) -> GroupClient {
+        GroupClient {
             node: node.clone(),
             ring: self.ring.clone(),
             calls: self.calls.with_timeout(DECIDE),
@@ -162,7 +168,7 @@
     }
 }
 
-impl Group {
+impl GroupClient {
     /// Publishes a document.
     #[must_use]
     pub fn publish(&self, ask: &Publish) -> Published {
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -23,7 +23,7 @@
 
 /// What the leader of a term knows of the entry hosts.
 #[derive(Debug, Default)]
-pub struct Registry {
+pub struct EntryRegistry {
     inner: Mutex<Inner>,
     /// Units beyond a quota that may pass in a window, over all entry hosts.
     slack: Slack,
@@ -45,7 +45,7 @@
 
 /// What the log says of shared limits.
 #[derive(Clone, Debug, Default)]
-pub struct Sharing {
+pub struct SharedLimits {
     /// Quotas by client account.
     pub quotas: Vec<(String, Quota)>,
     /// Entry hosts that share, as last counted.
@@ -57,7 +57,7 @@
 /// Requests by client account.
 pub type Counts = BTreeMap<String, u64>;
 
-impl Registry {
+impl EntryRegistry {
     /// Makes a registry that may let so many units beyond each quota pass.
     #[must_use]
     pub fn new(slack: Slack) -> Self {
@@ -68,7 +68,13 @@
     }
 
     /// Takes a beat in a term; gives the entry host's parts once they are known.
-    pub fn beat(&self, term: u64, (from, beat): (&NodeId, Beat), shared: &Sharing, now: Tick) -> Option<News> {
+    pub fn heartbeat(
+        &self,
+        term: u64,
+        (from, beat): (&NodeId, Beat),
+        shared: &SharedLimits,
+        now: Tick,
+    ) -> Option<News> {
         let mut inner = self.inner.lock();
         if inner.term != term {
             // Another led in between, and may have given other parts.
@@ -104,7 +110,7 @@
     }
 
     /// Notes the version that an entry host holds; gives what has become worth telling of the rollout.
-    pub fn note_version(&self, from: &NodeId, held: u64, newest: u64, now: Tick) -> Option<Progress> {
+    pub fn record_version(&self, from: &NodeId, held: u64, newest: u64, now: Tick) -> Option<Progress> {
         let mut inner = self.inner.lock();
         inner.rollout.publish(newest, now);
         inner.rollout.note(from, held, now);
@@ -120,7 +126,7 @@
     }
 
     /// Notes a reclaim that engines told of in a term; the list names their group as leaving at once.
-    pub fn note_reclaim(&self, term: u64, group: Group, ends: Tick, now: Tick) {
+    pub fn record_reclaim(&self, term: u64, group: Group, ends: Tick, now: Tick) {
         let mut inner = self.inner.lock();
         inner.reclaims.note(group, ends, now);
         if let Some((list, asked)) = inner.list.list() {
--- a/crates/state/src/rpc.rs
+++ b/crates/state/src/rpc.rs
@@ -23,7 +23,7 @@
 use crate::applied::{Command, Reply};
 use crate::core::Ask;
 use crate::peers::Delivery;
-use crate::registry::{Registry, Sharing};
+use crate::registry::{EntryRegistry, SharedLimits};
 
 /// JSON-RPC code for a node that is stopping.
 const STOPPING: i32 = -32_001;
@@ -38,7 +38,7 @@
 pub struct Rpc {
     me: NodeId,
     ring: Sender<Ask>,
-    registry: Arc<Registry>,
+    registry: Arc<EntryRegistry>,
     clock: Clock,
     logger: Logger,
 }
@@ -46,7 +46,13 @@
 impl Rpc {
     /// Makes the server side for a ring.
     #[must_use]
-    pub const fn new(me: NodeId, ring: Sender<Ask>, registry: Arc<Registry>, clock: Clock, logger: Logger) -> Self {
+    pub const fn new(
+        me: NodeId,
+        ring: Sender<Ask>,
+        registry: Arc<EntryRegistry>,
+        clock: Clock,
+        logger: Logger,
+    ) -> Self {
         Self {
             me,
             ring,
@@ -72,14 +78,14 @@
     }
 
     /// Gives what the log says of shared limits.
-    async fn sharing(&self) -> RpcResult<Sharing> {
-        let read = |reply: oneshot::Sender<Sharing>| {
+    async fn sharing(&self) -> RpcResult<SharedLimits> {
+        let read = |reply: oneshot::Sender<SharedLimits>| {
             Ask::Read(Box::new(move |applied, _age| {
                 let accounts = applied.catalog().map(|catalog| catalog.accounts.iter());
                 let quotas = accounts.into_iter().flatten();
                 let quotas = quotas.filter_map(|account| Some((account.name.clone(), account.quota?)));
                 // An asker that has gone away needs no answer.
-                let _ = reply.send(Sharing {
+                let _ = reply.send(SharedLimits {
                     quotas: quotas.collect(),
                     sharers: applied.sharers,
                     version: applied.catalog().map_or(0, |catalog| catalog.version),
@@ -178,12 +184,12 @@
         let held = request.revision.0;
         let progress = self
             .registry
-            .note_version(&request.from, held, sharing.version, self.clock.now());
+            .record_version(&request.from, held, sharing.version, self.clock.now());
         if let Some(progress) = progress {
             self.tell_rollout(&progress);
         }
         let beat = (&request.from, request.body);
-        let parts = self.registry.beat(lead.term, beat, &sharing, self.clock.now());
+        let parts = self.registry.heartbeat(lead.term, beat, &sharing, self.clock.now());
         if let Some(count) = self.registry.changed_count(self.clock.now()) {
             let (reply, _) = oneshot::channel();
             // A count that is not noted now is noted when it next changes; until then the leader's own is used.
--- a/crates/state/tests/claims_once.rs
+++ b/crates/state/tests/claims_once.rs
@@ -1,10 +1,10 @@
 //! A claimed call is granted once, and its outcome answers every resend.
 
 use quickcheck::{Gen, QuickCheck};
-use state::applied::{Applied, CLAIM_RETENTION_MS, Command, Entry, Reply};
+use state::applied::{AppliedState, CLAIM_RETENTION_MS, Command, LogEntry, Reply};
 use wire::state::{Claim, Claimed, Outcome, Settle, Settled};
 
-fn claim(request: &str, digest: &str) -> Entry {
+fn claim(request: &str, digest: &str) -> LogEntry {
     let ask = Claim {
         group: 0,
         customer: "tan-seng-huat".into(),
@@ -13,14 +13,14 @@
         request: request.into(),
         hold_ms: 1_000,
     };
-    Entry {
+    LogEntry {
         at_ms: 1,
         wall_ms: 0,
         command: Command::Claim(ask),
     }
 }
 
-fn settle(request: &str, outcome: Outcome) -> Entry {
+fn settle(request: &str, outcome: Outcome) -> LogEntry {
     let ask = Settle {
         group: 0,
         customer: "tan-seng-huat".into(),
@@ -28,7 +28,7 @@
         request: request.into(),
         outcome,
     };
-    Entry {
+    LogEntry {
         at_ms: 2,
         wall_ms: 0,
         command: Command::Settle(ask),
@@ -37,7 +37,7 @@
 
 #[test]
 fn resend_answered() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     let answer = Outcome::Answered {
         status: 201,
         media: "text/plain".to_owned(),
@@ -58,7 +58,7 @@
 
 #[test]
 fn free_again() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     applied.apply(&claim("r1", "d"));
     assert_eq!(
         applied.apply(&settle("r1", Outcome::NotRun)),
@@ -67,11 +67,11 @@
     assert_eq!(applied.apply(&claim("r2", "d")), Reply::Claimed(Claimed::Granted));
 }
 
-fn at(at_ms: u64, entry: Entry) -> Entry {
-    Entry { at_ms, ..entry }
+fn at(at_ms: u64, entry: LogEntry) -> LogEntry {
+    LogEntry { at_ms, ..entry }
 }
 
-fn claimed(applied: &mut Applied, at_ms: u64, request: &str) -> Claimed {
+fn claimed(applied: &mut AppliedState, at_ms: u64, request: &str) -> Claimed {
     match applied.apply(&at(at_ms, claim(request, "d"))) {
         Reply::Claimed(answer) => answer,
         other => panic!("{other:?}"),
@@ -82,7 +82,7 @@
 /// if the key were granted again, the frozen host could wake up and send as well, and the customer would pay twice.
 #[test]
 fn overdue_holder() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     assert_eq!(claimed(&mut applied, 1, "r1"), Claimed::Granted);
     assert_eq!(claimed(&mut applied, 1_001, "r2"), Claimed::Running("r1".into()));
     assert_eq!(claimed(&mut applied, 1_002, "r2"), Claimed::Done(Outcome::Unknown));
@@ -96,7 +96,7 @@
 /// the key would be held by nobody, and the caller, who was told that nothing was run, could never run it.
 #[test]
 fn late_question() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     applied.apply(&at(1, settle("r1", Outcome::NotRun)));
     assert_eq!(claimed(&mut applied, 2, "r1"), Claimed::Done(Outcome::NotRun));
     assert_eq!(claimed(&mut applied, 3, "r2"), Claimed::Granted);
@@ -105,7 +105,7 @@
 
 #[test]
 fn told_by_service() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     let answer = Outcome::Answered {
         status: 200,
         media: "text/plain".to_owned(),
@@ -126,7 +126,7 @@
 
 #[test]
 fn kept_for_retention() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     claimed(&mut applied, 1, "r1");
     assert_eq!(
         claimed(&mut applied, CLAIM_RETENTION_MS, "r2"),
@@ -141,7 +141,7 @@
 #[test]
 fn one_sender() {
     fn property(steps: Vec<(u8, u8, u8)>) -> bool {
-        let mut applied = Applied::default();
+        let mut applied = AppliedState::default();
         let mut now = 0;
         let mut granted = [false; 4];
         let mut sent = Vec::new();
--- a/crates/state/tests/first_orders.rs
+++ b/crates/state/tests/first_orders.rs
@@ -7,10 +7,10 @@
 use contract::{Catalog, Listed, NodeId, Scaling, Service, ServiceName, Zone};
 use parking_lot::Mutex;
 use slog::{Discard, Logger, o};
-use state::applied::{Applied, Command, Entry, Usage};
+use state::applied::{AppliedState, Command, LogEntry, WindowUsage};
 use state::core::{Ask, Lead, ring};
-use state::duties::{Duties, Office, OfficeError, Order, Seat, Timing};
-use state::registry::Registry;
+use state::duties::{CapacityOrder, DutyHolder, DutyTiming, LeaderDuties, PlatformApi, PlatformError};
+use state::registry::EntryRegistry;
 use telemetry::Clock;
 use wire::catalog::Publish;
 
@@ -20,14 +20,14 @@
 
 /// Notes orders.
 #[derive(Clone, Default)]
-struct Notes(Arc<Mutex<Vec<Order>>>);
+struct Notes(Arc<Mutex<Vec<CapacityOrder>>>);
 
-impl Office for Notes {
-    fn report(&self, _seat: &Seat<'_>, _usage: &Usage) -> Result<(), OfficeError> {
+impl PlatformApi for Notes {
+    fn report(&self, _seat: &DutyHolder<'_>, _usage: &WindowUsage) -> Result<(), PlatformError> {
         Ok(())
     }
 
-    fn order(&self, _seat: &Seat<'_>, order: &Order) -> Result<(), OfficeError> {
+    fn order(&self, _seat: &DutyHolder<'_>, order: &CapacityOrder) -> Result<(), PlatformError> {
         self.0.lock().push(order.clone());
         Ok(())
     }
@@ -50,7 +50,7 @@
 }
 
 /// Makes a state whose catalog has one service in two data centres.
-fn applied() -> Applied {
+fn applied() -> AppliedState {
     let zones = ["a", "b"].map(|zone| (Zone::from(zone), 1.0));
     let service = Service {
         name: ServiceName::from("m"),
@@ -69,8 +69,8 @@
         ..Catalog::default()
     };
     let document = b"{}".to_vec();
-    let mut applied = Applied::default();
-    applied.apply(&Entry {
+    let mut applied = AppliedState::default();
+    applied.apply(&LogEntry {
         at_ms: 1,
         wall_ms: 1,
         command: Command::Publish(Publish { document, catalog }),
@@ -105,15 +105,15 @@
 #[test]
 fn growing_list() {
     let clock = Clock::start();
-    let registry = Arc::new(Registry::default());
+    let registry = Arc::new(EntryRegistry::default());
     let notes = Notes::default();
     let parts = (lead(&clock), Arc::clone(&registry), clock.clone());
-    let timing = Timing {
+    let timing = DutyTiming {
         lease: Duration::from_secs(3),
         window: Duration::from_secs(5),
     };
     let logger = Logger::root(Discard, o!());
-    let duties = Duties::new(NodeId::from("s1"), parts, timing, Box::new(notes.clone()), logger);
+    let duties = LeaderDuties::new(NodeId::from("s1"), parts, timing, Box::new(notes.clone()), logger);
     duties.start().unwrap();
     let begun = Instant::now();
     while notes.0.lock().is_empty() {
--- a/crates/state/tests/lease_tokens.rs
+++ b/crates/state/tests/lease_tokens.rs
@@ -1,18 +1,18 @@
 //! A lease has one holder at a time, and the token of a later holder is always greater.
 
 use quickcheck::{Gen, QuickCheck};
-use state::applied::{Applied, Command, Entry, Reply};
+use state::applied::{AppliedState, Command, LogEntry, Reply};
 use wire::state::{Lease, Leased};
 
 const TTL_MS: u64 = 1_000;
 
-fn ask(applied: &mut Applied, at_ms: u64, holder: &str, ttl_ms: u64) -> Leased {
+fn ask(applied: &mut AppliedState, at_ms: u64, holder: &str, ttl_ms: u64) -> Leased {
     let lease = Lease {
         name: "capacity".to_owned(),
         holder: holder.into(),
         ttl_ms,
     };
-    let entry = Entry {
+    let entry = LogEntry {
         at_ms,
         wall_ms: 0,
         command: Command::Lease(lease),
@@ -25,7 +25,7 @@
 
 #[test]
 fn renewed_token() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     let first = ask(&mut applied, 1, "a", TTL_MS);
     assert_eq!(ask(&mut applied, 900, "a", TTL_MS), first);
     assert_eq!(ask(&mut applied, 1_800, "b", TTL_MS), Leased::Taken { by: "a".into() });
@@ -38,7 +38,7 @@
 #[test]
 fn growing_tokens() {
     fn property(asks: Vec<(u8, u16, bool)>) -> bool {
-        let mut applied = Applied::default();
+        let mut applied = AppliedState::default();
         let mut now = 0;
         let mut newest = 0;
         let mut held: Option<(u8, u64)> = None;
--- a/crates/state/tests/log_recovery.rs
+++ b/crates/state/tests/log_recovery.rs
@@ -67,12 +67,12 @@
     let segment = written(folder.path());
     let file = OpenOptions::new().write(true).open(&segment).unwrap();
     file.set_len(file.metadata().unwrap().len() - 3).unwrap();
-    assert!(check(folder.path()).unwrap().torn > 0);
+    assert!(check(folder.path()).unwrap().torn_bytes > 0);
     let (mut open, restored) = Folder::open(folder.path(), Limits::default()).unwrap();
     assert_eq!(restored.records.last(), Some(&record(1, 4)));
     open.write(&records(2, 5..=5)).unwrap();
     drop(open);
-    assert_eq!(check(folder.path()).unwrap().last, record(2, 5).at);
+    assert_eq!(check(folder.path()).unwrap().log_end, record(2, 5).at);
 }
 
 /// A disk flips a bit in the middle of the log. What stands behind it was acknowledged, so starting without it would lose
@@ -185,7 +185,7 @@
     drop(open);
     let report = check(folder.path()).unwrap();
     assert!(report.segments <= 5 && report.records <= 20, "{report:?}");
-    assert_eq!((report.last, report.hard), (record(1, 500).at, hard));
+    assert_eq!((report.log_end, report.hard_state), (record(1, 500).at, hard));
 }
 
 /// A second process is started on the same folder by mistake. Two writers would ruin the log, so it is refused.
--- a/crates/state/tests/operator_races.rs
+++ b/crates/state/tests/operator_races.rs
@@ -4,7 +4,7 @@
 
 use contract::{Account, Change, Class, Contract, KeyHash, Limits, Matcher, Repeat, Revision, Targets};
 use quickcheck::{Gen, QuickCheck};
-use state::applied::{Applied, Command, Entry, Reply};
+use state::applied::{AppliedState, Command, LogEntry, Reply};
 use wire::state::{Propose, Proposed};
 
 const SEED: u64 = 23;
@@ -41,14 +41,14 @@
     }
 }
 
-fn propose(applied: &mut Applied, id: &str, base: Option<u64>, contract: Contract) -> Proposed {
+fn propose(applied: &mut AppliedState, id: &str, base: Option<u64>, contract: Contract) -> Proposed {
     let ask = Propose {
         id: id.into(),
         base: base.map(Revision),
         operator: "operator".to_owned(),
         change: Change::PutContract(contract),
     };
-    let entry = Entry {
+    let entry = LogEntry {
         at_ms: applied.at_ms + 1,
         wall_ms: 0,
         command: Command::Propose(ask),
@@ -63,7 +63,7 @@
 /// word, the first would believe in a share that is not in force.
 #[test]
 fn one_wins() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     let first = propose(&mut applied, "a", None, contract("mwangaza", 1));
     assert_eq!(first, Proposed::Accepted(Revision(1)));
     let winner = propose(&mut applied, "b", Some(1), contract("mwangaza", 2));
@@ -79,7 +79,7 @@
 /// contract. The resend must get the first answer and must not bring the older contract back.
 #[test]
 fn resend_after_change() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     let first = propose(&mut applied, "a", Some(0), contract("mwangaza", 1));
     propose(&mut applied, "b", Some(1), contract("mwangaza", 2));
     let again = propose(&mut applied, "a", Some(0), contract("mwangaza", 1));
@@ -93,7 +93,7 @@
 #[test]
 fn many_races() {
     fn holds(steps: Vec<(u8, bool, u8)>) -> bool {
-        let mut applied = Applied::default();
+        let mut applied = AppliedState::default();
         let mut answers = BTreeMap::new();
         let mut shares = BTreeMap::new();
         let mut touched = BTreeMap::new();
--- a/crates/state/tests/publication_pieces.rs
+++ b/crates/state/tests/publication_pieces.rs
@@ -2,7 +2,7 @@
 
 use contract::Catalog;
 use quickcheck::quickcheck;
-use state::applied::{Applied, Command, Entry, Reply};
+use state::applied::{AppliedState, Command, LogEntry, Reply};
 use wire::catalog::{Publish, Published, Upload, UploadId, Uploaded};
 
 fn publication(version: u64, length: u8) -> Publish {
@@ -28,8 +28,8 @@
     }
 }
 
-fn apply(applied: &mut Applied, upload: Upload, at_ms: u64) -> Uploaded {
-    let entry = Entry {
+fn apply(applied: &mut AppliedState, upload: Upload, at_ms: u64) -> Uploaded {
+    let entry = LogEntry {
         at_ms,
         wall_ms: 0,
         command: Command::Upload(upload),
@@ -41,7 +41,7 @@
 }
 
 /// Sends the next piece of a publication; gives what was published.
-fn step(applied: &mut Applied, (ask, held): (&Publish, &mut usize), most: usize) -> Option<Published> {
+fn step(applied: &mut AppliedState, (ask, held): (&Publish, &mut usize), most: usize) -> Option<Published> {
     match apply(applied, piece(ask, *held, most), 0) {
         Uploaded::Held(bytes) => *held = bytes as usize,
         Uploaded::Published(published) => return Some(published),
@@ -57,7 +57,7 @@
         let asks = [publication(2, lengths.0), publication(3, lengths.1)];
         let mut held = [0; 2];
         let mut done = [false; 2];
-        let mut applied = Applied::default();
+        let mut applied = AppliedState::default();
         let rest = (0..=255).chain(0..=255);
         for step_at in steps.into_iter().chain(rest) {
             let which = usize::from(step_at & 1);
@@ -75,7 +75,7 @@
 /// Guards against memory that is kept for a publication whose operator has given up.
 #[test]
 fn abandoned() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     apply(&mut applied, piece(&publication(2, 90), 0, 10), 0);
     apply(&mut applied, piece(&publication(3, 90), 0, 10), 60_000);
     let late = apply(&mut applied, piece(&publication(2, 90), 10, 10), 60_000);
--- a/crates/state/tests/shared_news.rs
+++ b/crates/state/tests/shared_news.rs
@@ -4,7 +4,7 @@
 
 use contract::{Listed, NodeId, ServiceName, Zone};
 use policy::Tick;
-use state::registry::{Registry, Sharing};
+use state::registry::{EntryRegistry, SharedLimits};
 use wire::registry::{Beat, News, Sign};
 
 const TERM: u64 = 3;
@@ -24,13 +24,13 @@
     }
 }
 
-fn beat(registry: &Registry, from: &str, beat: Beat, now_ms: u64) -> News {
-    let sharing = Sharing {
+fn beat(registry: &EntryRegistry, from: &str, beat: Beat, now_ms: u64) -> News {
+    let sharing = SharedLimits {
         sharers: 2,
-        ..Sharing::default()
+        ..SharedLimits::default()
     };
     let from = NodeId::from(from);
-    let news = registry.beat(TERM, (&from, beat), &sharing, Tick::from_millis(now_ms));
+    let news = registry.heartbeat(TERM, (&from, beat), &sharing, Tick::from_millis(now_ms));
     news.expect("the number of sharers was left by the leader before")
 }
 
@@ -50,7 +50,7 @@
 /// sees no more than its own requests; it is told what is left of the 800 ms.
 #[test]
 fn others_backlog() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     beat(&registry, "e1", seen("u", None, 800), 1_000);
     let news = beat(&registry, "e2", Beat::default(), 1_300);
     assert_eq!((news.signs[0].id.as_str(), news.signs[0].backlog_ms), ("u", 500));
@@ -80,7 +80,7 @@
 /// wait, and not the sum, since all of them wait in one queue.
 #[test]
 fn overdue_told() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     beat(&registry, "e1", overdue("u", 700), 1_000);
     beat(&registry, "e2", overdue("u", 900), 1_100);
     let news = beat(&registry, "e3", Beat::default(), 1_200);
@@ -91,7 +91,7 @@
 /// Two entry hosts saw an upstream's load at different times. The newest sight counts, whichever came last.
 #[test]
 fn newest_load() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     beat(&registry, "e1", seen("u", Some((9, 1, 50)), 0), 1_000);
     beat(&registry, "e2", seen("u", Some((2, 0, 400)), 0), 1_010);
     let news = beat(&registry, "e3", Beat::default(), 1_100);
@@ -102,7 +102,7 @@
 /// A large deployment has thousands of upstreams. An answer names only the busiest, so that beats stay small.
 #[test]
 fn busiest_first() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     let signs = (0..500).map(|at| Sign {
         id: format!("u{at}"),
         load: Some((at, 0, 10)),
@@ -121,7 +121,7 @@
 /// The list is read every second, and how long upstreams are cold changes each time. Only what matters is sent again.
 #[test]
 fn list_when_changed() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     registry.set_list(TERM, vec![listed("u", false, 900)], Tick::from_millis(1_000));
     let first = beat(&registry, "e1", Beat::default(), 1_100).list;
     assert_eq!((first.age_ms, first.whole, first.put.len()), (Some(100), true, 1));
@@ -141,10 +141,10 @@
 /// entry hosts would keep the old list as if it were this one.
 #[test]
 fn numbers_of_leaders() {
-    let (old, new) = (Registry::default(), Registry::default());
+    let (old, new) = (EntryRegistry::default(), EntryRegistry::default());
     old.set_list(TERM, vec![listed("u", false, 0)], Tick::from_millis(1_000));
     new.set_list(TERM + 1, vec![listed("v", false, 0)], Tick::from_millis(1_000));
-    let number = |registry: &Registry| beat(registry, "e1", Beat::default(), 1_100).list.mark;
+    let number = |registry: &EntryRegistry| beat(registry, "e1", Beat::default(), 1_100).list.mark;
     assert!(number(&new) > number(&old));
 }
 
@@ -152,7 +152,7 @@
 /// can no longer be moved. Entry hosts hear of it with the next beat, and the lagging list does not take it back.
 #[test]
 fn engines_tell_first() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     let spot = |id: &str, zone: &str, leaving| Listed {
         zone: Zone::from(zone),
         reclaimable: true,
@@ -166,7 +166,7 @@
     };
     registry.set_list(TERM, ready(), Tick::from_millis(1_000));
     let group = (ServiceName::from("m"), Zone::from("z"));
-    registry.note_reclaim(TERM, group, Tick::from_millis(2_100), Tick::from_millis(1_300));
+    registry.record_reclaim(TERM, group, Tick::from_millis(2_100), Tick::from_millis(1_300));
     assert_eq!(leaving(1_310), ["u"]);
     registry.set_list(TERM, ready(), Tick::from_millis(1_500));
     assert_eq!(leaving(1_510), ["u"]);
