--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -14,7 +14,7 @@
 use metrics::{counter, gauge};
 use parking_lot::Mutex;
 use policy::Tick;
-use policy::plan::{Backoff, Pool, Rules, Step, plan};
+use policy::plan::{Backoff, HostPool, ScalingRules, Step, plan};
 use serde::Serialize;
 use slog::{Logger, info, warn};
 use telemetry::Clock;
@@ -170,7 +170,7 @@
         let pending: Vec<CloudHost> = self.pending.iter().map(|(host, _)| host.clone()).collect();
         let held = world::held(config, cloud, &pending, busy);
         let needs = world::needs(config, &self.settings, &held);
-        let rules = Rules {
+        let rules = ScalingRules {
             slots: self.settings.slots,
             grow: GROW,
             shrink: SHRINK,
@@ -184,17 +184,17 @@
     ///
     /// A reclaim takes a whole zone. What is started there again while it goes on is refused or taken as well, after its
     /// weights were loaded for nothing.
-    fn pools(&mut self, cloud: &Cloud, now: Tick) -> Vec<Pool> {
+    fn pools(&mut self, cloud: &Cloud, now: Tick) -> Vec<HostPool> {
         for host in cloud.hosts.iter().filter(|host| cloud.leaves(host)) {
             self.lost.insert(host.zone.clone(), now);
         }
         self.lost.retain(|_, at| now.since(*at) < LOST);
         let pools = cloud.pools(&self.backoff, now);
-        let stays = |pool: &Pool| pool.open && !self.lost.contains_key(&pool.zone);
+        let stays = |pool: &HostPool| pool.open && !self.lost.contains_key(&pool.zone);
         if !pools.iter().any(stays) {
             return pools;
         }
-        let closed = pools.into_iter().map(|pool| Pool {
+        let closed = pools.into_iter().map(|pool| HostPool {
             open: stays(&pool),
             ..pool
         });
--- a/crates/capacity/src/control/engines.rs
+++ b/crates/capacity/src/control/engines.rs
@@ -2,7 +2,7 @@
 
 use contract::{Change, Config, HostSpec, ModelName, UpstreamKind, UpstreamSpec};
 use metrics::counter;
-use policy::plan::{Load, next_loads};
+use policy::plan::{WeightLoad, next_loads};
 use slog::{info, warn};
 use upstream::cloud::CloudHost;
 use upstream::orders::Action;
@@ -23,7 +23,7 @@
     host: &'a CloudHost,
     engine: Engine<'a, Read>,
     action: Action,
-    load: Load,
+    load: WeightLoad,
 }
 
 impl Control {
@@ -83,7 +83,7 @@
     }
 
     fn begin_loads(&self, waiting: Vec<Waiting<'_>>, active: usize, keeper: &Keeper) {
-        let loads: Vec<Load> = waiting.iter().map(|one| one.load).collect();
+        let loads: Vec<WeightLoad> = waiting.iter().map(|one| one.load).collect();
         let chosen = next_loads(&loads, active, self.settings.loads);
         for (at, one) in waiting.into_iter().enumerate() {
             let Some(tenure) = keeper.held().filter(|_| chosen.contains(&at)) else {
@@ -153,10 +153,10 @@
     1.0 - f64::from(serving) / f64::from(all.max(1))
 }
 
-const fn load_of(action: &Action, shortfall: f64) -> Load {
+const fn load_of(action: &Action, shortfall: f64) -> WeightLoad {
     let size = match action {
         Action::LoadModel { .. } => MODEL_SIZE,
         _ => ADAPTER_SIZE,
     };
-    Load { shortfall, size }
+    WeightLoad { shortfall, size }
 }
--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -5,7 +5,7 @@
 
 use contract::{Config, HostId, ModelName, UpstreamId, UpstreamKind, UpstreamSpec};
 use policy::Tick;
-use policy::plan::{Backoff, Held, Need, Pool};
+use policy::plan::{Backoff, HeldHost, HostPool, ModelNeed};
 use serde::Serialize;
 use upstream::UpstreamError;
 use upstream::cloud::{CloudClient, CloudHost, Price};
@@ -77,8 +77,8 @@
 
     /// Gives where hosts can be started.
     #[must_use]
-    pub fn pools(&self, backoff: &Backoff, now: Tick) -> Vec<Pool> {
-        let pool = |price: &Price| Pool {
+    pub fn pools(&self, backoff: &Backoff, now: Tick) -> Vec<HostPool> {
+        let pool = |price: &Price| HostPool {
             zone: price.zone.clone(),
             class: price.class,
             price: price.price,
@@ -118,11 +118,11 @@
 
 /// Gives the hosts that the plan may count on.
 #[must_use]
-pub fn held(config: &Config, cloud: &Cloud, pending: &[CloudHost], busy: &BTreeMap<HostId, f64>) -> Vec<Held> {
+pub fn held(config: &Config, cloud: &Cloud, pending: &[CloudHost], busy: &BTreeMap<HostId, f64>) -> Vec<HeldHost> {
     let listed = |host: &CloudHost| cloud.hosts.iter().any(|known| known.id == host.id);
     let fresh = pending.iter().filter(|host| !listed(host));
     let stays = |host: &&CloudHost| !cloud.leaves(host) && !is_drained(config, host);
-    let held = |host: &CloudHost| Held {
+    let held = |host: &CloudHost| HeldHost {
         host: host.id.clone(),
         model: ModelName::from(host.tag.as_str()),
         zone: host.zone.clone(),
@@ -135,8 +135,8 @@
 
 /// Gives what each model needs: the work of the moment and the floor of the contracts.
 #[must_use]
-pub fn needs(config: &Config, settings: &Settings, held: &[Held]) -> Vec<Need> {
-    let mut needs: BTreeMap<ModelName, Need> = BTreeMap::new();
+pub fn needs(config: &Config, settings: &Settings, held: &[HeldHost]) -> Vec<ModelNeed> {
+    let mut needs: BTreeMap<ModelName, ModelNeed> = BTreeMap::new();
     let ruled = config.rules.values().map(|rule| rule.model.clone());
     let floors = floors(config, settings.floor);
     let models = held
@@ -147,7 +147,7 @@
     for model in models {
         let busy = held.iter().filter(|one| one.model == model).map(|one| one.busy).sum();
         let floor = floors.get(&model).copied().unwrap_or_default();
-        needs.insert(model.clone(), Need { model, busy, floor });
+        needs.insert(model.clone(), ModelNeed { model, busy, floor });
     }
     needs.into_values().collect()
 }
--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -5,7 +5,7 @@
 
 use contract::{Config, Contract, CustomerId, Limits};
 use policy::Tick;
-use policy::limits::{Amounts, Bucket, DemandMeter, Peer, Share, part_of};
+use policy::limits::{Bucket, CustomerShare, DemandMeter, LimitAmounts, PeerDemand, owned_part};
 use wire::digest::{self, Demand};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct Meter {
     limits: Limits,
-    share: Share,
+    share: CustomerShare,
     requests: Bucket,
     tokens: Bucket,
     asked: DemandMeter,
@@ -66,7 +66,7 @@
             .get_mut(&contract.customer)
             .expect("it was added just before");
         meter.limits = contract.limits;
-        meter.take(part_of(&contract.limits, hosts, rank), tokens, next_place, now)
+        meter.take(owned_part(&contract.limits, hosts, rank), tokens, next_place, now)
     }
 
     /// Gives back what a request took that was not run.
@@ -115,7 +115,9 @@
         let rows = self.keys.iter().filter_map(|(key, customer)| {
             let meter = self.meters.get_mut(customer)?;
             let own = meter.wanted(now);
-            let lent = meter.share.grant(peer, part_of(&meter.limits, hosts, rank), own, now);
+            let lent = meter
+                .share
+                .grant(peer, owned_part(&meter.limits, hosts, rank), own, now);
             let row = Demand {
                 customer: *key,
                 wanted: rounded_up(own),
@@ -139,7 +141,7 @@
             let Some(meter) = customer.and_then(|customer| self.meters.get_mut(customer)) else {
                 continue;
             };
-            let told = Peer {
+            let told = PeerDemand {
                 wanted: read(&row.wanted),
                 running: f64::from(row.running),
             };
@@ -147,7 +149,7 @@
             if let Some(asked) = asked {
                 meter.share.borrow(peer, read(&row.lent), asked);
             }
-            let part = part_of(&meter.limits, self.hosts, self.rank).list();
+            let part = owned_part(&meter.limits, self.hosts, self.rank).list();
             let (own, its) = (meter.wanted(now).list(), told.wanted.list());
             lacks |= (0..part.len()).any(|at| its[at] > part[at] && own[at] < part[at]);
         }
@@ -155,10 +157,10 @@
     }
 
     fn add(&mut self, contract: &Contract, now: Tick) {
-        let part = part_of(&contract.limits, self.hosts, self.rank);
+        let part = owned_part(&contract.limits, self.hosts, self.rank);
         let meter = Meter {
             limits: contract.limits,
-            share: Share::new(self.hosts <= 1, now),
+            share: CustomerShare::new(self.hosts <= 1, now),
             requests: Bucket::new(part.requests, now),
             tokens: Bucket::new(part.tokens, now),
             asked: DemandMeter::default(),
@@ -173,7 +175,7 @@
 }
 
 impl Meter {
-    fn take(&mut self, part: Amounts, tokens: f64, next_place: Duration, now: Tick) -> Result<(), Duration> {
+    fn take(&mut self, part: LimitAmounts, tokens: f64, next_place: Duration, now: Tick) -> Result<(), Duration> {
         self.asked.add(1.0, now);
         self.work.add(tokens, now);
         let usable = self.share.usable(part, now);
@@ -193,8 +195,8 @@
         Ok(())
     }
 
-    fn wanted(&self, now: Tick) -> Amounts {
-        Amounts {
+    fn wanted(&self, now: Tick) -> LimitAmounts {
+        LimitAmounts {
             requests: self.asked.rate(now),
             tokens: self.work.rate(now),
             running: (f64::from(self.running) + self.turned.rate(now)).round(),
@@ -207,7 +209,7 @@
     xxh3_64(customer.as_str().as_bytes()) as u32
 }
 
-fn rounded_up(amounts: Amounts) -> digest::Amounts {
+fn rounded_up(amounts: LimitAmounts) -> digest::Amounts {
     digest::Amounts {
         requests: (amounts.requests * HUNDREDTHS).round() as u32,
         tokens: amounts.tokens.round() as u32,
@@ -216,7 +218,7 @@
 }
 
 /// Rounds what is lent down, so that the borrower never uses more than the lender counts.
-fn rounded_down(amounts: Amounts) -> digest::Amounts {
+fn rounded_down(amounts: LimitAmounts) -> digest::Amounts {
     digest::Amounts {
         requests: (amounts.requests * HUNDREDTHS).floor() as u32,
         tokens: amounts.tokens.floor() as u32,
@@ -225,8 +227,8 @@
 }
 
 /// Reads amounts of a digest.
-fn read(amounts: &digest::Amounts) -> Amounts {
-    Amounts {
+fn read(amounts: &digest::Amounts) -> LimitAmounts {
+    LimitAmounts {
         requests: f64::from(amounts.requests) / HUNDREDTHS,
         tokens: f64::from(amounts.tokens),
         running: f64::from(amounts.running),
--- a/crates/entry/src/admission/mod.rs
+++ b/crates/entry/src/admission/mod.rs
@@ -14,8 +14,8 @@
 use metrics::{counter, gauge};
 use parking_lot::Mutex;
 use policy::Tick;
-use policy::fair::{Refused, Ticket};
-use policy::lane::Turned;
+use policy::fair::{RefusalReason, Ticket};
+use policy::lane::Rejection;
 use policy::route::Target;
 use telemetry::Clock;
 use wire::digest::Demand;
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Verdict {
     Granted,
-    Shed(Turned),
+    Shed(Rejection),
 }
 
 /// The right to run one request; it ends when dropped.
@@ -235,10 +235,10 @@
     }
 }
 
-fn refused(turned: Turned) -> Refusal {
+fn refused(turned: Rejection) -> Refusal {
     let cause = match turned.why {
-        Refused::QueueFull => "queue",
-        Refused::TooLate => "late",
+        RefusalReason::QueueFull => "queue",
+        RefusalReason::TooLate => "late",
     };
     counter!("gentian_refused_total", "cause" => cause).increment(1);
     gauge!("gentian_retry_after_seconds").set(turned.retry_after.as_secs_f64());
--- a/crates/entry/src/admission/queues.rs
+++ b/crates/entry/src/admission/queues.rs
@@ -5,9 +5,9 @@
 
 use metrics::gauge;
 use policy::Tick;
-use policy::fair::{Refused, Ticket};
-use policy::lane::{Lane, Turned};
-use policy::room::Room;
+use policy::fair::{RefusalReason, Ticket};
+use policy::lane::{AdmissionQueue, Rejection};
+use policy::room::SharedPlaces;
 use policy::route::Target;
 
 use crate::fleet::Size;
@@ -17,12 +17,12 @@
 pub(super) struct Queues<W> {
     running: usize,
     waiting: usize,
-    lanes: HashMap<Target, Lane>,
+    lanes: HashMap<Target, AdmissionQueue>,
     waiters: HashMap<u64, W>,
 }
 
 /// A request that had to make room, with its thread's handle and what it is told.
-pub(super) type Victim<W> = (Ticket, W, Turned);
+pub(super) type Victim<W> = (Ticket, W, Rejection);
 
 impl<W> Queues<W> {
     pub(super) fn new(running: usize, waiting: usize) -> Self {
@@ -41,10 +41,10 @@
         ticket: Ticket,
         waiter: W,
         now: Tick,
-    ) -> Result<Option<Victim<W>>, Turned> {
-        let room = Room::new(self.waiting, self.lanes.len());
+    ) -> Result<Option<Victim<W>>, Rejection> {
+        let room = SharedPlaces::new(self.waiting, self.lanes.len());
         let used = self.lane(target).waiting();
-        let has_place = room.has_place(used, self.lanes.values().map(Lane::waiting));
+        let has_place = room.has_place(used, self.lanes.values().map(AdmissionQueue::waiting));
         let waiting = if has_place { used + 1 } else { used };
         let lane = self.lane(target);
         lane.set_waiting(waiting);
@@ -52,7 +52,7 @@
         let victim = lane.offer(ticket, now)?;
         let victim = victim.map(|ticket| {
             (
-                lane.turn(Refused::QueueFull, ticket.tokens, Duration::ZERO, now),
+                lane.turn(RefusalReason::QueueFull, ticket.tokens, Duration::ZERO, now),
                 ticket,
             )
         });
@@ -61,17 +61,17 @@
     }
 
     /// Takes out a request that waited until it was late; gives what it is told, or nothing if its turn has come.
-    pub(super) fn leave(&mut self, target: &Target, ticket: &Ticket, now: Tick) -> Option<Turned> {
+    pub(super) fn leave(&mut self, target: &Target, ticket: &Ticket, now: Tick) -> Option<Rejection> {
         let lane = self.lanes.get_mut(target)?;
         let ticket = lane.remove(ticket)?;
         self.waiters.remove(&ticket.id);
-        Some(lane.turn(Refused::TooLate, ticket.tokens, Duration::ZERO, now))
+        Some(lane.turn(RefusalReason::TooLate, ticket.tokens, Duration::ZERO, now))
     }
 
     /// Lets the next request run and gives its thread's handle.
     pub(super) fn grant(&mut self) -> Option<W> {
-        let room = Room::new(self.running, self.lanes.len());
-        let used: Vec<usize> = self.lanes.values().map(Lane::running).collect();
+        let room = SharedPlaces::new(self.running, self.lanes.len());
+        let used: Vec<usize> = self.lanes.values().map(AdmissionQueue::running).collect();
         let mut open = self.lanes.values_mut().filter(|lane| lane.waiting() > 0);
         let ticket = open.find_map(|lane| {
             let has_place = room.has_place(lane.running(), used.iter().copied());
@@ -86,7 +86,10 @@
 
     /// Gives the time in which a slot for a target comes free on average.
     pub(super) fn next_place(&self, target: &Target) -> Duration {
-        self.lanes.get(target).map(Lane::next_place).unwrap_or_default()
+        self.lanes
+            .get(target)
+            .map(AdmissionQueue::next_place)
+            .unwrap_or_default()
     }
 
     /// Sets what upstreams can take; lanes that nothing serves any more take nothing, and go once they are empty.
@@ -118,10 +121,10 @@
     }
 
     /// Finds a lane; one that was not sized yet takes what the whole host does.
-    fn lane(&mut self, target: &Target) -> &mut Lane {
+    fn lane(&mut self, target: &Target) -> &mut AdmissionQueue {
         let whole = matches!(target, Target::Service(_));
         let (running, waiting) = (self.running, self.waiting);
         let lane = self.lanes.entry(target.clone());
-        lane.or_insert_with(|| Lane::new(running, waiting, whole))
+        lane.or_insert_with(|| AdmissionQueue::new(running, waiting, whole))
     }
 }
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -13,7 +13,7 @@
 use upstream::engine::{REQUEST_HEADER, Usage};
 
 use super::ask::Ask;
-use super::http::{Peer, Reply};
+use super::http::{PeerDemand, Reply};
 use super::problem::{self, Problem};
 use super::run::{Ended, Nowhere, Run, Search};
 use super::sse::Events;
@@ -46,7 +46,7 @@
     let admitted = entry.admission.enter(contract, &work(&ask, class, arrived));
     let mut permit = admitted.map_err(|refusal| problem::counted(refusal.into(), &meter, entry.clock.now()))?;
     meter.admitted(entry.clock.now());
-    let peer = Peer::of(caller.connection).map_err(|_gone| Problem::bad_request("the connection broke"))?;
+    let peer = PeerDemand::of(caller.connection).map_err(|_gone| Problem::bad_request("the connection broke"))?;
     let id = entry.request_id();
     let owner = journal::owner(&contract.customer, account);
     let journal = entry.journals.open(&id, owner, &ask.chat);
--- a/crates/entry/src/callers/http/connection.rs
+++ b/crates/entry/src/callers/http/connection.rs
@@ -172,9 +172,9 @@
 
 /// Watches whether a caller is still there.
 #[derive(Debug)]
-pub(in crate::callers) struct Peer(TcpStream);
+pub(in crate::callers) struct PeerDemand(TcpStream);
 
-impl Peer {
+impl PeerDemand {
     /// Watches the caller of a connection.
     ///
     /// # Errors
--- a/crates/entry/src/callers/http/mod.rs
+++ b/crates/entry/src/callers/http/mod.rs
@@ -7,7 +7,7 @@
 mod head;
 mod reply;
 
-pub(super) use connection::{Broken, Connection, Peer};
+pub(super) use connection::{Broken, Connection, PeerDemand};
 pub(super) use head::{BadHead, Head, Length};
 pub(super) use reply::{Chunks, Reply};
 
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -13,7 +13,7 @@
 use contract::{CustomerId, RequestId, UpstreamId, UpstreamSpec};
 use metrics::counter;
 use policy::prefix::Prefix;
-use policy::rescue::How;
+use policy::rescue::StreamAction;
 use policy::route::{Need, Target};
 use slog::warn;
 use telemetry::burn::Meter;
@@ -123,7 +123,10 @@
             match tried {
                 Tried::Ended(ended) => return ended,
                 Tried::NotRun => search.note(spec.id),
-                Tried::Moved(Move { to, how: How::Export }) => search.moved(spec.id, to, Cause::Exported),
+                Tried::Moved(Move {
+                    to,
+                    how: StreamAction::Export,
+                }) => search.moved(spec.id, to, Cause::Exported),
                 Tried::Moved(_) => search.moved(spec.id, None, Cause::Reclaimed),
                 Tried::Failed(cause) => {
                     search.broke(spec.id, cause);
--- a/crates/entry/src/callers/watch.rs
+++ b/crates/entry/src/callers/watch.rs
@@ -10,7 +10,7 @@
 use telemetry::Clock;
 use upstream::pulse::{Pulse, STEP};
 
-use super::http::Peer;
+use super::http::PeerDemand;
 use crate::journal::Journal;
 
 /// Shortest and longest silence between two tokens after which an engine counts as frozen.
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(super) struct Watch {
     clock: Clock,
-    caller: Option<Peer>,
+    caller: Option<PeerDemand>,
     journal: Arc<Journal>,
     limits: Limits,
     asked: Arc<AtomicBool>,
@@ -95,7 +95,7 @@
     }
 
     /// Watches over a request; an adopted one has no caller.
-    pub(super) fn new(clock: Clock, caller: Option<Peer>, journal: Arc<Journal>, limits: Limits) -> Self {
+    pub(super) fn new(clock: Clock, caller: Option<PeerDemand>, journal: Arc<Journal>, limits: Limits) -> Self {
         Self {
             clock,
             caller,
@@ -141,7 +141,7 @@
     pub(super) fn look(&self) -> Option<Stop> {
         if self.journal.is_moved() {
             Some(Stop::Moved)
-        } else if self.caller.as_ref().is_some_and(Peer::is_gone) {
+        } else if self.caller.as_ref().is_some_and(PeerDemand::is_gone) {
             Some(Stop::CallerGone)
         } else {
             (self.clock.now() >= self.limits.until).then_some(Stop::Late)
--- a/crates/entry/src/fleet/events.rs
+++ b/crates/entry/src/fleet/events.rs
@@ -10,7 +10,7 @@
 use policy::Tick;
 use policy::cache::CacheEvent;
 use policy::limits::Bucket;
-use policy::route::Without;
+use policy::route::Ablation;
 use upstream::engine::EngineClient;
 
 use super::Fleet;
@@ -32,7 +32,7 @@
     let mut budget = Bucket::new(BUDGET, entry.clock.now());
     while !entry.stopping() {
         std::thread::sleep(STEP);
-        if !entry.fleet.rules.with(Without::CacheEvents) {
+        if !entry.fleet.rules.with(Ablation::CacheEvents) {
             continue;
         }
         let now = entry.clock.now();
--- a/crates/entry/src/fleet/index.rs
+++ b/crates/entry/src/fleet/index.rs
@@ -5,7 +5,7 @@
 
 use contract::{DataCenter, HostId, Revision, UpstreamId, UpstreamSpec};
 use parking_lot::Mutex;
-use policy::route::{Group, Place, Rates, Target};
+use policy::route::{Group, GroupMember, Rates, Target};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::member::Member;
@@ -89,9 +89,9 @@
     }
 
     fn pool(&self, target: &Target, rows: Vec<Row>, place: &DataCenter) -> Pool {
-        let places: Vec<Place> = rows
+        let places: Vec<GroupMember> = rows
             .iter()
-            .map(|row| Place {
+            .map(|row| GroupMember {
                 number: row.member.number,
                 id: row.spec.id.clone(),
                 near: row.spec.host.data_center == *place,
--- a/crates/entry/src/fleet/member.rs
+++ b/crates/entry/src/fleet/member.rs
@@ -3,9 +3,9 @@
 use parking_lot::Mutex;
 use policy::Tick;
 use policy::breaker::Breaker;
-use policy::cache::{EventCursor, Trust};
+use policy::cache::{CacheTrust, EventCursor};
 use policy::load::LoadEstimate;
-use policy::route::Barred;
+use policy::route::Exclusion;
 
 /// One upstream; it lives as long as its host does, across changes of the configuration.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
 pub(super) struct State {
     pub(super) load: LoadEstimate,
     pub(super) breaker: Breaker,
-    pub(super) trust: Trust,
+    pub(super) trust: CacheTrust,
     pub(super) cursor: EventCursor,
     /// When this host is to read the load report again.
     pub(super) poll_at: Tick,
@@ -43,13 +43,13 @@
 }
 
 impl State {
-    pub(super) fn barred(&self, leaving: bool, tried: bool, now: Tick) -> Option<Barred> {
+    pub(super) fn barred(&self, leaving: bool, tried: bool, now: Tick) -> Option<Exclusion> {
         if leaving {
-            Some(Barred::Leaving)
+            Some(Exclusion::Leaving)
         } else if tried {
-            Some(Barred::Tried)
+            Some(Exclusion::Tried)
         } else {
-            (!self.breaker.allows(now)).then_some(Barred::Breaker)
+            (!self.breaker.allows(now)).then_some(Exclusion::Breaker)
         }
     }
 }
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -17,9 +17,11 @@
 use metrics::counter;
 use parking_lot::{Mutex, RwLock};
 use policy::Tick;
-use policy::load::Report;
-use policy::prefix::{History, Prefix};
-use policy::route::{Candidate, Choice, Group, Need, Proposed, Reason, Routing, Rules, Target, Without, choose};
+use policy::load::LoadReport;
+use policy::prefix::{Prefix, PrefixIndex};
+use policy::route::{
+    Ablation, Candidate, Choice, Group, Need, ProposedCandidate, Reason, Routing, Rules, Target, choose,
+};
 use telemetry::Clock;
 use wire::digest::LoadDigest;
 use wire::entry::HostSign;
@@ -47,7 +49,7 @@
     place: DataCenter,
     index: ArcSwap<Index>,
     numbers: Mutex<Numbers>,
-    history: Mutex<History>,
+    history: Mutex<PrefixIndex>,
     waves: RwLock<Waves>,
     expiry_ms: AtomicU64,
     turn: AtomicU64,
@@ -88,7 +90,7 @@
             place,
             index: ArcSwap::default(),
             numbers: Mutex::default(),
-            history: Mutex::new(History::new(HISTORY)),
+            history: Mutex::new(PrefixIndex::new(HISTORY)),
             waves: RwLock::default(),
             expiry_ms: AtomicU64::new(EXPIRY_MS),
             turn: AtomicU64::new(0),
@@ -153,30 +155,32 @@
         // All of the few candidates are barred, as when a data centre's hosts leave at once: whoever is left will do.
         counter!("gentian_choices_widened_total").increment(1);
         let reason = Reason::All;
-        let all: Vec<Proposed> = (0..pool.rows.len()).map(|at| Proposed { at, reason }).collect();
+        let all: Vec<ProposedCandidate> = (0..pool.rows.len())
+            .map(|at| ProposedCandidate { at, reason })
+            .collect();
         let mut open = self.candidates(pool, &all, &homes, ask, now);
         open.retain(|candidate| candidate.barred.is_none());
         choose(&self.rules, &open, &need, &rates)
     }
 
-    fn propose(&self, group: &Group, homes: &[usize], prefix: &Prefix, turn: u64) -> Vec<Proposed> {
+    fn propose(&self, group: &Group, homes: &[usize], prefix: &Prefix, turn: u64) -> Vec<ProposedCandidate> {
         if self.rules.routing != Routing::Cost {
             return group.window(turn);
         }
         let with_prefix = !prefix.blocks().is_empty();
-        let holders: Vec<u32> = if with_prefix && self.rules.with(Without::Affinity) {
+        let holders: Vec<u32> = if with_prefix && self.rules.with(Ablation::Affinity) {
             let held = self.history.lock().holders(prefix);
             held.iter().map(|holder| holder.upstream).collect()
         } else {
             Vec::new()
         };
-        let lead = (with_prefix && self.rules.with(Without::Rendezvous)).then(|| prefix.lead());
+        let lead = (with_prefix && self.rules.with(Ablation::Rendezvous)).then(|| prefix.lead());
         group.propose(homes, lead, &holders, turn)
     }
 
     /// Gives the homes of the prompt's conversation, if it has one.
     fn homes(&self, group: &Group, prefix: &Prefix) -> Vec<usize> {
-        let home = self.rules.routing == Routing::Cost && self.rules.with(Without::Home);
+        let home = self.rules.routing == Routing::Cost && self.rules.with(Ablation::Home);
         let session = prefix.session().filter(|_| home);
         session.map_or_else(Vec::new, |session| group.homes(session.key).to_vec())
     }
@@ -206,13 +210,13 @@
     fn candidates<'a>(
         &self,
         pool: &'a Pool,
-        proposed: &[Proposed],
+        proposed: &[ProposedCandidate],
         homes: &[usize],
         ask: &Ask<'_>,
         now: Tick,
     ) -> Vec<Candidate<'a>> {
         let numbers: Vec<u32> = proposed.iter().map(|p| pool.rows[p.at].member.number).collect();
-        let held = if self.rules.with(Without::Affinity) {
+        let held = if self.rules.with(Ablation::Affinity) {
             self.history.lock().held(ask.prefix, &numbers)
         } else {
             vec![0; numbers.len()]
@@ -223,11 +227,11 @@
         let rates = *pool.rates.lock();
         let kept = begun * rates.kept;
         let home = self.home(pool, homes);
-        let candidate = |(proposed, held): (&Proposed, u64)| {
+        let candidate = |(proposed, held): (&ProposedCandidate, u64)| {
             let row = &pool.rows[proposed.at];
             let spec = row.spec.as_ref();
             let state = row.member.state.lock();
-            let trust = if self.rules.with(Without::CacheEvents) {
+            let trust = if self.rules.with(Ablation::CacheEvents) {
                 state.trust.share()
             } else {
                 1.0
@@ -240,7 +244,7 @@
                 slots: (f64::from(spec.slots) * rates.ease).ceil() as u32,
                 near: spec.host.data_center == self.place,
                 reclaims: waves.reclaims(&spec.host.zone, now),
-                load: state.load.predict(now, expiry, self.rules.with(Without::Corrections)),
+                load: state.load.predict(now, expiry, self.rules.with(Ablation::Corrections)),
                 cached: (held as f64 * trust).max(if home == Some(proposed.at) { kept } else { 0.0 }) as u64,
                 home: home.is_none_or(|at| at == proposed.at),
                 barred: state.barred(!self.hosts.takes_work(&spec.host), ask.tried.contains(&spec.id), now),
@@ -285,7 +289,7 @@
             counter!("gentian_digest_loads_unknown_total").increment(1);
             return;
         };
-        let report = Report {
+        let report = LoadReport {
             measured: now - Duration::from_millis(u64::from(load.age_ms)),
             running: load.running,
             waiting: load.waiting,
@@ -365,7 +369,7 @@
     }
 
     fn expiry(&self) -> Duration {
-        if self.rules.with(Without::ReportExpiry) {
+        if self.rules.with(Ablation::ReportExpiry) {
             Duration::from_millis(self.expiry_ms.load(Ordering::Relaxed))
         } else {
             Duration::MAX
--- a/crates/entry/src/fleet/poll.rs
+++ b/crates/entry/src/fleet/poll.rs
@@ -7,8 +7,8 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use metrics::{counter, gauge};
 use policy::Tick;
-use policy::divide::owner;
-use policy::load::Report;
+use policy::divide::polling_host;
+use policy::load::LoadReport;
 use upstream::engine::EngineClient;
 
 use super::Fleet;
@@ -107,7 +107,7 @@
     let node = &entry.settings.node;
     let rows = index.rows.values().filter(|row| {
         let pollers = live.pollers(&row.spec.host.data_center);
-        owner(&row.spec.id, pollers) == Some(node)
+        polling_host(&row.spec.id, pollers) == Some(node)
     });
     rows.cloned().collect()
 }
@@ -121,7 +121,7 @@
         let now = entry.clock.now();
         match result {
             Ok(load) => {
-                let report = Report {
+                let report = LoadReport {
                     measured: now - Duration::from_millis(load.age_ms),
                     running: load.running,
                     waiting: load.waiting,
--- a/crates/entry/src/fleet/visit.rs
+++ b/crates/entry/src/fleet/visit.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use policy::Tick;
 use policy::prefix::Prefix;
-use policy::route::Without;
+use policy::route::Ablation;
 
 use super::Fleet;
 use super::index::Row;
@@ -99,7 +99,7 @@
             row.rates.lock().found(cached as f64 / words as f64);
         }
         // Judged is what was remembered, not what was left of it after the last judgement.
-        if self.fleet.rules.with(Without::CacheEvents) {
+        if self.fleet.rules.with(Ablation::CacheEvents) {
             row.member.state.lock().trust.counted(held, cached);
         }
     }
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -11,7 +11,7 @@
 use metrics::counter;
 use parking_lot::Mutex;
 use policy::Tick;
-use policy::life::{AnyLife, Lives, Sign};
+use policy::life::{AnyHostState, HostEvent, HostStates};
 use upstream::UpstreamError;
 use upstream::cloud::{CloudClient, Notice};
 use wire::entry::{self as wire_entry, HostSign};
@@ -31,25 +31,25 @@
 /// The lives of all hosts that signs have told about.
 #[derive(Debug, Default)]
 pub struct Hosts {
-    lives: Mutex<Lives>,
+    lives: Mutex<HostStates>,
 }
 
 impl Hosts {
     /// Takes in what another process or the cloud told; gives whether the host began to leave by it.
     pub fn hear(&self, sign: &HostSign, now: Tick) -> bool {
         let life = self.take(&sign.host, sign.incarnation, from_wire(sign.sign), now);
-        matches!(life, Some(AnyLife::Leaving(_)))
+        matches!(life, Some(AnyHostState::Leaving(_)))
     }
 
     /// Notes that an upstream on a host answered.
     pub fn answered(&self, host: &HostSpec, now: Tick) {
-        self.take(&host.id, host.incarnation, Sign::Answered, now);
+        self.take(&host.id, host.incarnation, HostEvent::Answered, now);
     }
 
     /// Notes that a call to an upstream on a host failed; only a connection that didn't stand tells about the host.
     pub fn failed(&self, host: &HostSpec, error: &UpstreamError, now: Tick) {
         if !error.connected {
-            self.take(&host.id, host.incarnation, Sign::Refused, now);
+            self.take(&host.id, host.incarnation, HostEvent::Refused, now);
         }
     }
 
@@ -61,7 +61,7 @@
 
     /// Gives the stage of a host.
     #[must_use]
-    pub fn stage(&self, host: &HostSpec) -> AnyLife {
+    pub fn stage(&self, host: &HostSpec) -> AnyHostState {
         self.lives.lock().stage(&host.id, host.incarnation)
     }
 
@@ -69,8 +69,8 @@
     #[must_use]
     pub fn any_ends(&self, now: Tick) -> bool {
         let lives = self.lives.lock();
-        let ends = |life: &AnyLife| match life {
-            AnyLife::Leaving(life) => life.gone_at().is_some_and(|at| now.since(at) < BOUND),
+        let ends = |life: &AnyHostState| match life {
+            AnyHostState::Leaving(life) => life.gone_at().is_some_and(|at| now.since(at) < BOUND),
             _ => false,
         };
         lives.iter().any(|(_, life)| ends(life))
@@ -86,7 +86,7 @@
         rows.collect()
     }
 
-    fn take(&self, host: &HostId, incarnation: u64, sign: Sign, now: Tick) -> Option<AnyLife> {
+    fn take(&self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
         let life = self.lives.lock().hear(host, incarnation, sign, now)?;
         counter!("gentian_host_stages_total", "stage" => life.to_string()).increment(1);
         Some(life)
@@ -95,8 +95,8 @@
     /// Forgets hosts that are in no configuration and need no memory of their end.
     fn forget(&self, known: &HashSet<&HostId>, now: Tick) {
         const MEMORY: Duration = Duration::from_hours(1);
-        let fresh = |life: &AnyLife| match life {
-            AnyLife::Leaving(life) => life.gone_at().is_none_or(|at| now.since(at) < MEMORY),
+        let fresh = |life: &AnyHostState| match life {
+            AnyHostState::Leaving(life) => life.gone_at().is_none_or(|at| now.since(at) < MEMORY),
             _ => false,
         };
         self.lives
@@ -117,7 +117,7 @@
         }
         let view = entry.current.view();
         for (host, incarnation) in &view.config.drains {
-            let sign = Sign::Leaves { left: None };
+            let sign = HostEvent::Leaves { left: None };
             entry.fleet.hosts.take(host, *incarnation, sign, entry.clock.now());
         }
         if looks.is_multiple_of(FORGET) {
@@ -152,13 +152,13 @@
     }
 }
 
-const fn from_wire(sign: wire_entry::Sign) -> Sign {
+const fn from_wire(sign: wire_entry::Sign) -> HostEvent {
     match sign {
-        wire_entry::Sign::Notice { left_ms } => Sign::Leaves {
+        wire_entry::Sign::Notice { left_ms } => HostEvent::Leaves {
             left: Some(Duration::from_millis(left_ms)),
         },
-        wire_entry::Sign::Leaving | wire_entry::Sign::Drain => Sign::Leaves { left: None },
-        wire_entry::Sign::Gone => Sign::Gone,
-        wire_entry::Sign::Serving => Sign::Answered,
+        wire_entry::Sign::Leaving | wire_entry::Sign::Drain => HostEvent::Leaves { left: None },
+        wire_entry::Sign::Gone => HostEvent::Gone,
+        wire_entry::Sign::Serving => HostEvent::Answered,
     }
 }
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -18,9 +18,9 @@
 use metrics::counter;
 use parking_lot::{Condvar, Mutex};
 use policy::Tick;
-use policy::life::AnyLife;
+use policy::life::AnyHostState;
 use policy::prefix::Prefix;
-use policy::rescue::{How, Rates, Stream, plan};
+use policy::rescue::{Rates, Stream, StreamAction, plan};
 
 use crate::Entry;
 use crate::settings::KvExport;
@@ -115,7 +115,7 @@
         let mut streams = Vec::new();
         for (id, one) in aboard.iter().filter(|(_, one)| one.stage == Stage::Riding) {
             // A host that is drained by an operator has no end, and its streams finish there.
-            if let AnyLife::Leaving(life) = hosts.stage(&one.spec.host)
+            if let AnyHostState::Leaving(life) = hosts.stage(&one.spec.host)
                 && let Some(gone_at) = life.gone_at()
             {
                 ids.push(id.clone());
@@ -133,12 +133,12 @@
         for (at, how) in steps {
             let Some(one) = aboard.get_mut(&ids[at]) else { continue };
             match how {
-                How::Replay => one.ask(None, How::Replay),
-                How::Export if busy.insert(one.spec.id.clone()) => {
+                StreamAction::Replay => one.ask(None, StreamAction::Replay),
+                StreamAction::Export if busy.insert(one.spec.id.clone()) => {
                     one.stage = Stage::Exporting;
                     copies.push(ids[at].clone());
                 }
-                How::Export | How::Finish => {}
+                StreamAction::Export | StreamAction::Finish => {}
             }
         }
         copies
--- a/crates/entry/src/rescue/copy.rs
+++ b/crates/entry/src/rescue/copy.rs
@@ -5,7 +5,7 @@
 use contract::{RequestId, UpstreamId, UpstreamKind, UpstreamSpec};
 use metrics::counter;
 use policy::prefix::Prefix;
-use policy::rescue::How;
+use policy::rescue::StreamAction;
 use policy::route::{Need, Target};
 use slog::warn;
 use upstream::kv::{Export, Exported};
@@ -140,7 +140,7 @@
 
 fn arrive(entry: &Entry, id: &RequestId, to: UpstreamId) {
     if let Some(one) = entry.rescue.aboard.lock().get_mut(id) {
-        one.ask(Some(to), How::Export);
+        one.ask(Some(to), StreamAction::Export);
     }
     entry.rescue.changed.notify_all();
 }
--- a/crates/entry/src/rescue/kept.rs
+++ b/crates/entry/src/rescue/kept.rs
@@ -5,7 +5,7 @@
 
 use contract::{RequestId, UpstreamId, UpstreamSpec};
 use policy::Tick;
-use policy::life::AnyLife;
+use policy::life::AnyHostState;
 use policy::prefix::Prefix;
 
 use crate::hosts::Hosts;
@@ -69,7 +69,7 @@
         let mut taken = Vec::new();
         let mut rest = VecDeque::with_capacity(self.answers.len());
         for kept in self.answers.drain(..) {
-            let AnyLife::Leaving(life) = hosts.stage(&kept.spec.host) else {
+            let AnyHostState::Leaving(life) = hosts.stage(&kept.spec.host) else {
                 rest.push_back(kept);
                 continue;
             };
--- a/crates/entry/src/rescue/ride.rs
+++ b/crates/entry/src/rescue/ride.rs
@@ -6,7 +6,7 @@
 
 use contract::{RequestId, UpstreamId, UpstreamSpec};
 use policy::Tick;
-use policy::rescue::{How, Stream};
+use policy::rescue::{Stream, StreamAction};
 
 use super::Rescue;
 use crate::journal::Journal;
@@ -41,7 +41,7 @@
     /// The engine that has its cache; `None` lets the attempt loop choose.
     pub to: Option<UpstreamId>,
     /// Whether its cache was moved.
-    pub how: How,
+    pub how: StreamAction,
 }
 
 /// An attempt that runs; it leaves the table when dropped.
@@ -102,7 +102,7 @@
     }
 
     /// Asks the attempt to end and says where the stream goes on.
-    pub(super) fn ask(&mut self, to: Option<UpstreamId>, how: How) {
+    pub(super) fn ask(&mut self, to: Option<UpstreamId>, how: StreamAction) {
         self.stage = Stage::Asked;
         self.to = Some(Move { to, how });
         self.asked.store(true, Ordering::SeqCst);
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -6,7 +6,7 @@
 use contract::setting;
 use contract::settings::{List, Setting, Sheet};
 use contract::{DataCenter, HostId, NodeId, Problems};
-use policy::route::{Routing, Without};
+use policy::route::{Ablation, Routing};
 use telemetry::log::Format;
 
 use crate::cli::Options;
@@ -213,7 +213,7 @@
     /// How an upstream is chosen.
     pub routing: Routing,
     /// Parts that routing by cost leaves out.
-    pub without: Vec<Without>,
+    pub without: Vec<Ablation>,
     /// Requests that run at once.
     pub running: usize,
     /// Requests that wait at most.
@@ -256,7 +256,7 @@
         }
         let peers = sheet.read::<List<SocketAddr>>(&PEERS, options.peers.as_deref());
         let routing = sheet.read(&ROUTING, options.routing.as_deref());
-        let without = sheet.read::<List<Without>>(&WITHOUT, options.without.as_deref());
+        let without = sheet.read::<List<Ablation>>(&WITHOUT, options.without.as_deref());
         let running = sheet.read(&RUNNING, options.running.as_deref());
         let running = sheet.check(&RUNNING, running, |count| some.contains(count));
         let waiting = sheet.read(&WAITING, options.waiting.as_deref());
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -4,7 +4,7 @@
 
 use metrics::counter;
 use policy::Tick;
-use policy::reach::Reach;
+use policy::reach::Reachability;
 use slog::info;
 use tokio::time::Instant;
 
@@ -28,7 +28,7 @@
     /// When it was sent.
     sent: Tick,
     /// What is heard of the upstream's data centre.
-    reach: Option<Rc<Reach>>,
+    reach: Option<Rc<Reachability>>,
     /// The upstream's announced end.
     notice: Rc<Notice>,
 }
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -6,7 +6,7 @@
 
 use contract::{Repeatable, Route};
 use metrics::counter;
-use policy::quota::Over;
+use policy::quota::OverQuota;
 use slog::info;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -214,7 +214,7 @@
     }
 
     /// Refuses a request that is over its account's quota.
-    fn over_quota(&self, over: &Over, account: Option<&str>, asked: &RequestInfo, keep: bool) -> NoService {
+    fn over_quota(&self, over: &OverQuota, account: Option<&str>, asked: &RequestInfo, keep: bool) -> NoService {
         let wait = Duration::from_secs_f64(over.wait_s.clamp(QUOTA_WAIT_S.0, QUOTA_WAIT_S.1));
         info!(self.gate.logger, "over quota"; "request" => &asked.id, "account" => account,
             "saved" => over.saved as i64, "rate" => over.rate as i64,
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use contract::KeyHash;
-use policy::place::Part;
+use policy::place::PromptPart;
 
 use crate::head::{Head, RequestLine, StatusLine};
 use crate::moving::KvCopy;
@@ -23,7 +23,7 @@
     /// Tokens of prompt and answer.
     pub tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// Size of a generation.
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -11,7 +11,7 @@
 use jsonrpsee::http_client::HttpClient;
 use metrics::{counter, gauge, histogram};
 use parking_lot::Mutex;
-use policy::sources::Sources;
+use policy::sources::NodeSelector;
 use slog::{info, warn};
 use wire::Envelope;
 use wire::catalog::{CatalogRpcClient, Followed};
@@ -37,7 +37,7 @@
     calls: Calls,
     known: Arc<Mutex<Known>>,
     mirror: Mirror,
-    sources: Sources,
+    sources: NodeSelector,
     client: Option<(SocketAddr, HttpClient)>,
     /// Newest version that the node asked last has told.
     told: u64,
@@ -64,7 +64,7 @@
             calls,
             known,
             mirror: Mirror::default(),
-            sources: Sources::new(turn),
+            sources: NodeSelector::new(turn),
             client: None,
             told: 0,
             failed: 0,
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -13,8 +13,8 @@
 use parking_lot::Mutex;
 use policy::Tick;
 use policy::parts::Slack;
-use policy::quota::{Bucket, Over};
-use policy::retries::{Bounds, Repeats};
+use policy::quota::{Bucket, OverQuota};
+use policy::retries::{RetryBounds, RetryWindow};
 use policy::rollout;
 use slog::Logger;
 use telemetry::Clock;
@@ -88,7 +88,7 @@
     /// Its data centre.
     pub zone: Zone,
     /// Bounds of repeated sends.
-    pub repeats: Bounds,
+    pub repeats: RetryBounds,
     /// Units that may pass beyond an account's quota.
     pub slack: Slack,
     /// Length of a window of usage.
@@ -115,7 +115,7 @@
     pub began: RefCell<Began>,
     lender: QuotaBorrower,
     buckets: RefCell<HashMap<String, Bucket>>,
-    repeats: RefCell<HashMap<ServiceName, Repeats>>,
+    repeats: RefCell<HashMap<ServiceName, RetryWindow>>,
     loads: RefCell<BTreeMap<String, ServiceLoad>>,
     readings: RefCell<BTreeMap<String, Average>>,
     lines: RefCell<Bucket>,
@@ -225,7 +225,7 @@
     ///
     /// # Errors
     /// Tells how long it would have to wait when there is no room for it.
-    pub async fn admit(&self, account: &ClientAccount, asked: &RequestInfo) -> Result<f64, Over> {
+    pub async fn admit(&self, account: &ClientAccount, asked: &RequestInfo) -> Result<f64, OverQuota> {
         let Some(quota) = account.quota else {
             return Ok(0.0);
         };
@@ -246,7 +246,7 @@
         }
     }
 
-    fn take(&self, account: &ClientAccount, quota: &Quota, units: f64, how: Take) -> Result<(), Over> {
+    fn take(&self, account: &ClientAccount, quota: &Quota, units: f64, how: Take) -> Result<(), OverQuota> {
         let now = self.clock.now();
         let part = self.part();
         let mut buckets = self.buckets.borrow_mut();
--- a/crates/gateway/src/learnt.rs
+++ b/crates/gateway/src/learnt.rs
@@ -7,7 +7,7 @@
 use contract::ServiceName;
 use metrics::gauge;
 use policy::Tick;
-use policy::pace::Rates;
+use policy::pace::EngineRates;
 use slog::{Logger, info};
 
 use crate::upstreams::Upstreams;
@@ -20,7 +20,7 @@
 /// What was logged last of each service.
 #[derive(Debug, Default)]
 pub(crate) struct Learnt {
-    told: RefCell<HashMap<ServiceName, (Tick, Rates)>>,
+    told: RefCell<HashMap<ServiceName, (Tick, EngineRates)>>,
 }
 
 impl Learnt {
@@ -31,7 +31,7 @@
             gauge!("gentian_gateway_read_tokens_per_ms", "service" => name.clone()).set(1.0 / rates.token_ms);
             gauge!("gentian_gateway_run_ms", "service" => name).set(rates.run_ms);
             let mut told = self.told.borrow_mut();
-            let before = told.entry(service.clone()).or_insert((now, Rates::default()));
+            let before = told.entry(service.clone()).or_insert((now, EngineRates::default()));
             if now.since(before.0) < PAUSE || !differs(&before.1, &rates) {
                 continue;
             }
@@ -42,7 +42,7 @@
     }
 }
 
-fn differs(a: &Rates, b: &Rates) -> bool {
+fn differs(a: &EngineRates, b: &EngineRates) -> bool {
     let moved = |a: f64, b: f64| (a / b).ln().abs() > CHANGED;
     moved(a.token_ms, b.token_ms) || moved(a.pairs_ms, b.pairs_ms) || moved(a.run_ms, b.run_ms)
 }
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -5,7 +5,7 @@
 
 use contract::Listed;
 use policy::Tick;
-use policy::paging::Paging;
+use policy::paging::PageSize;
 use wire::registry::{Beat, ListMark, ListNews};
 
 /// Bytes that an entry takes in an answer, rounded up.
@@ -23,7 +23,7 @@
     arriving: Option<Entries>,
     complete: bool,
     changed: bool,
-    paging: Paging,
+    paging: PageSize,
 }
 
 impl Listing {
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -5,7 +5,7 @@
 
 use contract::Delta;
 use derive_more::{Display, Error};
-use policy::paging::Paging;
+use policy::paging::PageSize;
 use wire::catalog::{Follow, Followed, Part, Resume, Transfer};
 
 use crate::table::Table;
@@ -54,7 +54,7 @@
 pub struct Mirror {
     table: Option<Arc<Table>>,
     partial: Option<Partial>,
-    paging: Paging,
+    paging: PageSize,
     /// Version that was the newest when the first transfer began. Before, the copy is older than what others serve.
     goal: Option<u64>,
 }
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -12,9 +12,9 @@
 use contract::EngineSpec;
 use derive_more::{Display, Error};
 use metrics::counter;
-use policy::pace::{self, Reading};
-use policy::place::Predicted;
-use policy::rescue::{How, MOST_FAILURES, Rates, Stream, plan};
+use policy::pace::{self, PrefillWork};
+use policy::place::Prediction;
+use policy::rescue::{MAX_COPY_FAILURES, Rates, Stream, StreamAction, plan};
 use slog::info;
 use tokio::time::{Sleep, sleep, timeout};
 
@@ -182,7 +182,7 @@
         self.failed += 1;
         info!(gate.logger, "stream not moved"; "request" => &request.asked.id, "upstream" => &self.from.id,
             "error" => %error, "failed" => self.failed);
-        if matches!(step, Step::Copying(..)) && self.failed < MOST_FAILURES {
+        if matches!(step, Step::Copying(..)) && self.failed < MAX_COPY_FAILURES {
             self.begin(request, gate, events);
         }
     }
@@ -206,7 +206,9 @@
         let stream = self.stream(request, gate, events, left);
         let engine = gate.engine(&request.service).unwrap_or_default();
         let how = how(&stream, engine, gate.upstreams.borrow().rates(&request.service));
-        let to = (how == How::Export).then(|| self.target(request, gate)).flatten();
+        let to = (how == StreamAction::Export)
+            .then(|| self.target(request, gate))
+            .flatten();
         let to_id = to.as_ref().map(|to| to.id.clone());
         info!(gate.logger, "upstream ends"; "request" => &request.asked.id, "upstream" => &self.from.id,
             "left_ms" => left.as_millis() as u64, "how" => %how, "to" => to_id, "events" => events.count());
@@ -232,11 +234,11 @@
         }
         // The copy brings everything that was read.
         let whole = request.asked.parts.iter().map(|part| part.tokens).sum();
-        let reading = Reading {
+        let reading = PrefillWork {
             cached: whole,
             fresh: 0,
         };
-        let predicted = Predicted {
+        let predicted = Prediction {
             reading_ms: 0.0,
             ..chosen.predicted
         };
@@ -283,12 +285,14 @@
 }
 
 /// Decides what becomes of a stream whose upstream ends.
-fn how(stream: &Stream<()>, engine: EngineSpec, learnt: pace::Rates) -> How {
+fn how(stream: &Stream<()>, engine: EngineSpec, learnt: pace::EngineRates) -> StreamAction {
     let rates = Rates {
         export: copy_time(&engine, 1),
         prefill: Duration::from_secs_f64(learnt.token_ms / 1_000.0),
     };
-    plan(&[*stream], &rates).first().map_or(How::Finish, |(_, how)| *how)
+    plan(&[*stream], &rates)
+        .first()
+        .map_or(StreamAction::Finish, |(_, how)| *how)
 }
 
 /// Gives the time to copy the cache of so many tokens to another data centre, if engines can.
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -10,10 +10,10 @@
 
 use contract::{Listed, ServiceName, Zone};
 use policy::Tick;
-use policy::homes::{Uses, believe_home};
-use policy::pace::{Pace, Rates, Reading};
-use policy::place::{Candidate, Part, Predicted, Wish, choose};
-use policy::reach::Reach;
+use policy::homes::{PartUsage, assume_home_cached};
+use policy::pace::{EngineRates, PrefillWork, SpeedEstimate};
+use policy::place::{Candidate, Prediction, PromptNeed, PromptPart, choose};
+use policy::reach::Reachability;
 use wire::registry::Sign;
 
 pub use upstream::Upstream;
@@ -29,11 +29,11 @@
 #[derive(Debug, Default)]
 pub struct Upstreams {
     all: HashMap<String, Upstream>,
-    zones: HashMap<Zone, Rc<Reach>>,
+    zones: HashMap<Zone, Rc<Reachability>>,
     /// How fast the upstreams of a service read prompts.
-    paces: HashMap<ServiceName, Rc<RefCell<Pace>>>,
+    paces: HashMap<ServiceName, Rc<RefCell<SpeedEstimate>>>,
     /// How often prompts share their parts.
-    uses: Uses,
+    uses: PartUsage,
     /// When the newest list was asked for.
     pub listed: Option<Tick>,
 }
@@ -44,7 +44,7 @@
     /// The service.
     pub service: &'a ServiceName,
     /// Parts of the prompt.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptPart],
     /// Incarnations that were tried already.
     pub tried: &'a [String],
     /// Own data centre.
@@ -58,9 +58,9 @@
 }
 
 impl Need<'_> {
-    fn wish(&self) -> Wish {
+    fn wish(&self) -> PromptNeed {
         let paced = (self.pause_ms > 0).then_some(self.pause_ms as f64);
-        Wish {
+        PromptNeed {
             tokens: self.tokens(),
             pause_ms: paced.unwrap_or(f64::INFINITY),
         }
@@ -78,7 +78,7 @@
 }
 
 /// Gives the key of the innermost part that others share, by which the home of a prompt is found.
-fn lead(parts: &[Part]) -> u64 {
+fn lead(parts: &[PromptPart]) -> u64 {
     let at = parts.len().saturating_sub(2);
     parts.get(at).map_or(0, |part| part.key)
 }
@@ -91,11 +91,11 @@
     /// Where it answers.
     pub address: SocketAddr,
     /// What was predicted.
-    pub predicted: Predicted,
+    pub predicted: Prediction,
     /// Load that the prediction rests on.
     pub load: f64,
     /// What the prompt is believed to ask of it.
-    pub reading: Reading,
+    pub reading: PrefillWork,
 }
 
 /// Why no upstream was chosen.
@@ -155,7 +155,7 @@
         let candidates = all.map(|(at, upstream)| upstream.candidate(at, lead, need, now));
         let mut candidates: Vec<Candidate> = candidates.filter(|one| one.load < one.slots * QUEUE).collect();
         let others = need.entries.saturating_sub(1);
-        believe_home(&mut candidates, need.shared_tokens(), |home| {
+        assume_home_cached(&mut candidates, need.shared_tokens(), |home| {
             let there = now.since(open[home.at].since).min(self.uses.span(now));
             self.uses.read_by_others(lead, others, there, now)
         });
@@ -169,7 +169,7 @@
             address: chosen.listed.address,
             predicted,
             load: candidate.map_or(0.0, |one| one.load),
-            reading: candidate.map_or_else(Reading::default, |one| one.reading(need.tokens())),
+            reading: candidate.map_or_else(PrefillWork::default, |one| one.reading(need.tokens())),
         })
     }
 
@@ -226,14 +226,14 @@
     }
 
     /// Notes that a prompt is sent.
-    pub fn note_use(&mut self, parts: &[Part], now: Tick) {
+    pub fn note_use(&mut self, parts: &[PromptPart], now: Tick) {
         if parts.len() > 1 {
             self.uses.note(lead(parts), now);
         }
     }
 
     /// Gives the services of which something may have been learnt, with what it is.
-    pub fn learnt(&self) -> impl Iterator<Item = (&ServiceName, Rates)> {
+    pub fn learnt(&self) -> impl Iterator<Item = (&ServiceName, EngineRates)> {
         self.paces
             .iter()
             .map(|(service, pace)| (service, pace.borrow().rates()))
@@ -241,9 +241,9 @@
 
     /// Gives what has been learnt of the upstreams of a service.
     #[must_use]
-    pub fn rates(&self, service: &ServiceName) -> Rates {
+    pub fn rates(&self, service: &ServiceName) -> EngineRates {
         let pace = self.paces.get(service);
-        pace.map_or_else(Rates::default, |pace| pace.borrow().rates())
+        pace.map_or_else(EngineRates::default, |pace| pace.borrow().rates())
     }
 
     /// Gives an upstream.
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -6,12 +6,12 @@
 
 use contract::Listed;
 use policy::Tick;
-use policy::backlog::{Backlog, Sent};
+use policy::backlog::{Backlog, SentRequest};
 use policy::breaker::Breaker;
-use policy::load::{LoadEstimate, Report};
-use policy::pace::{Own, Pace};
-use policy::place::{Cached, Candidate, Part};
-use policy::reach::Reach;
+use policy::load::{LoadEstimate, LoadReport};
+use policy::pace::{RelativeSpeed, SpeedEstimate};
+use policy::place::{CachedParts, Candidate, PromptPart};
+use policy::reach::Reachability;
 use wire::registry::Sign;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -36,7 +36,7 @@
     pub listed: Listed,
     load: LoadEstimate,
     pub(super) breaker: Breaker,
-    cached: Cached,
+    cached: CachedParts,
     /// Own requests there.
     own: u32,
     /// Hash of its name, for the homes of prompts.
@@ -51,10 +51,10 @@
     /// Until when requests of other entry hosts are taken to be overdue there.
     pub(super) overdue_until: Tick,
     /// What is learnt of its service's upstreams, and how it differs from them.
-    pace: Rc<RefCell<Pace>>,
-    relative: Own,
+    pace: Rc<RefCell<SpeedEstimate>>,
+    relative: RelativeSpeed,
     /// What is heard of its data centre.
-    pub(super) reach: Rc<Reach>,
+    pub(super) reach: Rc<Reachability>,
     /// It said that it is another incarnation.
     pub(super) gone: bool,
     /// Its announced end.
@@ -62,17 +62,21 @@
 }
 
 impl Upstream {
-    pub(super) fn new(listed: Listed, (reach, pace): (Rc<Reach>, Rc<RefCell<Pace>>), since: Tick) -> Self {
+    pub(super) fn new(
+        listed: Listed,
+        (reach, pace): (Rc<Reachability>, Rc<RefCell<SpeedEstimate>>),
+        since: Tick,
+    ) -> Self {
         Self {
             reach,
             pace,
-            relative: Own::default(),
+            relative: RelativeSpeed::default(),
             since,
             hash: xxh3_64(listed.id.as_bytes()),
             listed,
             load: LoadEstimate::default(),
             breaker: Breaker::default(),
-            cached: Cached::default(),
+            cached: CachedParts::default(),
             own: 0,
             backlog: Backlog::default(),
             sight: None,
@@ -109,9 +113,9 @@
 
     /// Notes that a request is sent; with a prompt, its parts will be cached. Gives the number under which it waits for
     /// its first event.
-    pub fn sent(&mut self, parts: &[Part], chosen: &ChosenUpstream, now: Tick) -> u64 {
+    pub fn sent(&mut self, parts: &[PromptPart], chosen: &ChosenUpstream, now: Tick) -> u64 {
         let alone = self.before_ms(now) < LITTLE_MS && chosen.load < f64::from(self.listed.slots) * ALONE;
-        let sent = Sent {
+        let sent = SentRequest {
             reading: chosen.reading,
             reading_ms: chosen.predicted.reading_ms,
             predicted_ms: chosen.predicted.ms,
@@ -157,7 +161,7 @@
 
     /// Gives what is heard of its data centre.
     #[must_use]
-    pub fn reach(&self) -> Rc<Reach> {
+    pub fn reach(&self) -> Rc<Reachability> {
         Rc::clone(&self.reach)
     }
 
@@ -187,7 +191,7 @@
     }
 
     pub(super) fn note_load(&mut self, running: u32, waiting: u32, measured: Tick) {
-        self.load.report(Report {
+        self.load.report(LoadReport {
             measured,
             running,
             waiting,
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -17,7 +17,7 @@
 use load::trial::process::free_address;
 use policy::Tick;
 use policy::parts::Slack;
-use policy::retries::Bounds;
+use policy::retries::RetryBounds;
 use slog::{Discard, Logger, o};
 use telemetry::Clock;
 use wire::registry::Parts;
@@ -113,7 +113,7 @@
         let work = move || {
             let place = HostSettings {
                 zone: Zone::from("z"),
-                repeats: Bounds {
+                repeats: RetryBounds {
                     ratio: 0.2,
                     extra: 50.0,
                     window: Duration::from_secs(10),
--- a/crates/gateway/tests/fleet/engine.rs
+++ b/crates/gateway/tests/fleet/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use policy::place::Part;
+use policy::place::PromptPart;
 
 /// Milliseconds of a step without a prompt; the users' sheets give 3.8 and 4.2.
 const STEP_MS: f64 = 4.2;
@@ -27,7 +27,7 @@
     /// Number of the request.
     pub number: usize,
     /// Its prompt.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// Prompt tokens that are to be read.
     pub unread: u64,
     /// Prompt tokens that were read or found.
@@ -63,7 +63,7 @@
 
 impl Engine {
     /// Takes a request.
-    pub fn take(&mut self, number: usize, parts: Vec<Part>, left: u64) {
+    pub fn take(&mut self, number: usize, parts: Vec<PromptPart>, left: u64) {
         self.waiting.push_back(Job {
             number,
             parts,
@@ -132,7 +132,7 @@
 
     /// Finds what is kept of a prompt.
     fn look_up(&mut self, job: &mut Job) {
-        let held = |part: &&Part| self.kept.iter().any(|(key, _)| *key == part.key);
+        let held = |part: &&PromptPart| self.kept.iter().any(|(key, _)| *key == part.key);
         let found: u64 = job.parts.iter().take_while(held).map(|part| part.tokens).sum();
         let all: u64 = job.parts.iter().map(|part| part.tokens).sum();
         let shared: u64 = job.parts.iter().rev().skip(1).map(|part| part.tokens).sum();
@@ -147,7 +147,7 @@
 }
 
 /// Notes a part as used last; the others make room.
-fn keep(kept: &mut VecDeque<(u64, u64)>, part: Part) {
+fn keep(kept: &mut VecDeque<(u64, u64)>, part: PromptPart) {
     kept.retain(|(key, _)| *key != part.key);
     kept.push_back((part.key, part.tokens));
     let mut sum: u64 = kept.iter().map(|(_, tokens)| tokens).sum();
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -11,7 +11,7 @@
 use gateway::dialect::ReportedLoad as ResponseInfo;
 use gateway::upstreams::{ChosenUpstream, Need, Upstreams};
 use policy::Tick;
-use policy::place::Part;
+use policy::place::PromptPart;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::registry::{EntryRegistry, SharedLimits};
@@ -271,18 +271,18 @@
         self.push(now_ms + self.load.beat_s * 1_000.0, Event::Beat(host));
     }
 
-    fn parts(&mut self, kind: usize, what: &Kind) -> Vec<Part> {
+    fn parts(&mut self, kind: usize, what: &Kind) -> Vec<PromptPart> {
         let thing = self.rng.random_range(0..what.shared[1].1);
         let mut parts = Vec::new();
         for (mean, things) in what.shared {
             // Each inner part belongs to one outer part.
             let key = ((kind as u64 + 1) * 10 + parts.len() as u64) * 1_000_003 + thing % things;
             let tokens = (mean * (0.5 + (key % 101) as f64 / 100.0)) as u64;
-            parts.push(Part { key, tokens });
+            parts.push(PromptPart { key, tokens });
         }
         let key = self.rng.random();
         let tokens = self.size(what.own).max(16);
-        parts.push(Part { key, tokens });
+        parts.push(PromptPart { key, tokens });
         parts
     }
 
--- a/crates/gateway/tests/worst_load.rs
+++ b/crates/gateway/tests/worst_load.rs
@@ -6,7 +6,7 @@
 use fleet::{Kind, Load, Outcome, replay};
 use gateway::upstreams::{Need, Upstreams};
 use policy::Tick;
-use policy::place::Part;
+use policy::place::PromptPart;
 use wire::registry::Sign;
 
 /// Two fifths of a large deployment in a wave of reclaims: long plans, questions and notices.
@@ -68,7 +68,7 @@
 #[test]
 fn overdue_elsewhere() {
     let mut host = two_upstreams();
-    let parts = [Part { key: 1, tokens: 400 }];
+    let parts = [PromptPart { key: 1, tokens: 400 }];
     let first = choose(&host, &parts);
     let sign = Sign {
         id: first.clone(),
@@ -92,11 +92,11 @@
     host
 }
 
-fn choose(host: &Upstreams, parts: &[Part]) -> String {
+fn choose(host: &Upstreams, parts: &[PromptPart]) -> String {
     choose_at(host, parts, at(1_000))
 }
 
-fn choose_at(host: &Upstreams, parts: &[Part], now: Tick) -> String {
+fn choose_at(host: &Upstreams, parts: &[PromptPart], now: Tick) -> String {
     let need = Need {
         service: &ServiceName::from("m"),
         parts,
--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -11,8 +11,8 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use policy::Tick;
 use policy::fair::Ticket;
-use policy::lane::Lane;
-use policy::limits::{Amounts, Peer, Share, part_of};
+use policy::lane::AdmissionQueue;
+use policy::limits::{CustomerShare, LimitAmounts, PeerDemand, owned_part};
 
 fn ticket(id: u64, customers: u64) -> Ticket {
     Ticket {
@@ -29,7 +29,7 @@
 fn admission(c: &mut Criterion) {
     let mut group = c.benchmark_group("admit");
     for waiting in [10, 1_000] {
-        let mut lane = Lane::new(16, waiting, false);
+        let mut lane = AdmissionQueue::new(16, waiting, false);
         for id in 0..waiting as u64 + 16 {
             // Some are refused; the queue is full in the end.
             let _ = lane.offer(ticket(id, 10), Tick::default());
@@ -58,21 +58,21 @@
     let mut group = c.benchmark_group("split");
     for hosts in [8, 390] {
         let now = Tick::from_millis(10_000);
-        let mut share = Share::new(false, Tick::default());
+        let mut share = CustomerShare::new(false, Tick::default());
         for peer in 1..hosts {
-            let wanted = Amounts::from([f64::from(peer % 30), f64::from(peer % 30) * 400.0, f64::from(peer % 90)]);
-            let told = Peer {
+            let wanted = LimitAmounts::from([f64::from(peer % 30), f64::from(peer % 30) * 400.0, f64::from(peer % 90)]);
+            let told = PeerDemand {
                 wanted,
                 running: wanted.running,
             };
             share.hear(peer, told, now);
         }
-        let part = part_of(&LIMITS, hosts, 0);
+        let part = owned_part(&LIMITS, hosts, 0);
         let mut peer = 0;
         group.bench_function(BenchmarkId::from_parameter(hosts), |b| {
             b.iter(|| {
                 peer = peer % (hosts - 1) + 1;
-                let own = Amounts::from([1.0, 400.0, 3.0]);
+                let own = LimitAmounts::from([1.0, 400.0, 3.0]);
                 black_box(share.grant(peer, part, own, now));
                 black_box(share.usable(part, now))
             });
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -10,9 +10,9 @@
 use contract::{MachineClass, UpstreamId};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use policy::Tick;
-use policy::load::{LoadEstimate, Report};
-use policy::prefix::{History, Prefix};
-use policy::route::{Candidate, Group, Need, Place, Rates, Rules, choose};
+use policy::load::{LoadEstimate, LoadReport};
+use policy::prefix::{Prefix, PrefixIndex};
+use policy::route::{Candidate, Group, GroupMember, Need, Rates, Rules, choose};
 
 const EXPIRY: Duration = Duration::from_secs(3);
 
@@ -20,7 +20,7 @@
     ids: Vec<UpstreamId>,
     group: Group,
     loads: Vec<LoadEstimate>,
-    history: History,
+    history: PrefixIndex,
 }
 
 fn prompt(seed: usize, words: usize) -> Prefix {
@@ -30,13 +30,13 @@
 
 fn fleet(count: u32) -> Fleet {
     let ids: Vec<UpstreamId> = (0..count).map(|number| format!("engine-{number}").into()).collect();
-    let place = |number: u32| Place {
+    let place = |number: u32| GroupMember {
         number,
         id: ids[number as usize].clone(),
         near: number.is_multiple_of(8),
     };
     let group = Group::new((0..count).map(place).collect());
-    let mut history = History::new(256 * 1024);
+    let mut history = PrefixIndex::new(256 * 1024);
     for seed in 0..2_000 {
         history.store(
             &prompt(seed, 1_600),
@@ -46,10 +46,10 @@
     }
     let load = |number: u32| {
         let mut load = LoadEstimate::default();
-        load.report(Report {
+        load.report(LoadReport {
             measured: Tick::from_millis(2_000),
             running: number % 16,
-            ..Report::default()
+            ..LoadReport::default()
         });
         (0..8).for_each(|at| load.sent(Tick::from_millis(1_996 + at)));
         load
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 use crate::Tick;
-use crate::pace::Reading;
+use crate::pace::PrefillWork;
 
 /// Longest that a request without a first event is taken for a sign of a backlog; one that waits longer has got lost.
 const LONGEST_WAIT: Duration = Duration::from_secs(3);
 
 /// A request that was sent, with what was expected of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sent {
+pub struct SentRequest {
     /// What its prompt asks of the upstream.
-    pub reading: Reading,
+    pub reading: PrefillWork,
     /// Milliseconds in which the prompt is read.
     pub reading_ms: f64,
     /// Milliseconds until its answer was predicted to begin.
@@ -24,9 +24,9 @@
 
 /// A request that got its first event.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Begun {
+pub struct FirstEvent {
     /// What was expected.
-    pub sent: Sent,
+    pub sent: SentRequest,
     /// Milliseconds since it was sent.
     pub seen_ms: f64,
 }
@@ -40,13 +40,13 @@
     /// When the prompts that were sent will have been read.
     read_at: Tick,
     /// Requests without a first event, and when they were sent.
-    waiting: HashMap<u64, (Tick, Sent)>,
+    waiting: HashMap<u64, (Tick, SentRequest)>,
     next: u64,
 }
 
 impl Backlog {
     /// Notes a request; gives the number under which it waits.
-    pub fn sent(&mut self, sent: Sent, now: Tick) -> u64 {
+    pub fn sent(&mut self, sent: SentRequest, now: Tick) -> u64 {
         self.read_at = self.read_at.max(now) + Duration::from_secs_f64(sent.reading_ms / 1_000.0);
         self.next += 1;
         self.waiting.insert(self.next, (now, sent));
@@ -54,10 +54,10 @@
     }
 
     /// Notes that a request got its first event; gives what was expected of it and what came, the first time.
-    pub fn begun(&mut self, number: u64, now: Tick) -> Option<Begun> {
+    pub fn begun(&mut self, number: u64, now: Tick) -> Option<FirstEvent> {
         let (at, sent) = self.waiting.remove(&number)?;
         let seen_ms = now.since(at).as_secs_f64() * 1_000.0;
-        Some(Begun { sent, seen_ms })
+        Some(FirstEvent { sent, seen_ms })
     }
 
     /// Notes that a request ended without one.
@@ -81,7 +81,7 @@
     /// silent.
     #[must_use]
     pub fn overdue_ms(&self, now: Tick) -> f64 {
-        let longer = |(at, sent): &(Tick, Sent)| {
+        let longer = |(at, sent): &(Tick, SentRequest)| {
             let waited = now.since(*at);
             (waited < LONGEST_WAIT).then_some(waited.as_secs_f64() * 1_000.0 - sent.predicted_ms)
         };
--- a/crates/policy/src/cache.rs
+++ b/crates/policy/src/cache.rs
@@ -65,7 +65,7 @@
 
 /// How far the belief in an engine's cached blocks is to be trusted, from 1 down to a little.
 #[derive(Clone, Copy, Debug)]
-pub struct Trust(f64);
+pub struct CacheTrust(f64);
 
 /// What a gap in which everything was lost takes from the trust.
 ///
@@ -77,13 +77,13 @@
 /// The least trust; a little is kept, so that an engine can show by its counts that it has earned more.
 const LEAST: f64 = 0.1;
 
-impl Default for Trust {
+impl Default for CacheTrust {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl Trust {
+impl CacheTrust {
     /// Gives the share of the believed words that are likely to be there.
     #[must_use]
     pub const fn share(self) -> f64 {
--- a/crates/policy/src/divide.rs
+++ b/crates/policy/src/divide.rs
@@ -8,7 +8,7 @@
 
 /// Gives the host that polls an upstream.
 #[must_use]
-pub fn owner<'a>(upstream: &UpstreamId, hosts: impl IntoIterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
+pub fn polling_host<'a>(upstream: &UpstreamId, hosts: impl IntoIterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
     let salt = xxh3_64_with_seed(upstream.as_str().as_bytes(), 0);
     let weight = |host: &&NodeId| (xxh3_64_with_seed(host.as_str().as_bytes(), salt), host.as_str().len());
     hosts.into_iter().max_by_key(weight)
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -26,7 +26,7 @@
 
 /// Why a request was refused; it was not run.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum Refused {
+pub enum RefusalReason {
     /// The queue holds as many requests as it may.
     #[display("the queue is full")]
     QueueFull,
@@ -93,12 +93,12 @@
     ///
     /// # Errors
     /// Refuses the request when it is too late already or is the victim itself.
-    pub fn push(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, Refused> {
+    pub fn push(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, RefusalReason> {
         if ticket.latest < now {
-            return Err(Refused::TooLate);
+            return Err(RefusalReason::TooLate);
         }
         let shed = if self.length >= self.bound {
-            Some(self.shed_for(&ticket).ok_or(Refused::QueueFull)?)
+            Some(self.shed_for(&ticket).ok_or(RefusalReason::QueueFull)?)
         } else {
             None
         };
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -32,7 +32,7 @@
 
 /// What there is in one data centre.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Present {
+pub struct ZoneSupply {
     /// On-demand upstreams that are ready, or ordered and starting.
     pub on_demand: u32,
     /// Reclaimable ones that are ready.
@@ -47,7 +47,7 @@
 
 /// What there shall be in one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct ZoneTarget {
     /// On-demand upstreams.
     pub on_demand: u32,
     /// Reclaimable ones.
@@ -58,7 +58,7 @@
 ///
 /// The count of requests alone says too little: with long prompts an upstream is full while few run there.
 #[must_use]
-pub fn needed(running: f64, busy: f64, slots: u32) -> f64 {
+pub fn upstreams_needed(running: f64, busy: f64, slots: u32) -> f64 {
     let reading = busy / READING;
     // Under too much load requests pile up. Upstreams that are ordered for the pile start when it is gone.
     let piled = BACKLOG.0 * reading + BACKLOG.1;
@@ -68,13 +68,14 @@
 
 /// Plans the upstreams of a service of which so many are needed.
 #[must_use]
-pub fn plan(present: &BTreeMap<Zone, Present>, scaling: &Scaling, needed: f64) -> BTreeMap<Zone, Wanted> {
+pub fn plan(present: &BTreeMap<Zone, ZoneSupply>, scaling: &Scaling, needed: f64) -> BTreeMap<Zone, ZoneTarget> {
     let zones = by_price(present, scaling);
     let needed = (needed.ceil() as u32).max(FEWEST);
     if scaling.spot_price >= 1.0 {
         return all_on_demand(&zones, scaling, needed);
     }
-    let mut wanted: BTreeMap<Zone, Wanted> = zones.iter().map(|zone| (zone.clone(), Wanted::default())).collect();
+    let mut wanted: BTreeMap<Zone, ZoneTarget> =
+        zones.iter().map(|zone| (zone.clone(), ZoneTarget::default())).collect();
     spread_reclaimable(&mut wanted, &zones, scaling, needed);
     let dry = present.values().any(|there| there.dry);
     if dry {
@@ -111,14 +112,14 @@
 ///
 /// What is ordered when one goes starts seconds too late for the next. Where data centres go three seconds after one another
 /// and an upstream starts in four, the next two are gone by then.
-fn soon_lost(present: &BTreeMap<Zone, Present>) -> u32 {
+fn soon_lost(present: &BTreeMap<Zone, ZoneSupply>) -> u32 {
     let mut counts: Vec<u32> = present.values().map(|there| there.reclaimable).collect();
     counts.sort_unstable_by(|a, b| b.cmp(a));
     let pace = present.values().filter(|there| there.reclaimed).count().max(1);
     counts.iter().take(pace).sum()
 }
 
-fn by_price(present: &BTreeMap<Zone, Present>, scaling: &Scaling) -> Vec<Zone> {
+fn by_price(present: &BTreeMap<Zone, ZoneSupply>, scaling: &Scaling) -> Vec<Zone> {
     let known = present.keys().chain(scaling.prices.keys());
     let mut zones: Vec<Zone> = known.cloned().collect();
     zones.sort();
@@ -128,7 +129,7 @@
     zones
 }
 
-fn spread_reclaimable(wanted: &mut BTreeMap<Zone, Wanted>, zones: &[Zone], scaling: &Scaling, needed: u32) {
+fn spread_reclaimable(wanted: &mut BTreeMap<Zone, ZoneTarget>, zones: &[Zone], scaling: &Scaling, needed: u32) {
     let total = (f64::from(needed) * SPARE).ceil() as u32;
     for at in 0..total.max(zones.len() as u32) {
         let zone = &zones[at as usize % zones.len()];
@@ -143,7 +144,7 @@
 
 /// Gives up no reclaimable upstream while others can't be had: a lower load for a moment would cost what can't be replaced.
 /// Where they can't be had, their places are left for on-demand ones.
-fn keep_reclaimable(wanted: &mut BTreeMap<Zone, Wanted>, present: &BTreeMap<Zone, Present>) {
+fn keep_reclaimable(wanted: &mut BTreeMap<Zone, ZoneTarget>, present: &BTreeMap<Zone, ZoneSupply>) {
     for (zone, there) in wanted {
         let Some(held) = present.get(zone) else {
             continue;
@@ -157,7 +158,12 @@
 }
 
 /// Adds on-demand upstreams, the cheapest data centre with room first and one after the other.
-fn place(wanted: &mut BTreeMap<Zone, Wanted>, count: u32, zones: &[Zone], room: impl Fn(&Zone, &Wanted) -> bool) {
+fn place(
+    wanted: &mut BTreeMap<Zone, ZoneTarget>,
+    count: u32,
+    zones: &[Zone],
+    room: impl Fn(&Zone, &ZoneTarget) -> bool,
+) {
     for _ in 0..count {
         let open = zones
             .iter()
@@ -170,8 +176,9 @@
     }
 }
 
-fn all_on_demand(zones: &[Zone], scaling: &Scaling, needed: u32) -> BTreeMap<Zone, Wanted> {
-    let mut wanted: BTreeMap<Zone, Wanted> = zones.iter().map(|zone| (zone.clone(), Wanted::default())).collect();
+fn all_on_demand(zones: &[Zone], scaling: &Scaling, needed: u32) -> BTreeMap<Zone, ZoneTarget> {
+    let mut wanted: BTreeMap<Zone, ZoneTarget> =
+        zones.iter().map(|zone| (zone.clone(), ZoneTarget::default())).collect();
     for there in wanted.values_mut() {
         there.on_demand = scaling.min;
     }
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -17,7 +17,7 @@
 
 /// How often this entry host sends prompts by their innermost shared part.
 #[derive(Clone, Debug, Default)]
-pub struct Uses {
+pub struct PartUsage {
     /// When the first was sent, moved on as counts are halved.
     since: Option<Tick>,
     halved: Tick,
@@ -25,7 +25,7 @@
     parts: HashMap<u64, f64>,
 }
 
-impl Uses {
+impl PartUsage {
     /// Notes a prompt by the key of its innermost shared part.
     pub fn note(&mut self, key: u64, now: Tick) {
         if self.since.is_none() {
@@ -86,7 +86,7 @@
 /// If only own prompts counted, all entry hosts would leave a home that is busy for a moment, read the parts at many upstreams,
 /// and make these busy. If homes counted as holding everything at all times, prompts of forty thousand tokens would be sent to
 /// one that has just started as if there was nothing to read, and the next ones behind them.
-pub fn believe_home(options: &mut [Candidate], shared: u64, likely: impl Fn(&Candidate) -> f64) {
+pub fn assume_home_cached(options: &mut [Candidate], shared: u64, likely: impl Fn(&Candidate) -> f64) {
     if let Some(home) = options.iter_mut().max_by_key(|option| option.weight) {
         let believed = (shared as f64 * likely(home)) as u64;
         home.cached = home.cached.max(believed);
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -5,7 +5,7 @@
 use derive_more::{Display, Error};
 
 use crate::Tick;
-use crate::fair::{FairQueue, Refused, Ticket};
+use crate::fair::{FairQueue, RefusalReason, Ticket};
 
 /// Weight of one finished request against all earlier ones.
 const WEIGHT: f64 = 0.05;
@@ -19,16 +19,16 @@
 /// A request that was not admitted; it was not run.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("{why}, come back in {retry_after:?}")]
-pub struct Turned {
+pub struct Rejection {
     /// Why.
-    pub why: Refused,
+    pub why: RefusalReason,
     /// Time after which it is worth asking again.
     pub retry_after: Duration,
 }
 
 /// Admission to everything that serves one model or service.
 #[derive(Debug)]
-pub struct Lane {
+pub struct AdmissionQueue {
     queue: FairQueue,
     capacity: usize,
     running: usize,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Lane {
+impl AdmissionQueue {
     /// Makes a lane with room for some running and some waiting requests.
     #[must_use]
     pub fn new(capacity: usize, waiting: usize, whole: bool) -> Self {
@@ -146,10 +146,10 @@
     /// # Errors
     /// Refuses at once what is predicted to be late, what finds the queue full, and all while nothing is up. A refusal
     /// tells when it is worth coming back.
-    pub fn offer(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, Turned> {
+    pub fn offer(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, Rejection> {
         if self.capacity == 0 {
-            return Err(Turned {
-                why: Refused::TooLate,
+            return Err(Rejection {
+                why: RefusalReason::TooLate,
                 retry_after: NOTHING_UP,
             });
         }
@@ -167,7 +167,7 @@
         let left = ticket.latest.since(now);
         let waits = wait > Duration::ZERO;
         if ticket.latest < now || (waits && ends > left) {
-            return Err(self.turn(Refused::TooLate, ticket.tokens, ends.saturating_sub(left), now));
+            return Err(self.turn(RefusalReason::TooLate, ticket.tokens, ends.saturating_sub(left), now));
         }
         let tokens = ticket.tokens;
         let pushed = self.queue.push(ticket, now);
@@ -199,11 +199,11 @@
     ///
     /// Callers who were told the same time would all come back at once and be refused again, most of them. So each is
     /// given a time after that of the one before, by as long as its work will keep the slots busy.
-    pub fn turn(&mut self, why: Refused, tokens: f64, late: Duration, now: Tick) -> Turned {
+    pub fn turn(&mut self, why: RefusalReason, tokens: f64, late: Duration, now: Tick) -> Rejection {
         let work = tokens * self.rate.per_token().unwrap_or_default() / self.capacity.max(1) as f64;
         let at = self.promised.max(now + late.max(self.next_place())).min(now + RETRY.1);
         self.promised = at + Duration::from_secs_f64(work.min(RETRY.1.as_secs_f64()));
-        Turned {
+        Rejection {
             why,
             retry_after: at.since(now).clamp(RETRY.0, RETRY.1),
         }
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/life.rs
@@ -21,7 +21,7 @@
 
 /// The host refused a connection and may be gone; nobody has announced it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubted;
+pub struct Suspected;
 
 /// The host finishes what it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,32 +36,32 @@
 
 /// A host at one stage of its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life<S> {
+pub struct HostState<S> {
     incarnation: u64,
     stage: S,
 }
 
 /// A host at any stage of its life.
 #[derive(Clone, Copy, Debug, Display, From, PartialEq, Eq)]
-pub enum AnyLife {
+pub enum AnyHostState {
     /// Starting.
     #[display("starting")]
-    Starting(Life<Starting>),
+    Starting(HostState<Starting>),
     /// Serving.
     #[display("serving")]
-    Serving(Life<Serving>),
+    Serving(HostState<Serving>),
     /// Doubted.
     #[display("doubted")]
-    Doubted(Life<Doubted>),
+    Doubted(HostState<Suspected>),
     /// Leaving.
     #[display("leaving")]
-    Leaving(Life<Leaving>),
+    Leaving(HostState<Leaving>),
     /// Gone.
     #[display("gone")]
-    Gone(Life<Gone>),
+    Gone(HostState<Gone>),
 }
 
-impl Life<Starting> {
+impl HostState<Starting> {
     /// Begins the life of a host.
     #[must_use]
     pub const fn new(incarnation: u64) -> Self {
@@ -73,19 +73,19 @@
 
     /// The host answers.
     #[must_use]
-    pub const fn serve(self) -> Life<Serving> {
-        Life {
+    pub const fn serve(self) -> HostState<Serving> {
+        HostState {
             incarnation: self.incarnation,
             stage: Serving,
         }
     }
 }
 
-impl Life<Serving> {
+impl HostState<Serving> {
     /// The host will be taken away.
     #[must_use]
-    pub fn leave(self, now: Tick, left: Option<Duration>) -> Life<Leaving> {
-        Life {
+    pub fn leave(self, now: Tick, left: Option<Duration>) -> HostState<Leaving> {
+        HostState {
             incarnation: self.incarnation,
             stage: Leaving {
                 gone_at: left.map(|left| now + left),
@@ -94,29 +94,29 @@
     }
 }
 
-impl Life<Serving> {
+impl HostState<Serving> {
     /// The host refused a connection.
     #[must_use]
-    pub const fn doubt(self) -> Life<Doubted> {
-        Life {
+    pub const fn doubt(self) -> HostState<Suspected> {
+        HostState {
             incarnation: self.incarnation,
-            stage: Doubted,
+            stage: Suspected,
         }
     }
 }
 
-impl Life<Doubted> {
+impl HostState<Suspected> {
     /// The host answers again.
     #[must_use]
-    pub const fn trust(self) -> Life<Serving> {
-        Life {
+    pub const fn trust(self) -> HostState<Serving> {
+        HostState {
             incarnation: self.incarnation,
             stage: Serving,
         }
     }
 }
 
-impl Life<Leaving> {
+impl HostState<Leaving> {
     /// Takes over an announcement that is earlier than the known one.
     #[must_use]
     pub fn hurry(mut self, now: Tick, left: Option<Duration>) -> Self {
@@ -136,15 +136,15 @@
 
     /// The host is gone.
     #[must_use]
-    pub const fn end(self) -> Life<Gone> {
-        Life {
+    pub const fn end(self) -> HostState<Gone> {
+        HostState {
             incarnation: self.incarnation,
             stage: Gone,
         }
     }
 }
 
-impl AnyLife {
+impl AnyHostState {
     /// Tells whether new work may go there.
     #[must_use]
     pub const fn takes_work(&self) -> bool {
@@ -168,21 +168,21 @@
     /// Signs come late, twice and in any order, so a stage never goes back to an earlier one: a list that still shows a
     /// host as serving would otherwise undo its notice, and callers' work would go to a host that is about to be gone.
     #[must_use]
-    pub fn after(self, sign: Sign, now: Tick) -> Self {
+    pub fn after(self, sign: HostEvent, now: Tick) -> Self {
         match (self, sign) {
-            (Self::Starting(life), Sign::Answered) => life.serve().into(),
-            (Self::Doubted(life), Sign::Answered) => life.trust().into(),
-            (Self::Serving(life), Sign::Refused) => life.doubt().into(),
-            (Self::Gone(_), _) | (_, Sign::Answered | Sign::Refused) => self,
-            (Self::Leaving(life), Sign::Leaves { left }) => life.hurry(now, left).into(),
-            (Self::Leaving(life), Sign::Gone) => life.end().into(),
-            (before, Sign::Leaves { left }) => before.served().leave(now, left).into(),
-            (before, Sign::Gone) => before.served().leave(now, None).end().into(),
+            (Self::Starting(life), HostEvent::Answered) => life.serve().into(),
+            (Self::Doubted(life), HostEvent::Answered) => life.trust().into(),
+            (Self::Serving(life), HostEvent::Refused) => life.doubt().into(),
+            (Self::Gone(_), _) | (_, HostEvent::Answered | HostEvent::Refused) => self,
+            (Self::Leaving(life), HostEvent::Leaves { left }) => life.hurry(now, left).into(),
+            (Self::Leaving(life), HostEvent::Gone) => life.end().into(),
+            (before, HostEvent::Leaves { left }) => before.served().leave(now, left).into(),
+            (before, HostEvent::Gone) => before.served().leave(now, None).end().into(),
         }
     }
 
-    const fn served(self) -> Life<Serving> {
-        Life {
+    const fn served(self) -> HostState<Serving> {
+        HostState {
             incarnation: self.incarnation(),
             stage: Serving,
         }
@@ -191,7 +191,7 @@
 
 /// Something that tells about the life of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum HostEvent {
     /// It will be taken away or is drained.
     Leaves {
         /// Time until it is gone, if announced.
@@ -207,20 +207,20 @@
 
 /// The lives of all hosts that signs have told about; a host that no sign has told about serves.
 #[derive(Debug, Default)]
-pub struct Lives {
-    hosts: HashMap<HostId, AnyLife>,
+pub struct HostStates {
+    hosts: HashMap<HostId, AnyHostState>,
 }
 
-impl Lives {
+impl HostStates {
     /// Takes a sign in; returns the new stage where it changed.
     ///
     /// A sign about an earlier host of the same name is late and changes nothing.
-    pub fn hear(&mut self, host: &HostId, incarnation: u64, sign: Sign, now: Tick) -> Option<AnyLife> {
+    pub fn hear(&mut self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
         let known = self.hosts.get(host).copied();
         let before = match known {
             Some(life) if life.incarnation() > incarnation => return None,
             Some(life) if life.incarnation() == incarnation => life,
-            _ => Life::new(incarnation).serve().into(),
+            _ => HostState::new(incarnation).serve().into(),
         };
         let after = before.after(sign, now);
         // Hosts that just serve need no row, which keeps the table as small as the trouble.
@@ -232,14 +232,16 @@
 
     /// Gives the stage of a host.
     #[must_use]
-    pub fn stage(&self, host: &HostId, incarnation: u64) -> AnyLife {
+    pub fn stage(&self, host: &HostId, incarnation: u64) -> AnyHostState {
         match self.hosts.get(host) {
             Some(life) if life.incarnation() == incarnation => *life,
             // A newer host of that name is known, so this one is gone.
-            Some(life) if life.incarnation() > incarnation => {
-                Life::new(incarnation).serve().leave(Tick::default(), None).end().into()
-            }
-            _ => Life::new(incarnation).serve().into(),
+            Some(life) if life.incarnation() > incarnation => HostState::new(incarnation)
+                .serve()
+                .leave(Tick::default(), None)
+                .end()
+                .into(),
+            _ => HostState::new(incarnation).serve().into(),
         }
     }
 
@@ -250,12 +252,12 @@
     }
 
     /// Gives every host that signs have told about.
-    pub fn iter(&self) -> impl Iterator<Item = (&HostId, &AnyLife)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&HostId, &AnyHostState)> {
         self.hosts.iter()
     }
 
     /// Forgets hosts, so that the table doesn't grow with every host that ever was.
-    pub fn retain(&mut self, keep: impl Fn(&HostId, &AnyLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&HostId, &AnyHostState) -> bool) {
         self.hosts.retain(|host, life| keep(host, life));
     }
 }
--- a/crates/policy/src/limits/mod.rs
+++ b/crates/policy/src/limits/mod.rs
@@ -12,4 +12,4 @@
 pub use bucket::{BURST, Bucket};
 pub use loans::{DRIFT, LEASE, Loans, Part, RESERVE, plan};
 pub use meter::DemandMeter;
-pub use share::{Amounts, Peer, Share, part_of};
+pub use share::{CustomerShare, LimitAmounts, PeerDemand, owned_part};
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -9,7 +9,7 @@
 
 /// Amounts of a customer's three limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Amounts {
+pub struct LimitAmounts {
     /// Requests a second.
     pub requests: f64,
     /// Tokens a second.
@@ -18,7 +18,7 @@
     pub running: f64,
 }
 
-impl From<[f64; 3]> for Amounts {
+impl From<[f64; 3]> for LimitAmounts {
     fn from([requests, tokens, running]: [f64; 3]) -> Self {
         Self {
             requests,
@@ -28,7 +28,7 @@
     }
 }
 
-impl Amounts {
+impl LimitAmounts {
     /// Gives the amounts in the order of the fields.
     #[must_use]
     pub const fn list(&self) -> [f64; 3] {
@@ -40,11 +40,11 @@
 ///
 /// Running requests are whole: the hosts of the first ranks own one more where they can't be divided.
 #[must_use]
-pub fn part_of(limits: &Limits, hosts: u32, rank: u32) -> Amounts {
+pub fn owned_part(limits: &Limits, hosts: u32, rank: u32) -> LimitAmounts {
     let hosts = hosts.max(1);
     let count = f64::from(hosts);
     let running = limits.concurrency / hosts + u32::from(rank < limits.concurrency % hosts);
-    Amounts {
+    LimitAmounts {
         requests: limits.requests_per_s / count,
         tokens: limits.tokens_per_s / count,
         running: f64::from(running),
@@ -53,21 +53,21 @@
 
 /// What a peer told of a customer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Peer {
+pub struct PeerDemand {
     /// What its callers ask for.
-    pub wanted: Amounts,
+    pub wanted: LimitAmounts,
     /// Requests that run there now.
     pub running: f64,
 }
 
 /// One customer's limits at one entry host.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct CustomerShare {
     loans: [Loans; 3],
-    peers: BTreeMap<u32, (Tick, Peer)>,
+    peers: BTreeMap<u32, (Tick, PeerDemand)>,
 }
 
-impl Share {
+impl CustomerShare {
     /// Starts with nothing lent or borrowed; the host may be alone, without any peers in its settings.
     #[must_use]
     pub fn new(alone: bool, now: Tick) -> Self {
@@ -78,12 +78,12 @@
     }
 
     /// Takes in what a peer tells.
-    pub fn hear(&mut self, peer: u32, told: Peer, now: Tick) {
+    pub fn hear(&mut self, peer: u32, told: PeerDemand, now: Tick) {
         self.peers.insert(peer, (now, told));
     }
 
     /// Takes over what a peer lends in answer to a demand that was sent at the given time.
-    pub fn borrow(&mut self, peer: u32, lent: Amounts, asked: Tick) {
+    pub fn borrow(&mut self, peer: u32, lent: LimitAmounts, asked: Tick) {
         for (loans, amount) in self.loans.iter_mut().zip(lent.list()) {
             loans.borrow(peer, amount, asked);
         }
@@ -93,10 +93,10 @@
     ///
     /// Peers that were not heard for the time of a lease get nothing and count for nothing: they are dead or cut off
     /// and could not take a loan.
-    pub fn grant(&mut self, peer: u32, part: Amounts, own: Amounts, now: Tick) -> Amounts {
+    pub fn grant(&mut self, peer: u32, part: LimitAmounts, own: LimitAmounts, now: Tick) -> LimitAmounts {
         self.peers.retain(|_, (at, _)| now.since(*at) < LEASE);
         let Some(place) = self.peers.keys().position(|other| *other == peer) else {
-            return Amounts::default();
+            return LimitAmounts::default();
         };
         let told = self.peers[&peer].1;
         let granted = std::array::from_fn(|measure| {
@@ -115,24 +115,24 @@
             }
             self.loans[measure].grant(peer, wish, part, own, now)
         });
-        let mut granted = Amounts::from(granted);
+        let mut granted = LimitAmounts::from(granted);
         granted.running = granted.running.floor();
         granted
     }
 
     /// Gives what may be used now.
     #[must_use]
-    pub fn usable(&self, part: Amounts, now: Tick) -> Amounts {
+    pub fn usable(&self, part: LimitAmounts, now: Tick) -> LimitAmounts {
         let parts = parts_of(part);
         let usable = std::array::from_fn(|measure| self.loans[measure].usable(parts[measure], now));
-        Amounts::from(usable)
+        LimitAmounts::from(usable)
     }
 }
 
 /// Position of the running requests among the measures.
 const RUNNING: usize = 2;
 
-fn parts_of(amounts: Amounts) -> [Part; 3] {
+fn parts_of(amounts: LimitAmounts) -> [Part; 3] {
     let [requests, tokens, running] = amounts.list();
     [Part::rate(requests), Part::rate(tokens), Part::count(running)]
 }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -10,7 +10,7 @@
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Time at which the upstream measured it, on the own clock.
     pub measured: Tick,
     /// Requests that ran.
@@ -24,7 +24,7 @@
 /// What is known of the load of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct LoadEstimate {
-    report: Option<Report>,
+    report: Option<LoadReport>,
     running: u32,
     moves: VecDeque<(Tick, i8)>,
 }
@@ -54,7 +54,7 @@
     }
 
     /// Takes a report over unless a newer one is known; tells whether it did.
-    pub fn report(&mut self, report: Report) -> bool {
+    pub fn report(&mut self, report: LoadReport) -> bool {
         let newer = self.report.is_none_or(|before| before.measured < report.measured);
         if newer {
             self.report = Some(report);
@@ -65,7 +65,7 @@
 
     /// Gives the newest report.
     #[must_use]
-    pub const fn newest(&self) -> Option<Report> {
+    pub const fn newest(&self) -> Option<LoadReport> {
         self.report
     }
 
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -11,7 +11,7 @@
 const RUN_SHARE: f64 = 0.03;
 /// Rates until something has been learnt: those of a slow engine. Too low a speed costs some engines for a few seconds, too high
 /// a one makes everything late.
-const START: Rates = Rates {
+const START: EngineRates = EngineRates {
     base_ms: 15.0,
     token_ms: 0.025,
     pairs_ms: 0.3,
@@ -36,14 +36,14 @@
 
 /// What a prompt asks of an engine that holds its beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct PrefillWork {
     /// Tokens that are cached.
     pub cached: u64,
     /// Tokens that are to be read.
     pub fresh: u64,
 }
 
-impl Reading {
+impl PrefillWork {
     /// Gives the pairs of tokens that look at each other, in millions: each token that is read looks at all before it.
     fn pairs(&self) -> f64 {
         let (cached, fresh) = (self.cached as f64, self.fresh as f64);
@@ -53,7 +53,7 @@
 
 /// Milliseconds that an engine takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rates {
+pub struct EngineRates {
     /// For the first event of a prompt without a token.
     pub base_ms: f64,
     /// For a token of a prompt.
@@ -64,16 +64,16 @@
     pub run_ms: f64,
 }
 
-impl Default for Rates {
+impl Default for EngineRates {
     fn default() -> Self {
         START
     }
 }
 
-impl Rates {
+impl EngineRates {
     /// Gives the milliseconds in which an engine reads the rest of a prompt.
     #[must_use]
-    pub fn reading_ms(&self, reading: Reading) -> f64 {
+    pub fn reading_ms(&self, reading: PrefillWork) -> f64 {
         reading.fresh as f64 * self.token_ms + reading.pairs() * self.pairs_ms
     }
 
@@ -122,21 +122,21 @@
 
 /// The rates of a service's engines.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
-    rates: Rates,
+pub struct SpeedEstimate {
+    rates: EngineRates,
     step: Step,
 }
 
-impl Pace {
+impl SpeedEstimate {
     /// Gives what has been learnt.
     #[must_use]
-    pub const fn rates(&self) -> Rates {
+    pub const fn rates(&self) -> EngineRates {
         self.rates
     }
 
     /// Learns from an answer that began after so many milliseconds at an engine of such a relative time, with nothing known to
     /// go before it.
-    pub fn learn(&mut self, reading: Reading, seen_ms: f64, own: f64) {
+    pub fn learn(&mut self, reading: PrefillWork, seen_ms: f64, own: f64) {
         let parts = [
             self.rates.base_ms,
             reading.fresh as f64 * self.rates.token_ms,
@@ -149,7 +149,7 @@
             let next = rate * (by * part / expected).exp();
             next.clamp(start * RANGE.0, start * RANGE.1)
         };
-        self.rates = Rates {
+        self.rates = EngineRates {
             base_ms: moved(self.rates.base_ms, parts[0], START.base_ms),
             token_ms: moved(self.rates.token_ms, parts[1], START.token_ms),
             pairs_ms: moved(self.rates.pairs_ms, parts[2], START.pairs_ms),
@@ -166,12 +166,12 @@
 
 /// The time that one upstream takes, relative to its kin.
 #[derive(Clone, Copy, Debug)]
-pub struct Own {
+pub struct RelativeSpeed {
     factor: f64,
     step: Step,
 }
 
-impl Default for Own {
+impl Default for RelativeSpeed {
     fn default() -> Self {
         Self {
             factor: 1.0,
@@ -183,7 +183,7 @@
     }
 }
 
-impl Own {
+impl RelativeSpeed {
     /// Gives the factor on the time of its kin.
     #[must_use]
     pub const fn factor(&self) -> f64 {
--- a/crates/policy/src/paging.rs
+++ b/crates/policy/src/paging.rs
@@ -17,17 +17,17 @@
 
 /// The size of the next page.
 #[derive(Clone, Copy, Debug)]
-pub struct Paging {
+pub struct PageSize {
     bytes: u32,
 }
 
-impl Default for Paging {
+impl Default for PageSize {
     fn default() -> Self {
         Self { bytes: FIRST }
     }
 }
 
-impl Paging {
+impl PageSize {
     /// Gives the bytes to ask for.
     #[must_use]
     pub const fn bytes(&self) -> u32 {
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -35,7 +35,7 @@
 
 /// What a leader knows of those who share, and what it can lend.
 #[derive(Debug)]
-pub struct Sharers {
+pub struct QuotaAllocator {
     since: Tick,
     /// Those who shared under the leader before.
     before: u32,
@@ -69,14 +69,14 @@
 
 /// The part of one entry host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Portion {
+pub struct EntryShare {
     /// Entry hosts that share.
     pub entries: u32,
     /// Part of every limit that is its own.
     pub floor: f64,
 }
 
-impl Sharers {
+impl QuotaAllocator {
     /// Begins to listen; so many shared under the leader before, or none is known.
     #[must_use]
     pub const fn new(before: u32, since: Tick) -> Self {
@@ -90,12 +90,12 @@
     }
 
     /// Notes a beat and gives the entry host's part; nothing while it is not known yet who shares.
-    pub fn beat(&mut self, node: &NodeId, now: Tick) -> Option<Portion> {
+    pub fn beat(&mut self, node: &NodeId, now: Tick) -> Option<EntryShare> {
         self.known.retain(|_, heard| now.since(*heard) < REMEMBERED);
         self.spares.retain(|node, _| self.known.contains_key(node));
         self.known.insert(node.clone(), now);
         let entries = self.count(now);
-        (entries > 0).then(|| Portion {
+        (entries > 0).then(|| EntryShare {
             entries,
             floor: EVEN / f64::from(entries),
         })
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::Tick;
-use crate::pace::{Rates, Reading};
+use crate::pace::{EngineRates, PrefillWork};
 
 /// Part of the longest pause of an answer in time for which an engine may read without making tokens: one event holds the
 /// tokens of several steps, and these come on top.
@@ -27,7 +27,7 @@
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Identifies it together with all parts before it.
     pub key: u64,
     /// Its tokens.
@@ -36,14 +36,14 @@
 
 /// The parts of prompts that an upstream is believed to hold.
 #[derive(Clone, Debug, Default)]
-pub struct Cached {
+pub struct CachedParts {
     used: HashMap<u64, Tick>,
     order: VecDeque<(Tick, u64)>,
 }
 
-impl Cached {
+impl CachedParts {
     /// Notes that the upstream has read a prompt.
-    pub fn store(&mut self, parts: &[Part], now: Tick) {
+    pub fn store(&mut self, parts: &[PromptPart], now: Tick) {
         for part in parts {
             self.used.insert(part.key, now);
             self.order.push_back((now, part.key));
@@ -55,8 +55,8 @@
 
     /// Gives the tokens at the beginning of a prompt that the upstream holds.
     #[must_use]
-    pub fn tokens(&self, parts: &[Part], now: Tick) -> u64 {
-        let held = |part: &&Part| self.used.get(&part.key).is_some_and(|at| now.since(*at) < CACHED);
+    pub fn tokens(&self, parts: &[PromptPart], now: Tick) -> u64 {
+        let held = |part: &&PromptPart| self.used.get(&part.key).is_some_and(|at| now.since(*at) < CACHED);
         parts.iter().take_while(held).map(|part| part.tokens).sum()
     }
 
@@ -87,14 +87,14 @@
     /// Milliseconds of work that goes before, as far as known: prompts that were sent there and are not read yet.
     pub backlog_ms: f64,
     /// What it takes to read a prompt.
-    pub rates: Rates,
+    pub rates: EngineRates,
 }
 
 impl Candidate {
     /// Gives what a prompt of so many tokens asks of it.
     #[must_use]
-    pub fn reading(&self, tokens: u64) -> Reading {
-        Reading {
+    pub fn reading(&self, tokens: u64) -> PrefillWork {
+        PrefillWork {
             cached: self.cached,
             fresh: tokens.saturating_sub(self.cached),
         }
@@ -103,7 +103,7 @@
 
 /// What is predicted for one upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Predicted {
+pub struct Prediction {
     /// The upstream's number.
     pub at: usize,
     /// Milliseconds until the answer begins.
@@ -120,7 +120,7 @@
 
 /// What is asked of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Wish {
+pub struct PromptNeed {
     /// Tokens of the prompt.
     pub tokens: u64,
     /// Milliseconds of the longest pause of an answer in time; endless where the answer comes whole.
@@ -129,8 +129,8 @@
 
 /// Predicts the time until an upstream answers.
 #[must_use]
-pub fn predict(option: &Candidate, wish: Wish) -> Predicted {
-    let Wish { tokens, pause_ms } = wish;
+pub fn predict(option: &Candidate, wish: PromptNeed) -> Prediction {
+    let PromptNeed { tokens, pause_ms } = wish;
     let slots = option.slots.max(1.0);
     let queued = (option.load + 1.0 - slots).max(0.0);
     let filled = (option.load / slots).min(1.0);
@@ -149,7 +149,7 @@
         + if option.near { 0.0 } else { DISTANCE_MS }
         + option.backlog_ms;
     let held_up = (option.backlog_ms + reading_ms - pause_ms * PAUSE).max(0.0);
-    Predicted {
+    Prediction {
         at: option.at,
         ms,
         reading_ms,
@@ -161,12 +161,12 @@
 
 /// Gives the upstream with the lowest predicted time and harm; of those that differ by little, the one with the highest weight.
 #[must_use]
-pub fn choose(options: &[Candidate], wish: Wish, close_ms: f64) -> Option<Predicted> {
-    let predicted: Vec<(Predicted, u64)> = options
+pub fn choose(options: &[Candidate], wish: PromptNeed, close_ms: f64) -> Option<Prediction> {
+    let predicted: Vec<(Prediction, u64)> = options
         .iter()
         .map(|option| (predict(option, wish), option.weight))
         .collect();
-    let cost = |one: &Predicted| one.ms + one.harm_ms;
+    let cost = |one: &Prediction| one.ms + one.harm_ms;
     let least = predicted.iter().map(|(one, _)| cost(one)).min_by(f64::total_cmp)?;
     let close = predicted.iter().filter(|(one, _)| cost(one) <= least + close_ms);
     let best = close.max_by(|(_, a), (_, b)| a.cmp(b).then(Ordering::Equal));
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -13,14 +13,14 @@
 use derive_more::Display;
 
 pub use backoff::Backoff;
-pub use queue::{Load, next_loads};
+pub use queue::{WeightLoad, next_loads};
 
 /// Most steps for one model in one plan; more are taken by the next.
 const MOST_STEPS: usize = 64;
 
 /// How a plan is made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct ScalingRules {
     /// Requests that one host runs at once within its targets.
     pub slots: u32,
     /// Factor on the busy slots up to which hosts are started.
@@ -32,7 +32,7 @@
 
 /// What a model needs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Need {
+pub struct ModelNeed {
     /// The model.
     pub model: ModelName,
     /// Requests that run or wait now.
@@ -43,7 +43,7 @@
 
 /// A host that is held; those that leave or are drained aren't.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct HeldHost {
     /// The host.
     pub host: HostId,
     /// Its model.
@@ -60,7 +60,7 @@
 
 /// Where hosts can be started.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pool {
+pub struct HostPool {
     /// The zone.
     pub zone: Zone,
     /// Whether hosts there can be reclaimed.
@@ -119,11 +119,11 @@
 /// Makes the plan; hosts are only drained for lack of work while it's calm, which means some time after the last step.
 #[must_use]
 pub fn plan(
-    needs: &[Need],
-    held: &[Held],
-    pools: &[Pool],
+    needs: &[ModelNeed],
+    held: &[HeldHost],
+    pools: &[HostPool],
     said: &BTreeMap<String, HostRule>,
-    rules: &Rules,
+    rules: &ScalingRules,
     calm: bool,
 ) -> Vec<Step> {
     let mut steps = Vec::new();
@@ -140,21 +140,21 @@
 
 /// The hosts of one model while its plan is made.
 struct Model<'a> {
-    need: &'a Need,
-    held: Vec<&'a Held>,
+    need: &'a ModelNeed,
+    held: Vec<&'a HeldHost>,
     started: Vec<(Zone, MachineClass)>,
-    pools: &'a [Pool],
+    pools: &'a [HostPool],
     said: Vec<&'a HostRule>,
-    rules: &'a Rules,
+    rules: &'a ScalingRules,
 }
 
 impl<'a> Model<'a> {
     fn new(
-        need: &'a Need,
-        held: &'a [Held],
-        pools: &'a [Pool],
+        need: &'a ModelNeed,
+        held: &'a [HeldHost],
+        pools: &'a [HostPool],
         said: &'a BTreeMap<String, HostRule>,
-        rules: &'a Rules,
+        rules: &'a ScalingRules,
     ) -> Self {
         Self {
             need,
@@ -217,12 +217,12 @@
         self.said.iter().find(fits).copied()
     }
 
-    fn may_add(&self, pool: &Pool) -> bool {
+    fn may_add(&self, pool: &HostPool) -> bool {
         let room = |rule: &HostRule| self.in_pool(&pool.zone, pool.class) < rule.most;
         pool.open && self.rule(&pool.zone, pool.class).is_none_or(room)
     }
 
-    fn may_remove(&self, host: &Held) -> bool {
+    fn may_remove(&self, host: &HeldHost) -> bool {
         let spare = |rule: &HostRule| self.in_pool(&host.zone, host.class) > rule.least;
         self.rule(&host.zone, host.class).is_none_or(spare)
     }
@@ -232,7 +232,7 @@
         let mut steps = Vec::new();
         for rule in self.said.clone() {
             while self.in_pool(&rule.zone, rule.class) > rule.most {
-                let inside = |one: &Held| one.zone == rule.zone && one.class == rule.class;
+                let inside = |one: &HeldHost| one.zone == rule.zone && one.class == rule.class;
                 let idlest = (0..self.held.len())
                     .filter(|at| inside(self.held[*at]))
                     .min_by(|a, b| self.held[*a].busy.total_cmp(&self.held[*b].busy));
@@ -262,7 +262,7 @@
     }
 
     fn next_start(&self) -> Option<(Zone, MachineClass, Why)> {
-        let short = |pool: &&Pool| {
+        let short = |pool: &&HostPool| {
             let rule = self.rule(&pool.zone, pool.class);
             pool.open && rule.is_some_and(|rule| self.in_pool(&pool.zone, pool.class) < rule.least)
         };
@@ -297,7 +297,7 @@
     /// another zone can follow.
     fn spreads_with(&self, zone: &Zone) -> bool {
         let fullest = self.total() - self.after_loss();
-        let follows = |pool: &Pool| pool.zone != *zone && self.may_add(pool);
+        let follows = |pool: &HostPool| pool.zone != *zone && self.may_add(pool);
         self.in_zone(zone) < fullest || self.pools.iter().any(follows)
     }
 
@@ -313,9 +313,9 @@
 
     /// Drains one host that isn't needed: the dearest, in the fullest zone, with the least to do.
     fn shrink(&self) -> Option<Step> {
-        let mut spare: Vec<&Held> = self.held.iter().copied().filter(|one| self.is_spare(one)).collect();
+        let mut spare: Vec<&HeldHost> = self.held.iter().copied().filter(|one| self.is_spare(one)).collect();
         spare.sort_by(|a, b| {
-            let zone = |one: &Held| self.in_zone(&one.zone);
+            let zone = |one: &HeldHost| self.in_zone(&one.zone);
             let order = b.price.cmp(&a.price).then(zone(b).cmp(&zone(a)));
             order.then(a.busy.total_cmp(&b.busy))
         });
@@ -324,7 +324,7 @@
         Some(Step::Drain { host, why })
     }
 
-    fn is_spare(&self, host: &Held) -> bool {
+    fn is_spare(&self, host: &HeldHost) -> bool {
         let mut rest = Model {
             held: self.held.clone(),
             started: self.started.clone(),
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -108,7 +108,7 @@
 ///
 /// The memory is taken once: 32 bytes for each block.
 #[derive(Debug)]
-pub struct History {
+pub struct PrefixIndex {
     sets: Vec<[Place; WAYS]>,
 }
 
@@ -129,7 +129,7 @@
     crowded: false,
 };
 
-impl History {
+impl PrefixIndex {
     /// Makes an empty history for about so many blocks, rounded up to a power of two.
     #[must_use]
     pub fn new(blocks: usize) -> Self {
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -25,7 +25,7 @@
 
 /// A request that is over the quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Over {
+pub struct OverQuota {
     /// Seconds until there is room for it.
     pub wait_s: f64,
     /// Units that are saved up; below zero what a large request before has taken too much.
@@ -62,12 +62,12 @@
     ///
     /// # Errors
     /// Tells how long the request would have to wait when there is no room for it.
-    pub fn take(&mut self, units: f64, now: Tick) -> Result<(), Over> {
+    pub fn take(&mut self, units: f64, now: Tick) -> Result<(), OverQuota> {
         self.fill(now);
         let needed = units.min(self.burst * LARGE);
         if self.units < needed || self.rate <= 0.0 {
             let wait_s = (needed - self.units) / self.rate.max(f64::MIN_POSITIVE);
-            return Err(Over {
+            return Err(OverQuota {
                 wait_s,
                 saved: self.units,
                 rate: self.rate,
@@ -81,13 +81,13 @@
     ///
     /// # Errors
     /// Tells how long the request would have to wait when there is no room for it.
-    pub fn take_whole(&mut self, units: f64, now: Tick) -> Result<(), Over> {
+    pub fn take_whole(&mut self, units: f64, now: Tick) -> Result<(), OverQuota> {
         self.fill(now);
         if self.units >= units {
             self.units -= units;
             return Ok(());
         }
-        Err(Over {
+        Err(OverQuota {
             wait_s: (units.min(self.burst) - self.units) / self.rate.max(f64::MIN_POSITIVE),
             saved: self.units,
             rate: self.rate,
--- a/crates/policy/src/reach.rs
+++ b/crates/policy/src/reach.rs
@@ -19,12 +19,12 @@
 
 /// What is heard of one data centre.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     heard: Cell<Tick>,
     silent: Cell<Option<Tick>>,
 }
 
-impl Reach {
+impl Reachability {
     /// Notes that anything has come from there.
     pub fn hear(&self, now: Tick) {
         self.heard.set(now);
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -16,12 +16,12 @@
 const AHEAD: Duration = Duration::from_millis(1_600);
 
 /// Reclaimable upstreams that are taken away together.
-pub type Group = (ServiceName, Zone);
+pub type ReclaimGroup = (ServiceName, Zone);
 
 /// The reclaims that the list may not show yet.
 #[derive(Clone, Debug, Default)]
-pub struct Reclaims {
-    told: BTreeMap<Group, Told>,
+pub struct ReportedReclaims {
+    told: BTreeMap<ReclaimGroup, Told>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -30,15 +30,15 @@
     ends: Tick,
 }
 
-impl Reclaims {
+impl ReportedReclaims {
     /// Notes a reclaim that engines told of.
-    pub fn note(&mut self, group: Group, ends: Tick, now: Tick) {
+    pub fn note(&mut self, group: ReclaimGroup, ends: Tick, now: Tick) {
         self.told.entry(group).or_insert(Told { at: now, ends });
     }
 
     /// Tells whether a reclaim was told of lately.
     #[must_use]
-    pub fn knows(&self, group: &Group, now: Tick) -> bool {
+    pub fn knows(&self, group: &ReclaimGroup, now: Tick) -> bool {
         self.told.get(group).is_some_and(|told| told.is_ahead(now))
     }
 
@@ -60,15 +60,15 @@
     }
 }
 
-fn group(one: &Listed) -> Group {
+fn group(one: &Listed) -> ReclaimGroup {
     (one.service.clone(), one.zone.clone())
 }
 
 /// Gives the upstreams of each group that are asked in a turn: the first, and the one that must say the same. The turns go
 /// round, so that one engine that does not answer hides nothing for long.
 #[must_use]
-pub fn witnesses(list: &[Listed], turn: usize) -> Vec<(Group, Vec<&Listed>)> {
-    let mut groups: BTreeMap<Group, Vec<&Listed>> = BTreeMap::new();
+pub fn engines_to_probe(list: &[Listed], turn: usize) -> Vec<(ReclaimGroup, Vec<&Listed>)> {
+    let mut groups: BTreeMap<ReclaimGroup, Vec<&Listed>> = BTreeMap::new();
     for one in list.iter().filter(|one| one.reclaimable && !one.leaving) {
         groups.entry(group(one)).or_default().push(one);
     }
--- a/crates/policy/src/rescue.rs
+++ b/crates/policy/src/rescue.rs
@@ -21,7 +21,7 @@
 
 /// What becomes of a stream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum How {
+pub enum StreamAction {
     /// It ends before its host does.
     #[display("finish")]
     Finish,
@@ -62,11 +62,11 @@
 }
 
 /// Copies of a stream's cache that may fail before it's replayed.
-pub const MOST_FAILURES: u32 = 2;
+pub const MAX_COPY_FAILURES: u32 = 2;
 
 /// Decides on all streams together; gives them in the order in which they are to be dealt with.
 #[must_use]
-pub fn plan<S: Copy + Eq + Hash>(streams: &[Stream<S>], rates: &Rates) -> Vec<(usize, How)> {
+pub fn plan<S: Copy + Eq + Hash>(streams: &[Stream<S>], rates: &Rates) -> Vec<(usize, StreamAction)> {
     let (finish, mut rest): (Vec<usize>, Vec<usize>) = (0..streams.len()).partition(|at| fits(&streams[*at]));
     rest.sort_by(|a, b| {
         let (a, b) = (&streams[*a], &streams[*b]);
@@ -79,16 +79,16 @@
         let stream = &streams[at];
         let busy = links.entry(stream.source).or_default();
         let Some(copy) = copy_time(stream, rates) else {
-            return (at, How::Replay);
+            return (at, StreamAction::Replay);
         };
         if *busy + copy + SAFETY > stream.left {
-            return (at, How::Replay);
+            return (at, StreamAction::Replay);
         }
         *busy += copy;
-        (at, How::Export)
+        (at, StreamAction::Export)
     };
-    let mut steps: Vec<(usize, How)> = rest.into_iter().map(&mut decide).collect();
-    steps.extend(finish.into_iter().map(|at| (at, How::Finish)));
+    let mut steps: Vec<(usize, StreamAction)> = rest.into_iter().map(&mut decide).collect();
+    steps.extend(finish.into_iter().map(|at| (at, StreamAction::Finish)));
     steps
 }
 
@@ -105,7 +105,7 @@
 
 /// Gives the time to copy a stream's cache, if that can be done and is worth it.
 fn copy_time<S>(stream: &Stream<S>, rates: &Rates) -> Option<Duration> {
-    let worth = stream.tokens >= FEWEST && stream.failed < MOST_FAILURES;
+    let worth = stream.tokens >= FEWEST && stream.failed < MAX_COPY_FAILURES;
     let export = rates.export.filter(|_| worth)?;
     Some(export.mul_f64(stream.tokens as f64))
 }
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -14,7 +14,7 @@
 
 /// The bounds over all entry hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct RetryBounds {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats besides.
@@ -25,20 +25,20 @@
 
 /// Requests and repeats of one service in the current window.
 #[derive(Clone, Debug, Default)]
-pub struct Repeats {
+pub struct RetryWindow {
     requests: VecDeque<Tick>,
     repeats: VecDeque<Tick>,
 }
 
-impl Repeats {
+impl RetryWindow {
     /// Notes a request that a caller sent for the service.
-    pub fn request(&mut self, now: Tick, bounds: &Bounds) {
+    pub fn request(&mut self, now: Tick, bounds: &RetryBounds) {
         forget(&mut self.requests, bounds.window, now);
         self.requests.push_back(now);
     }
 
     /// Takes a repeat, if one is left for an entry host that is one of so many.
-    pub fn take(&mut self, now: Tick, bounds: &Bounds, entries: u32) -> bool {
+    pub fn take(&mut self, now: Tick, bounds: &RetryBounds, entries: u32) -> bool {
         forget(&mut self.requests, bounds.window, now);
         forget(&mut self.repeats, bounds.window, now);
         let fixed = bounds.extra / f64::from(entries.max(1));
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -2,13 +2,13 @@
 
 /// Places of which half are divided evenly among lanes for good and half go to whoever comes first.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct SharedPlaces {
     total: usize,
     own: usize,
     lanes: usize,
 }
 
-impl Room {
+impl SharedPlaces {
     /// Divides some places among lanes; each lane has at least one of its own.
     #[must_use]
     pub fn new(total: usize, lanes: usize) -> Self {
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -3,7 +3,7 @@
 use contract::MachineClass;
 use serde::{Deserialize, Serialize};
 
-use super::{Candidate, Need, Rules, Without};
+use super::{Ablation, Candidate, Need, Rules};
 
 /// Weight of a measurement against all earlier ones.
 const WEIGHT: f64 = 0.1;
@@ -191,9 +191,9 @@
             } else {
                 rates.follow * need.prompt_tokens as f64 * rates.prefill_ms * (1.0 + beside)
             },
-            price: count(Without::Price, rent * MS_PER_MICRODOLLAR),
-            risk: count(Without::Risk, chance * redo),
-            distance: count(Without::Distance, if candidate.near { 0.0 } else { DISTANCE_MS }),
+            price: count(Ablation::Price, rent * MS_PER_MICRODOLLAR),
+            risk: count(Ablation::Risk, chance * redo),
+            distance: count(Ablation::Distance, if candidate.near { 0.0 } else { DISTANCE_MS }),
         }
     }
 
--- a/crates/policy/src/route/group.rs
+++ b/crates/policy/src/route/group.rs
@@ -61,7 +61,7 @@
 
 /// One member of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct GroupMember {
     /// Number of the upstream, unique in the process.
     pub number: u32,
     /// Its name, by which it is hashed.
@@ -72,7 +72,7 @@
 
 /// A proposed candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Proposed {
+pub struct ProposedCandidate {
     /// Position in the group.
     pub at: usize,
     /// Why it is proposed.
@@ -85,7 +85,7 @@
 /// only reads a table, whatever the size of the group.
 #[derive(Clone, Debug, Default)]
 pub struct Group {
-    places: Vec<Place>,
+    places: Vec<GroupMember>,
     by_number: Vec<(u32, u32)>,
     near: Vec<u32>,
     seeds: Vec<u64>,
@@ -95,7 +95,7 @@
 impl Group {
     /// Makes a group.
     #[must_use]
-    pub fn new(places: Vec<Place>) -> Self {
+    pub fn new(places: Vec<GroupMember>) -> Self {
         let mut by_number: Vec<(u32, u32)> = (0_u32..).zip(&places).map(|(at, place)| (place.number, at)).collect();
         by_number.sort_unstable();
         let all: Vec<u32> = (0..places.len() as u32).collect();
@@ -117,7 +117,7 @@
 
     /// Gives the members.
     #[must_use]
-    pub fn places(&self) -> &[Place] {
+    pub fn places(&self) -> &[GroupMember] {
         &self.places
     }
 
@@ -147,15 +147,17 @@
     ///
     /// The homes are those of its conversation, if it has one; the lead is the hash of the prompt's beginning, absent where prefixes play no part; the turn feeds the draw.
     #[must_use]
-    pub fn propose(&self, homes: &[usize], lead: Option<u64>, holders: &[u32], turn: u64) -> Vec<Proposed> {
+    pub fn propose(&self, homes: &[usize], lead: Option<u64>, holders: &[u32], turn: u64) -> Vec<ProposedCandidate> {
         let reason = Reason::All;
         if self.places.len() <= CANDIDATES {
-            return (0..self.places.len()).map(|at| Proposed { at, reason }).collect();
+            return (0..self.places.len())
+                .map(|at| ProposedCandidate { at, reason })
+                .collect();
         }
-        let mut found: Vec<Proposed> = Vec::with_capacity(CANDIDATES);
+        let mut found: Vec<ProposedCandidate> = Vec::with_capacity(CANDIDATES);
         let mut add = |at: usize, reason| {
             if found.len() < CANDIDATES && found.iter().all(|other| other.at != at) {
-                found.push(Proposed { at, reason });
+                found.push(ProposedCandidate { at, reason });
             }
         };
         for at in homes {
@@ -186,7 +188,7 @@
 
     /// Gives the next members in turn, for the baselines; the one at position `turn % CANDIDATES` is the next itself.
     #[must_use]
-    pub fn window(&self, turn: u64) -> Vec<Proposed> {
+    pub fn window(&self, turn: u64) -> Vec<ProposedCandidate> {
         let count = self.places.len();
         let base = if count > CANDIDATES {
             turn as usize - turn as usize % CANDIDATES
@@ -195,7 +197,7 @@
         };
         let positions = (0..count.min(CANDIDATES)).map(|step| (base + step) % count);
         let reason = Reason::All;
-        positions.map(|at| Proposed { at, reason }).collect()
+        positions.map(|at| ProposedCandidate { at, reason }).collect()
     }
 
     fn seeds(&self) -> Vec<u64> {
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 pub use cost::{Cost, Rates};
-pub use group::{CANDIDATES, Group, HOMES, Place, Proposed, Reason, Target};
-pub use record::{Barred, Choice, Lost, Weighed};
+pub use group::{CANDIDATES, Group, GroupMember, HOMES, ProposedCandidate, Reason, Target};
+pub use record::{Choice, Exclusion, NotChosen, ScoredCandidate};
 
 use contract::{MachineClass, UpstreamId};
 
@@ -36,7 +36,7 @@
 /// A part of the decision that an ablation takes out.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Without {
+pub enum Ablation {
     /// Cached prefixes: neither candidates nor cost know of them.
     #[display("affinity")]
     Affinity,
@@ -67,16 +67,16 @@
 }
 
 /// Every part that can be taken out.
-pub const ABLATIONS: [Without; 9] = [
-    Without::Affinity,
-    Without::Rendezvous,
-    Without::Home,
-    Without::Risk,
-    Without::Price,
-    Without::Distance,
-    Without::ReportExpiry,
-    Without::Corrections,
-    Without::CacheEvents,
+pub const ABLATIONS: [Ablation; 9] = [
+    Ablation::Affinity,
+    Ablation::Rendezvous,
+    Ablation::Home,
+    Ablation::Risk,
+    Ablation::Price,
+    Ablation::Distance,
+    Ablation::ReportExpiry,
+    Ablation::Corrections,
+    Ablation::CacheEvents,
 ];
 
 /// A name that is no part of the decision.
@@ -86,7 +86,7 @@
     name: String,
 }
 
-impl std::str::FromStr for Without {
+impl std::str::FromStr for Ablation {
     type Err = UnknownPart;
 
     fn from_str(text: &str) -> Result<Self, UnknownPart> {
@@ -101,13 +101,13 @@
     /// The way of choosing.
     pub routing: Routing,
     /// Parts that are left out.
-    pub without: Vec<Without>,
+    pub without: Vec<Ablation>,
 }
 
 impl Rules {
     /// Tells whether a part counts.
     #[must_use]
-    pub fn with(&self, part: Without) -> bool {
+    pub fn with(&self, part: Ablation) -> bool {
         !self.without.contains(&part)
     }
 }
@@ -136,7 +136,7 @@
     /// Whether the request's conversation has its home there; also true of all where there is no conversation.
     pub home: bool,
     /// Why it may not be chosen, if it may not.
-    pub barred: Option<Barred>,
+    pub barred: Option<Exclusion>,
 }
 
 /// What the request needs.
@@ -174,10 +174,10 @@
     let best = rank(&chosen);
     let lost = |at: usize| match candidates[at].barred {
         _ if at == chosen => None,
-        Some(why) => Some(Lost::Barred(why)),
-        None => Some(Lost::Behind { by: rank(&at) - best }),
+        Some(why) => Some(NotChosen::Barred(why)),
+        None => Some(NotChosen::Behind { by: rank(&at) - best }),
     };
-    let weighed = candidates.iter().enumerate().map(|(at, candidate)| Weighed {
+    let weighed = candidates.iter().enumerate().map(|(at, candidate)| ScoredCandidate {
         upstream: candidate.id.clone(),
         reason: candidate.reason,
         cost_ms: candidate.barred.is_none().then(|| costs[at].total()),
--- a/crates/policy/src/route/record.rs
+++ b/crates/policy/src/route/record.rs
@@ -9,7 +9,7 @@
 /// Why an upstream may not be chosen.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Barred {
+pub enum Exclusion {
     /// Its host is leaving.
     #[display("its host is leaving")]
     Leaving,
@@ -24,9 +24,9 @@
 /// Why a candidate was not chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Lost {
+pub enum NotChosen {
     /// It may not be chosen.
-    Barred(Barred),
+    Barred(Exclusion),
     /// Its cost in milliseconds, or its load for the baselines, was higher or came later in the turn.
     Behind {
         /// The difference to the chosen one.
@@ -48,12 +48,12 @@
     /// Expected length of the answer in tokens.
     pub answer_tokens: u64,
     /// Every candidate with its cost in milliseconds or the reason why it was barred.
-    pub weighed: Vec<Weighed>,
+    pub weighed: Vec<ScoredCandidate>,
 }
 
 /// One candidate in a [`Choice`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Weighed {
+pub struct ScoredCandidate {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Why it was a candidate.
@@ -69,5 +69,5 @@
     /// The newest report was too old to count.
     pub expired: bool,
     /// Why it was not chosen; absent for the chosen one.
-    pub lost: Option<Lost>,
+    pub lost: Option<NotChosen>,
 }
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -14,12 +14,12 @@
 
 /// The choice among state nodes.
 #[derive(Debug, Default)]
-pub struct Sources {
+pub struct NodeSelector {
     turn: usize,
     failed: BTreeMap<SocketAddr, Tick>,
 }
 
-impl Sources {
+impl NodeSelector {
     /// Begins at a place among the nodes.
     #[must_use]
     pub fn new(turn: usize) -> Self {
--- a/crates/policy/tests/admission_lane.rs
+++ b/crates/policy/tests/admission_lane.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use policy::Tick;
-use policy::fair::{Refused, Ticket};
-use policy::lane::{Lane, NOTHING_UP};
-use policy::room::Room;
+use policy::fair::{RefusalReason, Ticket};
+use policy::lane::{AdmissionQueue, NOTHING_UP};
+use policy::room::SharedPlaces;
 use quickcheck::{Gen, QuickCheck};
 
 fn ticket(id: u64, latest_ms: u64) -> Ticket {
@@ -20,8 +20,8 @@
 }
 
 /// A lane of some slots in which each request holds its slot for a second.
-fn measured(slots: usize, waiting: usize) -> Lane {
-    let mut lane = Lane::new(slots, waiting, false);
+fn measured(slots: usize, waiting: usize) -> AdmissionQueue {
+    let mut lane = AdmissionQueue::new(slots, waiting, false);
     for id in 0..20 {
         lane.offer(ticket(id, 1_000_000), Tick::default()).unwrap();
         lane.grant().unwrap();
@@ -41,7 +41,7 @@
         lane.grant();
     }
     let turned = lane.offer(ticket(200, 2_000), Tick::default()).unwrap_err();
-    assert_eq!(turned.why, Refused::TooLate);
+    assert_eq!(turned.why, RefusalReason::TooLate);
     // Its turn comes after 20 requests: in 2.1 s, which is 0.1 s too late.
     assert!((turned.retry_after.as_secs_f64() - 0.1).abs() < 0.01, "{turned}");
     lane.offer(ticket(201, 2_200), Tick::default()).unwrap();
@@ -70,7 +70,7 @@
 
 #[test]
 fn nothing_up() {
-    let mut lane = Lane::new(0, 10, false);
+    let mut lane = AdmissionQueue::new(0, 10, false);
     let turned = lane.offer(ticket(1, 10_000), Tick::default()).unwrap_err();
     assert_eq!(turned.retry_after, NOTHING_UP);
 }
@@ -78,7 +78,7 @@
 #[test]
 fn running_bounded() {
     fn holds(steps: Vec<(u8, u8)>) -> bool {
-        let mut lane = Lane::new(3, 20, true);
+        let mut lane = AdmissionQueue::new(3, 20, true);
         let mut capacity = 3;
         for (id, (what, size)) in (0..).zip(steps) {
             let before = lane.running();
@@ -111,7 +111,7 @@
     fn holds(total: u16, lanes: u8, comers: Vec<u8>) -> bool {
         let lanes = usize::from(lanes % 6) + 1;
         let total = usize::from(total % 300) + 2 * lanes;
-        let room = Room::new(total, lanes);
+        let room = SharedPlaces::new(total, lanes);
         let mut used = vec![0; lanes];
         for comer in comers {
             // The first lane is never used until the end.
--- a/crates/policy/tests/capacity_plan.rs
+++ b/crates/policy/tests/capacity_plan.rs
@@ -5,17 +5,17 @@
 
 use contract::{HostRule, MachineClass, Zone};
 use policy::Tick;
-use policy::plan::{Backoff, Held, Load, Need, Pool, Rules, Step, Why, next_loads, plan};
+use policy::plan::{Backoff, HeldHost, HostPool, ModelNeed, ScalingRules, Step, WeightLoad, Why, next_loads, plan};
 use quickcheck::{Gen, QuickCheck};
 
-const RULES: Rules = Rules {
+const RULES: ScalingRules = ScalingRules {
     slots: 10,
     grow: 1.3,
     shrink: 1.8,
 };
 
-fn pools(zones: u8) -> Vec<Pool> {
-    let pool = |zone: u8, class, price| Pool {
+fn pools(zones: u8) -> Vec<HostPool> {
+    let pool = |zone: u8, class, price| HostPool {
         zone: Zone::from(format!("zone-{zone}")),
         class,
         price: price + u64::from(zone),
@@ -31,8 +31,8 @@
         .collect()
 }
 
-fn need(busy: f64, floor: u32) -> Vec<Need> {
-    vec![Need {
+fn need(busy: f64, floor: u32) -> Vec<ModelNeed> {
+    vec![ModelNeed {
         model: "m".into(),
         busy,
         floor,
@@ -40,13 +40,13 @@
 }
 
 /// Carries out the starts and drains of a plan.
-fn carry_out(held: &mut Vec<Held>, steps: &[Step], pools: &[Pool]) {
+fn carry_out(held: &mut Vec<HeldHost>, steps: &[Step], pools: &[HostPool]) {
     for step in steps {
         match step {
             Step::Start { model, zone, class, .. } => {
                 let host = format!("h{}", held.len() + steps.len() * 1_000).as_str().into();
                 let price = pools.iter().find(|pool| pool.zone == *zone && pool.class == *class);
-                held.push(Held {
+                held.push(HeldHost {
                     host,
                     model: model.clone(),
                     zone: zone.clone(),
@@ -60,7 +60,12 @@
     }
 }
 
-fn settle(held: &mut Vec<Held>, needs: &[Need], pools: &[Pool], said: &BTreeMap<String, HostRule>) -> usize {
+fn settle(
+    held: &mut Vec<HeldHost>,
+    needs: &[ModelNeed],
+    pools: &[HostPool],
+    said: &BTreeMap<String, HostRule>,
+) -> usize {
     let mut rounds = 0;
     loop {
         let steps = plan(needs, held, pools, said, &RULES, true);
@@ -73,7 +78,7 @@
     }
 }
 
-fn after_loss(held: &[Held], zones: u8) -> usize {
+fn after_loss(held: &[HeldHost], zones: u8) -> usize {
     let in_zone = |zone: u8| {
         held.iter()
             .filter(|one| one.zone.as_str() == format!("zone-{zone}"))
@@ -199,7 +204,7 @@
 /// first, and no more load together than are allowed.
 #[test]
 fn urgent_loads() {
-    let load = |shortfall, size| Load { shortfall, size };
+    let load = |shortfall, size| WeightLoad { shortfall, size };
     let waiting = [load(0.2, 1), load(1.0, 9), load(0.5, 3), load(1.0, 2)];
     assert_eq!(next_loads(&waiting, 0, 3), [3, 1, 2]);
     assert_eq!(next_loads(&waiting, 2, 3), [3]);
--- a/crates/policy/tests/early_reclaim.rs
+++ b/crates/policy/tests/early_reclaim.rs
@@ -4,7 +4,7 @@
 
 use contract::{Listed, ServiceName, Zone};
 use policy::Tick;
-use policy::reclaim::{Reclaims, witnesses};
+use policy::reclaim::{ReportedReclaims, engines_to_probe};
 
 fn listed(id: &str, zone: &str, reclaimable: bool) -> Listed {
     Listed {
@@ -32,7 +32,7 @@
         listed("e", "z", false),
     ];
     let asked = |turn| -> Vec<Vec<String>> {
-        let groups = witnesses(&list, turn).into_iter();
+        let groups = engines_to_probe(&list, turn).into_iter();
         groups
             .map(|(_, two)| two.iter().map(|one| one.id.clone()).collect())
             .collect()
@@ -45,7 +45,7 @@
 /// nothing of them.
 #[test]
 fn newcomers_stay() {
-    let mut reclaims = Reclaims::default();
+    let mut reclaims = ReportedReclaims::default();
     let group = (ServiceName::from("m"), Zone::from("z"));
     reclaims.note(group.clone(), Tick::from_millis(2_000), Tick::from_millis(1_000));
     let mut list = [listed("b", "z", true), listed("e", "z", false)];
--- a/crates/policy/tests/fair_queue.rs
+++ b/crates/policy/tests/fair_queue.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use policy::Tick;
-use policy::fair::{FairQueue, Refused, Ticket};
+use policy::fair::{FairQueue, RefusalReason, Ticket};
 use quickcheck::{Gen, QuickCheck};
 
 fn ticket(id: u64, customer: &str, share: u32) -> Ticket {
@@ -39,10 +39,13 @@
     let mut queue = FairQueue::new(1);
     assert_eq!(
         queue.push(ticket(1, "a", 1), Tick::from_millis(1_001)),
-        Err(Refused::TooLate)
+        Err(RefusalReason::TooLate)
     );
     queue.push(ticket(2, "a", 1), Tick::default()).unwrap();
-    assert_eq!(queue.push(ticket(3, "a", 1), Tick::default()), Err(Refused::QueueFull));
+    assert_eq!(
+        queue.push(ticket(3, "a", 1), Tick::default()),
+        Err(RefusalReason::QueueFull)
+    );
     assert_eq!(queue.expire(Tick::from_millis(1_001)).len(), 1);
     assert!(queue.is_empty());
 }
@@ -207,7 +210,7 @@
         shed: 5,
         ..ticket(101, "flood", 1)
     };
-    assert_eq!(queue.push(late, Tick::default()), Err(Refused::QueueFull));
+    assert_eq!(queue.push(late, Tick::default()), Err(RefusalReason::QueueFull));
     let urgent = queue.push(ticket(102, "flood", 1), Tick::default()).unwrap();
     assert!(urgent.is_some_and(|ticket| ticket.customer.as_str() == "flood" && ticket.shed == 1));
     assert_eq!(queue.len(), 10);
--- a/crates/policy/tests/fleet_plan.rs
+++ b/crates/policy/tests/fleet_plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use contract::{Scaling, Zone};
-use policy::fleet::{Present, Wanted, needed, plan};
+use policy::fleet::{ZoneSupply, ZoneTarget, plan, upstreams_needed};
 use quickcheck::quickcheck;
 
 fn scaling(spot_price: f64) -> Scaling {
@@ -20,9 +20,9 @@
     }
 }
 
-fn present(counts: [(u32, u32, bool); 4]) -> BTreeMap<Zone, Present> {
+fn present(counts: [(u32, u32, bool); 4]) -> BTreeMap<Zone, ZoneSupply> {
     let zones = ["a", "b", "c", "d"].into_iter().map(Zone::from);
-    let there = counts.into_iter().map(|(on_demand, reclaimable, dry)| Present {
+    let there = counts.into_iter().map(|(on_demand, reclaimable, dry)| ZoneSupply {
         on_demand,
         reclaimable,
         dry,
@@ -32,7 +32,7 @@
     zones.zip(there).collect()
 }
 
-fn sum(wanted: &BTreeMap<Zone, Wanted>, of: impl Fn(&Wanted) -> u32) -> u32 {
+fn sum(wanted: &BTreeMap<Zone, ZoneTarget>, of: impl Fn(&ZoneTarget) -> u32) -> u32 {
     wanted.values().map(of).sum()
 }
 
@@ -99,15 +99,15 @@
 /// a slot all day.
 #[test]
 fn few_slots() {
-    assert!(needed(60.0, 3.1, 12) >= 10.0);
-    assert!(needed(60.0, 3.1, 64) < 8.0);
+    assert!(upstreams_needed(60.0, 3.1, 12) >= 10.0);
+    assert!(upstreams_needed(60.0, 3.1, 64) < 8.0);
 }
 
 /// Requests pile up behind an overload. The fleet must not be ordered for the pile: it would be there when the pile is gone,
 /// and cost as much as all the rest of the day.
 #[test]
 fn pile_is_bounded() {
-    assert!(needed(500.0, 1.4, 64) < 9.0);
+    assert!(upstreams_needed(500.0, 1.4, 64) < 9.0);
 }
 
 /// The next look at the list comes while the on-demand upstreams of the last one start. They are counted, so that no order
@@ -123,8 +123,8 @@
 /// too, but only as far as a pile of waiting requests may.
 #[test]
 fn prompts_count() {
-    assert!(needed(100.0, 0.16, 64) > 3.0);
-    assert!(needed(10.0, 2.8, 64) > 6.0);
+    assert!(upstreams_needed(100.0, 0.16, 64) > 3.0);
+    assert!(upstreams_needed(10.0, 2.8, 64) > 6.0);
 }
 
 /// Where reclaimable upstreams cost as much as others, there is no reason to risk them.
--- a/crates/policy/tests/host_life.rs
+++ b/crates/policy/tests/host_life.rs
@@ -4,14 +4,14 @@
 
 use contract::HostId;
 use policy::Tick;
-use policy::life::{AnyLife, Lives, Sign};
+use policy::life::{AnyHostState, HostEvent, HostStates};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Debug)]
 struct Heard {
     host: u8,
     incarnation: u64,
-    sign: Sign,
+    sign: HostEvent,
     after_ms: u64,
 }
 
@@ -19,14 +19,14 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let left = u64::arbitrary(g) % 60_000;
         let signs = [
-            Sign::Leaves { left: None },
-            Sign::Leaves {
+            HostEvent::Leaves { left: None },
+            HostEvent::Leaves {
                 left: Some(Duration::from_millis(left)),
             },
-            Sign::Gone,
-            Sign::Refused,
-            Sign::Answered,
-            Sign::Answered,
+            HostEvent::Gone,
+            HostEvent::Refused,
+            HostEvent::Answered,
+            HostEvent::Answered,
         ];
         Self {
             host: u8::arbitrary(g) % 3,
@@ -41,8 +41,8 @@
     HostId::from(format!("host-{host}"))
 }
 
-fn tells_end(sign: Sign) -> bool {
-    matches!(sign, Sign::Leaves { .. } | Sign::Gone)
+fn tells_end(sign: HostEvent) -> bool {
+    matches!(sign, HostEvent::Leaves { .. } | HostEvent::Gone)
 }
 
 fn check(property: fn(Vec<Heard>) -> bool) {
@@ -57,7 +57,7 @@
 #[test]
 fn never_back() {
     fn holds(all: Vec<Heard>) -> bool {
-        let mut lives = Lives::default();
+        let mut lives = HostStates::default();
         let mut now = Tick::default();
         let mut ended = Vec::new();
         for heard in all {
@@ -79,7 +79,7 @@
 #[test]
 fn doubled_signs() {
     fn same(all: Vec<Heard>) -> bool {
-        let (mut once, mut twice) = (Lives::default(), Lives::default());
+        let (mut once, mut twice) = (HostStates::default(), HostStates::default());
         for heard in &all {
             let now = Tick::default();
             once.hear(&name(heard.host), heard.incarnation, heard.sign, now);
@@ -96,7 +96,7 @@
 #[test]
 fn new_incarnation() {
     fn fresh(all: Vec<Heard>) -> bool {
-        let mut lives = Lives::default();
+        let mut lives = HostStates::default();
         let last = |host| {
             all.iter()
                 .filter(|heard| heard.host == host)
@@ -113,14 +113,14 @@
 
 #[test]
 fn earliest_end() {
-    let mut lives = Lives::default();
+    let mut lives = HostStates::default();
     let now = Tick::from_millis(1_000);
     let host = name(0);
     for left in [30_000, 5_000, 20_000] {
         let left = Some(Duration::from_millis(left));
-        lives.hear(&host, 0, Sign::Leaves { left }, now);
+        lives.hear(&host, 0, HostEvent::Leaves { left }, now);
     }
-    let AnyLife::Leaving(life) = lives.stage(&host, 0) else {
+    let AnyHostState::Leaving(life) = lives.stage(&host, 0) else {
         panic!("not leaving");
     };
     assert_eq!(life.gone_at(), Some(Tick::from_millis(6_000)));
@@ -129,10 +129,10 @@
 /// A host refuses connections without any notice. Nothing new goes there until it answers again.
 #[test]
 fn refused_host() {
-    let mut lives = Lives::default();
+    let mut lives = HostStates::default();
     let host = name(0);
-    lives.hear(&host, 4, Sign::Refused, Tick::default());
+    lives.hear(&host, 4, HostEvent::Refused, Tick::default());
     assert!(!lives.takes_work(&host, 4));
-    lives.hear(&host, 4, Sign::Answered, Tick::default());
+    lives.hear(&host, 4, HostEvent::Answered, Tick::default());
     assert!(lives.takes_work(&host, 4));
 }
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -6,7 +6,7 @@
 
 use contract::Limits;
 use policy::Tick;
-use policy::limits::{Amounts, Peer, Share, part_of};
+use policy::limits::{CustomerShare, LimitAmounts, PeerDemand, owned_part};
 
 /// Steps between two rounds of datagrams of one host.
 const ROUND: u64 = 5;
@@ -25,9 +25,9 @@
 }
 
 struct Host {
-    share: Share,
+    share: CustomerShare,
     alive: bool,
-    wanted: Amounts,
+    wanted: LimitAmounts,
     running: f64,
     incarnation: u64,
     sequence: u64,
@@ -41,17 +41,17 @@
     incarnation: u64,
     sequence: u64,
     heard: Option<(u64, u64)>,
-    told: Peer,
-    lent: Amounts,
+    told: PeerDemand,
+    lent: LimitAmounts,
 }
 
 impl Hosts {
     pub fn new(count: usize, limits: Limits, seed: u64) -> Self {
         let now = Tick::default();
         let host = |_| Host {
-            share: Share::new(count == 1, now),
+            share: CustomerShare::new(count == 1, now),
             alive: true,
-            wanted: Amounts::default(),
+            wanted: LimitAmounts::default(),
             running: 0.0,
             incarnation: 1,
             sequence: 0,
@@ -92,7 +92,7 @@
 
     /// Sets what one host's callers ask for.
     pub fn ask(&mut self, host: usize, demand: f64) {
-        self.all[host].wanted = Amounts::from([demand, demand * 40.0, demand / 5.0]);
+        self.all[host].wanted = LimitAmounts::from([demand, demand * 40.0, demand / 5.0]);
     }
 
     /// Gives what the callers of each host ask for, in requests a second.
@@ -113,7 +113,7 @@
         let count = self.all.len();
         let now = self.now;
         let host = &mut self.all[host];
-        host.share = Share::new(count == 1, now);
+        host.share = CustomerShare::new(count == 1, now);
         host.alive = true;
         host.incarnation += 1;
         host.sequence = 0;
@@ -150,16 +150,16 @@
         self.deliver();
     }
 
-    fn allowed(&self, host: usize) -> Amounts {
+    fn allowed(&self, host: usize) -> LimitAmounts {
         if !self.all[host].alive {
-            return Amounts::default();
+            return LimitAmounts::default();
         }
-        let part = part_of(&self.limits, self.all.len() as u32, host as u32);
+        let part = owned_part(&self.limits, self.all.len() as u32, host as u32);
         self.all[host].share.usable(part, self.now)
     }
 
     fn send(&mut self, from: usize) {
-        let part = part_of(&self.limits, self.all.len() as u32, from as u32);
+        let part = owned_part(&self.limits, self.all.len() as u32, from as u32);
         let host = &mut self.all[from];
         host.sequence += 1;
         host.sent.push(self.now);
@@ -174,7 +174,7 @@
                 incarnation: host.incarnation,
                 sequence: host.sequence,
                 heard: host.heard[to],
-                told: Peer {
+                told: PeerDemand {
                     wanted: host.wanted,
                     running: host.running,
                 },
--- a/crates/policy/tests/learnt_pace.rs
+++ b/crates/policy/tests/learnt_pace.rs
@@ -1,6 +1,6 @@
 //! The speed of engines is learnt from answers, whatever it was taken for before.
 
-use policy::pace::{Own, Pace, Rates, Reading};
+use policy::pace::{EngineRates, PrefillWork, RelativeSpeed, SpeedEstimate};
 use quickcheck::quickcheck;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -8,10 +8,10 @@
 /// Answers of half a minute at one entry host.
 const ANSWERS: usize = 200;
 
-fn prompt(rng: &mut StdRng) -> Reading {
+fn prompt(rng: &mut StdRng) -> PrefillWork {
     // Short questions, and plans whose shared part is cached most of the time.
     let long = rng.random_bool(0.5);
-    Reading {
+    PrefillWork {
         cached: if long { rng.random_range(0..20_000) } else { 0 },
         fresh: if long {
             rng.random_range(1_000..30_000)
@@ -22,9 +22,9 @@
 }
 
 /// Draws rates over a factor of eight each.
-fn engine(rng: &mut StdRng) -> Rates {
+fn engine(rng: &mut StdRng) -> EngineRates {
     let mut draw = |middle: f64| middle * (rng.random_range(-1.04..1.04f64)).exp();
-    Rates {
+    EngineRates {
         base_ms: draw(15.0),
         token_ms: draw(0.02),
         pairs_ms: draw(0.3),
@@ -32,15 +32,15 @@
     }
 }
 
-fn seen(rates: &Rates, reading: Reading, rng: &mut StdRng) -> f64 {
+fn seen(rates: &EngineRates, reading: PrefillWork, rng: &mut StdRng) -> f64 {
     (rates.base_ms + rates.reading_ms(reading)) * rng.random_range(0.95..1.1)
 }
 
 /// Gives by which factor what is learnt differs from what a prompt takes, at most, over prompts of common sizes.
-fn error(learnt: &Rates, real: &Rates) -> f64 {
+fn error(learnt: &EngineRates, real: &EngineRates) -> f64 {
     let sizes = [(0, 1_500), (0, 8_000), (12_000, 4_000), (0, 25_000)];
     let ratio = |(cached, fresh)| {
-        let reading = Reading { cached, fresh };
+        let reading = PrefillWork { cached, fresh };
         (learnt.reading_ms(reading) / real.reading_ms(reading)).ln().abs()
     };
     sizes.into_iter().map(ratio).fold(0.0, f64::max).exp()
@@ -51,7 +51,7 @@
 fn learnt_error(seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let real = engine(&mut rng);
-    let mut pace = Pace::default();
+    let mut pace = SpeedEstimate::default();
     for _ in 0..ANSWERS {
         let reading = prompt(&mut rng);
         let spoiled = if rng.random_bool(0.1) {
@@ -78,14 +78,14 @@
 quickcheck! {
     /// Whatever comes, a rate stays a rate: one that became nothing or endless would send all prompts to one engine.
     fn stays_finite(answers: Vec<(u32, u32, u32)>) -> bool {
-        let mut pace = Pace::default();
-        let mut own = Own::default();
+        let mut pace = SpeedEstimate::default();
+        let mut own = RelativeSpeed::default();
         for (cached, fresh, ms) in answers {
-            let reading = Reading { cached: u64::from(cached), fresh: u64::from(fresh) };
+            let reading = PrefillWork { cached: u64::from(cached), fresh: u64::from(fresh) };
             pace.learn(reading, f64::from(ms), own.factor());
             own.learn(f64::from(ms), pace.rates().reading_ms(reading));
         }
-        let Rates { base_ms, token_ms, pairs_ms, .. } = pace.rates();
+        let EngineRates { base_ms, token_ms, pairs_ms, .. } = pace.rates();
         [base_ms, token_ms, pairs_ms, own.factor()].iter().all(|rate| rate.is_finite() && *rate > 0.0)
     }
 }
@@ -95,8 +95,8 @@
 #[test]
 fn speed_changes() {
     let mut rng = StdRng::seed_from_u64(4);
-    let mut pace = Pace::default();
-    let mut real = Rates {
+    let mut pace = SpeedEstimate::default();
+    let mut real = EngineRates {
         base_ms: 14.0,
         token_ms: 0.01,
         pairs_ms: 0.2,
@@ -118,7 +118,7 @@
 #[test]
 fn one_slower() {
     let mut rng = StdRng::seed_from_u64(5);
-    let mut own = Own::default();
+    let mut own = RelativeSpeed::default();
     for _ in 0..40 {
         own.learn(300.0 * rng.random_range(0.9..1.1), 100.0);
     }
--- a/crates/policy/tests/node_choice.rs
+++ b/crates/policy/tests/node_choice.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use policy::Tick;
-use policy::paging::Paging;
-use policy::sources::Sources;
+use policy::paging::PageSize;
+use policy::sources::NodeSelector;
 
 fn nodes() -> BTreeSet<SocketAddr> {
     (1..=5).map(node).collect()
@@ -19,7 +19,7 @@
 /// Guards against a host that asks one silent node after the other, a second each, while the leader has what it lacks.
 #[test]
 fn leader_when_behind() {
-    let mut sources = Sources::new(1);
+    let mut sources = NodeSelector::new(1);
     let now = Tick::from_millis(1_000);
     assert_eq!(sources.pick(&nodes(), None, now), Some(node(2)));
     sources.fail(node(2), now);
@@ -31,7 +31,7 @@
 /// Guards against a silent node that is asked again before all others were.
 #[test]
 fn silent_avoided() {
-    let mut sources = Sources::new(0);
+    let mut sources = NodeSelector::new(0);
     for port in 1..=4 {
         let now = Tick::from_millis(u64::from(port) * 900);
         assert_eq!(sources.pick(&nodes(), None, now), Some(node(port)));
@@ -51,7 +51,7 @@
 /// Guards against pages that stay too large for a link: each of them would be given up before it has arrived.
 #[test]
 fn smaller_pages() {
-    let mut paging = Paging::default();
+    let mut paging = PageSize::default();
     let first = paging.bytes();
     paging.lost();
     assert!(paging.bytes() <= first / 2);
--- a/crates/policy/tests/prefix_history.rs
+++ b/crates/policy/tests/prefix_history.rs
@@ -1,8 +1,8 @@
 //! The history of prefixes: bounded, and corrected by cache events that are late, doubled and with gaps.
 
 use policy::Tick;
-use policy::cache::{CacheEvent, EventCursor, Trust};
-use policy::prefix::{BLOCK, History, Prefix};
+use policy::cache::{CacheEvent, CacheTrust, EventCursor};
+use policy::prefix::{BLOCK, Prefix, PrefixIndex};
 use quickcheck::{Gen, QuickCheck};
 
 fn words(count: usize, seed: usize) -> Vec<String> {
@@ -15,7 +15,7 @@
 
 #[test]
 fn grows_along() {
-    let mut history = History::new(1_024);
+    let mut history = PrefixIndex::new(1_024);
     let mut text = words(100, 1);
     history.store(&prefix(&text), 7, Tick::default());
     text.extend(words(50, 2));
@@ -30,7 +30,7 @@
 /// The one that holds the rest of the conversation must still be found by it.
 #[test]
 fn crowded_start() {
-    let mut history = History::new(4_096);
+    let mut history = PrefixIndex::new(4_096);
     let start = words(5 * BLOCK, 1);
     let mut session = start.clone();
     session.extend(words(20 * BLOCK, 2));
@@ -44,7 +44,7 @@
 
 #[test]
 fn bounded_memory() {
-    let mut history = History::new(1_000);
+    let mut history = PrefixIndex::new(1_000);
     let bytes = history.bytes();
     assert_eq!(bytes, 1_024 * 32);
     for seed in 0..1_000 {
@@ -108,7 +108,7 @@
     cursor.apply(&[event(1), event(2)]);
     let applied = cursor.apply(&[event(8), event(9), event(10)]);
     assert_eq!((applied.lost, applied.fresh.len(), applied.restarted), (5, 3, false));
-    let mut trust = Trust::default();
+    let mut trust = CacheTrust::default();
     trust.lost(applied.lost, applied.fresh.len());
     assert!(trust.share() < 1.0);
     assert_eq!(cursor.after(), 9);
@@ -120,7 +120,7 @@
 
 #[test]
 fn trust_follows() {
-    let mut trust = Trust::default();
+    let mut trust = CacheTrust::default();
     for _ in 0..50 {
         trust.counted(1_000, 0);
     }
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use policy::Tick;
-use policy::backlog::{Backlog, Sent};
-use policy::homes::{Uses, believe_home};
-use policy::pace::{Rates, Reading};
-use policy::place::{Cached, Candidate, Part, Wish, choose};
+use policy::backlog::{Backlog, SentRequest};
+use policy::homes::{PartUsage, assume_home_cached};
+use policy::pace::{EngineRates, PrefillWork};
+use policy::place::{CachedParts, Candidate, PromptNeed, PromptPart, choose};
 
 fn candidate(at: usize, load: f64) -> Candidate {
     Candidate {
@@ -22,27 +22,27 @@
 }
 
 /// The rates of a usual engine.
-const RATES: Rates = Rates {
+const RATES: EngineRates = EngineRates {
     base_ms: 0.0,
     token_ms: 1.0 / 64.0,
     pairs_ms: 0.65,
     run_ms: 1_000.0,
 };
 
-fn wish(tokens: u64) -> Wish {
-    Wish {
+fn wish(tokens: u64) -> PromptNeed {
+    PromptNeed {
         tokens,
         pause_ms: 600.0,
     }
 }
 
 fn reading_ms(cached: u64, fresh: u64) -> f64 {
-    RATES.reading_ms(Reading { cached, fresh })
+    RATES.reading_ms(PrefillWork { cached, fresh })
 }
 
-fn sent(fresh: u64, predicted_ms: f64) -> Sent {
-    let reading = Reading { cached: 0, fresh };
-    Sent {
+fn sent(fresh: u64, predicted_ms: f64) -> SentRequest {
+    let reading = PrefillWork { cached: 0, fresh };
+    SentRequest {
         reading,
         reading_ms: RATES.reading_ms(reading),
         predicted_ms,
@@ -98,7 +98,7 @@
     let mut two = [candidate(0, 2.0), candidate(1, 2.0)];
     two[1].backlog_ms = 60.0;
     assert_eq!(chosen(&two, 9_000), 0);
-    believe_home(&mut two, 6_000, |_| 1.0);
+    assume_home_cached(&mut two, 6_000, |_| 1.0);
     assert_eq!(chosen(&two, 9_000), 1);
 }
 
@@ -106,7 +106,7 @@
 /// as held, the next requests would be sent behind a second of reading, all of them late.
 #[test]
 fn new_home_empty() {
-    let mut uses = Uses::default();
+    let mut uses = PartUsage::default();
     let at = Tick::from_millis;
     for ms in (0..20_000).step_by(500) {
         uses.note(ms / 500 % 4, at(ms));
@@ -116,10 +116,10 @@
     assert!(held(0) < 0.01);
     assert!((0.2..0.8).contains(&held(200)), "{}", held(200));
     assert!(held(5_000) > 0.99);
-    let first = Uses::default();
+    let first = PartUsage::default();
     assert!(first.read_by_others(1, 7, Duration::from_mins(1), now) < 0.01);
     let mut home = [candidate(0, 0.0)];
-    believe_home(&mut home, 40_000, |_| held(0));
+    assume_home_cached(&mut home, 40_000, |_| held(0));
     assert!(home[0].cached < 400);
 }
 
@@ -127,7 +127,7 @@
 /// would be.
 #[test]
 fn seldom_used() {
-    let mut uses = Uses::default();
+    let mut uses = PartUsage::default();
     for ms in (0..20_000).step_by(100) {
         uses.note(1, Tick::from_millis(ms));
     }
@@ -151,7 +151,7 @@
 #[test]
 fn long_prompt_apart() {
     let mut two = [candidate(0, 0.0), candidate(1, 8.0)];
-    believe_home(&mut two, 5_000, |_| 1.0);
+    assume_home_cached(&mut two, 5_000, |_| 1.0);
     assert_eq!(chosen(&two, 40_000), 0);
     assert_eq!(chosen(&two, 6_000), 1);
 }
@@ -184,8 +184,8 @@
 
 #[test]
 fn beginnings_only() {
-    let part = |key| Part { key, tokens: 100 };
-    let mut cached = Cached::default();
+    let part = |key| PromptPart { key, tokens: 100 };
+    let mut cached = CachedParts::default();
     cached.store(&[part(1), part(3)], Tick::default());
     assert_eq!(cached.tokens(&[part(1), part(2), part(3)], Tick::default()), 100);
     assert_eq!(cached.tokens(&[part(1)], Tick::from_millis(120_000)), 0);
--- a/crates/policy/tests/quota_parts.rs
+++ b/crates/policy/tests/quota_parts.rs
@@ -5,7 +5,7 @@
 
 use contract::{NodeId, Quota};
 use policy::Tick;
-use policy::parts::{EVEN, Sharers, Slack};
+use policy::parts::{EVEN, QuotaAllocator, Slack};
 use policy::quota::Bucket;
 use quickcheck::quickcheck;
 
@@ -25,8 +25,8 @@
     NodeId::from(format!("e{at}"))
 }
 
-fn settled() -> Sharers {
-    let mut sharers = Sharers::new(0, Tick::default());
+fn settled() -> QuotaAllocator {
+    let mut sharers = QuotaAllocator::new(0, Tick::default());
     for at in 0..HOSTS {
         let _ = sharers.beat(&name(at), Tick::from_millis(500));
     }
@@ -36,7 +36,7 @@
 /// A new leader has heard of one entry host out of eight. If it gave parts at once, the first would own the whole quota.
 #[test]
 fn listens_first() {
-    let mut sharers = Sharers::new(0, Tick::default());
+    let mut sharers = QuotaAllocator::new(0, Tick::default());
     assert_eq!(sharers.beat(&name(0), Tick::from_millis(100)), None);
     let mut sharers = settled();
     let portion = sharers.beat(&name(0), Tick::from_millis(1_100)).unwrap();
@@ -47,7 +47,7 @@
 /// entry host that is back gets its part at once, and not the whole.
 #[test]
 fn left_count() {
-    let mut sharers = Sharers::new(8, Tick::default());
+    let mut sharers = QuotaAllocator::new(8, Tick::default());
     let portion = sharers.beat(&name(0), Tick::from_millis(10)).unwrap();
     assert_eq!(portion.entries, 8);
     let portion = sharers.beat(&name(0), Tick::from_millis(40_000)).unwrap();
@@ -64,7 +64,7 @@
 
 /// The system as its accounts meet it: entry hosts with their parts, and the leader with the rest.
 struct System {
-    sharers: Sharers,
+    sharers: QuotaAllocator,
     hosts: Vec<Bucket>,
     quota: Quota,
     slack: Slack,
@@ -72,7 +72,7 @@
 
 impl System {
     fn start(hosts: usize, quota: Quota, slack: Slack) -> Self {
-        let mut sharers = Sharers::new(hosts as u32, Tick::default());
+        let mut sharers = QuotaAllocator::new(hosts as u32, Tick::default());
         sharers.set_quotas(&[("a".to_owned(), quota)], &slack, Tick::default());
         let mut system = Self {
             sharers,
--- a/crates/policy/tests/repeat_budget.rs
+++ b/crates/policy/tests/repeat_budget.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use policy::Tick;
-use policy::retries::{Bounds, Repeats};
+use policy::retries::{RetryBounds, RetryWindow};
 use quickcheck::quickcheck;
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: RetryBounds = RetryBounds {
     ratio: 0.2,
     extra: 56.0,
     window: Duration::from_secs(10),
@@ -17,7 +17,7 @@
 /// be more than the share of the requests and the fixed number.
 #[test]
 fn all_fail() {
-    let mut hosts = vec![Repeats::default(); HOSTS];
+    let mut hosts = vec![RetryWindow::default(); HOSTS];
     let mut repeats: Vec<u64> = Vec::new();
     for ms in (0..40_000).step_by(10) {
         let host = &mut hosts[ms as usize / 10 % HOSTS];
@@ -42,7 +42,7 @@
 
 quickcheck! {
     fn one_host(pauses: Vec<u8>) -> bool {
-        let mut host = Repeats::default();
+        let mut host = RetryWindow::default();
         let (mut now, mut given) = (0, 0_u32);
         for pause in pauses {
             now += u64::from(pause);
--- a/crates/policy/tests/rescue_plan.rs
+++ b/crates/policy/tests/rescue_plan.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use policy::rescue::{How, Rates, Stream, plan};
+use policy::rescue::{Rates, Stream, StreamAction, plan};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
     }
 }
 
-fn planned(all: &[Any], export: bool) -> (Vec<Stream<u8>>, Vec<(usize, How)>) {
+fn planned(all: &[Any], export: bool) -> (Vec<Stream<u8>>, Vec<(usize, StreamAction)>) {
     let streams: Vec<Stream<u8>> = all.iter().map(|any| any.0).collect();
     let steps = plan(&streams, &rates(export));
     (streams, steps)
@@ -62,12 +62,15 @@
     fn fits(all: Vec<Any>) -> bool {
         let (streams, steps) = planned(&all, true);
         let mut busy: HashMap<u8, Duration> = HashMap::new();
-        steps.iter().filter(|(_, how)| *how == How::Export).all(|(at, _)| {
-            let stream = &streams[*at];
-            let sum = busy.entry(stream.source).or_default();
-            *sum += Duration::from_micros(130).mul_f64(stream.tokens as f64);
-            *sum <= stream.left
-        })
+        steps
+            .iter()
+            .filter(|(_, how)| *how == StreamAction::Export)
+            .all(|(at, _)| {
+                let stream = &streams[*at];
+                let sum = busy.entry(stream.source).or_default();
+                *sum += Duration::from_micros(130).mul_f64(stream.tokens as f64);
+                *sum <= stream.left
+            })
     }
     check(fits);
 }
@@ -79,7 +82,7 @@
         steps.iter().all(|(at, how)| {
             let stream = &streams[*at];
             let needs = stream.step * stream.remaining as u32;
-            *how != How::Finish || needs <= stream.left
+            *how != StreamAction::Finish || needs <= stream.left
         })
     }
     check(in_time);
@@ -90,7 +93,7 @@
     fn first(all: Vec<Any>) -> bool {
         let (streams, steps) = planned(&all, true);
         let misses = |at: &usize| Duration::from_micros(250).mul_f64(streams[*at].tokens as f64) > streams[*at].slack;
-        let moves = steps.iter().filter(|(_, how)| *how != How::Finish);
+        let moves = steps.iter().filter(|(_, how)| *how != StreamAction::Finish);
         let order: Vec<bool> = moves.map(|(at, _)| misses(at)).collect();
         order.is_sorted_by(|a, b| a >= b)
     }
@@ -101,7 +104,7 @@
 fn export_off() {
     fn never(all: Vec<Any>) -> bool {
         let (_, steps) = planned(&all, false);
-        steps.iter().all(|(_, how)| *how != How::Export)
+        steps.iter().all(|(_, how)| *how != StreamAction::Export)
     }
     check(never);
 }
@@ -118,5 +121,12 @@
         failed: 0,
     };
     let steps = plan(&[stream(500), stream(13_000), stream(20)], &rates(true));
-    assert_eq!(steps, [(1, How::Export), (0, How::Export), (2, How::Replay)]);
+    assert_eq!(
+        steps,
+        [
+            (1, StreamAction::Export),
+            (0, StreamAction::Export),
+            (2, StreamAction::Replay)
+        ]
+    );
 }
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -4,8 +4,10 @@
 
 use contract::{MachineClass, UpstreamId};
 use policy::Tick;
-use policy::load::{LoadEstimate, Predicted, Report};
-use policy::route::{CANDIDATES, Candidate, Group, Lost, Need, Place, Rates, Reason, Routing, Rules, Without, choose};
+use policy::load::{LoadEstimate, LoadReport, Predicted};
+use policy::route::{
+    Ablation, CANDIDATES, Candidate, Group, GroupMember, Need, NotChosen, Rates, Reason, Routing, Rules, choose,
+};
 use quickcheck::{Gen, QuickCheck};
 
 fn candidate(id: &UpstreamId, load: f64, cached: u64) -> Candidate<'_> {
@@ -37,7 +39,7 @@
 }
 
 fn group(count: u32) -> Group {
-    let place = |number| Place {
+    let place = |number| GroupMember {
         number,
         id: format!("engine-{number}").into(),
         near: number % 4 == 0,
@@ -57,7 +59,7 @@
     let full = [candidate(&home, 60.0, 1_984), candidate(&other, 0.0, 0)];
     let choice = choose(&rules, &full, &need(), &rates).unwrap();
     assert_eq!(choice.chosen, other);
-    assert!(matches!(choice.weighed[0].lost, Some(Lost::Behind { by }) if by > 0.0));
+    assert!(matches!(choice.weighed[0].lost, Some(NotChosen::Behind { by }) if by > 0.0));
     assert_eq!(choice.weighed[1].lost, None);
 }
 
@@ -78,7 +80,7 @@
         calm
     );
     let rules = Rules {
-        without: vec![Without::Risk],
+        without: vec![Ablation::Risk],
         ..Rules::default()
     };
     assert_eq!(choose(&rules, &candidates, &long, &rates).unwrap().chosen, zone);
@@ -89,9 +91,9 @@
 #[test]
 fn expired_report() {
     let mut estimate = LoadEstimate::default();
-    estimate.report(Report {
+    estimate.report(LoadReport {
         measured: Tick::from_millis(1_000),
-        ..Report::default()
+        ..LoadReport::default()
     });
     let expiry = Duration::from_secs(3);
     assert_eq!(
@@ -119,10 +121,10 @@
         for at in &sends {
             estimate.sent(Tick::from_millis(u64::from(*at)));
         }
-        let report = |at: u16| Report {
+        let report = |at: u16| LoadReport {
             measured: Tick::from_millis(u64::from(at)),
             running: sends.iter().filter(|sent| **sent <= at).count() as u32,
-            ..Report::default()
+            ..LoadReport::default()
         };
         estimate.report(report(measured.max(late)));
         let newer = estimate.report(report(measured.min(late)));
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -2,11 +2,11 @@
 
 use contract::{MachineClass, UpstreamId};
 use policy::load::Predicted;
-use policy::route::{Candidate, Choice, Group, Need, Place, Rates, Reason, Rules, Without, choose};
+use policy::route::{Ablation, Candidate, Choice, Group, GroupMember, Need, Rates, Reason, Rules, choose};
 use quickcheck::{Gen, QuickCheck};
 
 fn group(numbers: &[u32], near: u32) -> Group {
-    let place = |number: &u32| Place {
+    let place = |number: &u32| GroupMember {
         number: *number,
         id: format!("engine-{number}").into(),
         near: number % 4 == near,
@@ -84,5 +84,5 @@
 
 #[test]
 fn ablation_name() {
-    assert_eq!("home".parse::<Without>().unwrap(), Without::Home);
+    assert_eq!("home".parse::<Ablation>().unwrap(), Ablation::Home);
 }
--- a/crates/policy/tests/zone_silence.rs
+++ b/crates/policy/tests/zone_silence.rs
@@ -1,7 +1,7 @@
 //! A data centre that is cut off is noticed from what is not heard of it.
 
 use policy::Tick;
-use policy::reach::Reach;
+use policy::reach::Reachability;
 
 fn at(ms: u64) -> Tick {
     Tick::from_millis(ms)
@@ -11,7 +11,7 @@
 /// second later, a deposit only after four, and whatever comes from there ends it at once.
 #[test]
 fn cut_off() {
-    let reach = Reach::default();
+    let reach = Reachability::default();
     reach.hear(at(1_000));
     reach.waits(at(1_010), at(1_200));
     assert!(!reach.is_silent(true, at(1_200)));
@@ -25,7 +25,7 @@
 /// One upstream hangs, or reads a long prompt, while others of its data centre answer. The data centre is not to blame.
 #[test]
 fn one_hangs() {
-    let reach = Reach::default();
+    let reach = Reachability::default();
     reach.hear(at(2_900));
     reach.waits(at(1_000), at(3_000));
     reach.hangs(at(3_000));
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -5,7 +5,7 @@
 
 use contract::{Listed, Scaling, ServiceName, Zone};
 use policy::Tick;
-use policy::fleet::{Present, needed, plan};
+use policy::fleet::{ZoneSupply, plan, upstreams_needed};
 use slog::info;
 use tokio::sync::oneshot;
 
@@ -106,7 +106,7 @@
         for (service, scaling, slots) in scaled {
             let load = loads.get(service.as_str()).copied().unwrap_or_default();
             let present = self.present(&service, &scaling, &list, now);
-            let told = needed(load.running, load.reading, slots);
+            let told = upstreams_needed(load.running, load.reading, slots);
             let Some(needed) = self.peak(&service, told, &list, now) else {
                 continue;
             };
@@ -168,9 +168,15 @@
         Some(peak.needed)
     }
 
-    fn present(&self, service: &ServiceName, scaling: &Scaling, list: &[Listed], now: Tick) -> BTreeMap<Zone, Present> {
+    fn present(
+        &self,
+        service: &ServiceName,
+        scaling: &Scaling,
+        list: &[Listed],
+        now: Tick,
+    ) -> BTreeMap<Zone, ZoneSupply> {
         let zones = scaling.prices.keys().cloned();
-        let mut present: BTreeMap<Zone, Present> = zones.map(|zone| (zone, Present::default())).collect();
+        let mut present: BTreeMap<Zone, ZoneSupply> = zones.map(|zone| (zone, ZoneSupply::default())).collect();
         for one in list.iter().filter(|one| one.service == *service && !one.leaving) {
             let there = present.entry(one.zone.clone()).or_default();
             if one.reclaimable {
--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -7,7 +7,7 @@
 use contract::Listed;
 use crossbeam_channel::Sender;
 use metrics::counter;
-use policy::reclaim::{Group, witnesses};
+use policy::reclaim::{ReclaimGroup, engines_to_probe};
 use slog::{Logger, debug, info};
 use telemetry::Clock;
 use tokio::sync::oneshot;
@@ -68,7 +68,7 @@
         let Some(list) = self.registry.list(self.clock.now(), LIST_FRESH) else {
             return;
         };
-        for (group, asked) in witnesses(&list, turn) {
+        for (group, asked) in engines_to_probe(&list, turn) {
             if let Some(left) = self.left(&asked) {
                 self.tell(term, group, left, asked.len());
             }
@@ -96,7 +96,7 @@
         })
     }
 
-    fn tell(&self, term: u64, group: Group, left: Duration, witnesses: usize) {
+    fn tell(&self, term: u64, group: ReclaimGroup, left: Duration, witnesses: usize) {
         let now = self.clock.now();
         info!(self.logger, "engines tell of a reclaim"; "service" => %group.0, "zone" => %group.1,
             "left_ms" => left.as_millis() as u64, "witnesses" => witnesses);
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -10,8 +10,8 @@
 use metrics::gauge;
 use parking_lot::Mutex;
 use policy::Tick;
-use policy::parts::{Sharers, Slack};
-use policy::reclaim::{Group, Reclaims};
+use policy::parts::{QuotaAllocator, Slack};
+use policy::reclaim::{ReclaimGroup, ReportedReclaims};
 use policy::rollout::{Progress, Rollout};
 use wire::registry::{Beat, News, Parts, ServiceLoad};
 
@@ -33,12 +33,12 @@
 struct Inner {
     term: u64,
     list: Listing,
-    reclaims: Reclaims,
+    reclaims: ReportedReclaims,
     signs: Signs,
     rollout: Rollout,
     /// Number of sharers that the log holds.
     counted: u32,
-    sharers: Option<Sharers>,
+    sharers: Option<QuotaAllocator>,
     counts: BTreeMap<u64, BTreeMap<(NodeId, u64), Counts>>,
     loads: BTreeMap<NodeId, (Tick, BTreeMap<String, ServiceLoad>)>,
 }
@@ -92,7 +92,9 @@
         }
         inner.loads.insert(from.clone(), (now, beat.load));
         inner.signs.note(from, beat.signs, now);
-        let sharers = inner.sharers.get_or_insert_with(|| Sharers::new(shared.sharers, now));
+        let sharers = inner
+            .sharers
+            .get_or_insert_with(|| QuotaAllocator::new(shared.sharers, now));
         sharers.set_quotas(&shared.quotas, &self.slack, now);
         let portion = sharers.beat(from, now);
         sharers.take_back(from, beat.run, beat.spare);
@@ -126,7 +128,7 @@
     }
 
     /// Notes a reclaim that engines told of in a term; the list names their group as leaving at once.
-    pub fn record_reclaim(&self, term: u64, group: Group, ends: Tick, now: Tick) {
+    pub fn record_reclaim(&self, term: u64, group: ReclaimGroup, ends: Tick, now: Tick) {
         let mut inner = self.inner.lock();
         inner.reclaims.note(group, ends, now);
         if let Some((list, asked)) = inner.list.list() {
