--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -140,11 +140,11 @@
     /// Notes that the request leaves for an upstream; gives the number under which it waits for its first event there.
     fn note_sent(&self, gate: &Gateway, chosen: &ChosenUpstream) -> u64 {
         let now = gate.clock.now();
-        gate.note_reading(&self.service, chosen.predicted.reading_ms);
+        gate.note_reading(&self.service, chosen.prediction.reading_ms);
         let mut upstreams = gate.upstreams.borrow_mut();
-        upstreams.note_use(&self.asked.parts, now);
+        upstreams.note_use(&self.asked.prompt_parts, now);
         let upstream = upstreams.get(&chosen.id);
-        upstream.map_or(0, |upstream| upstream.sent(&self.asked.parts, chosen, now))
+        upstream.map_or(0, |upstream| upstream.sent(&self.asked.prompt_parts, chosen, now))
     }
 
     /// Writes the request as the upstream gets it.
@@ -160,12 +160,12 @@
             }
         }
         let attempt = AttemptHeaders {
-            left: self.until.saturating_duration_since(Instant::now()),
-            upstream: &chosen.id,
+            remaining: self.until.saturating_duration_since(Instant::now()),
+            incarnation: &chosen.id,
             account: self.account.as_ref().map(|account| account.name.as_str()),
             after,
             priority: self.priority(),
-            copy,
+            kv_copy: copy,
         };
         gate.dialect.write(&mut out, &attempt);
         let bodyless = matches!(&*start.method, b"GET" | b"HEAD" | b"DELETE" | b"OPTIONS");
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -161,10 +161,10 @@
             Err(why) => return Err(self.refused(Refusal::closing(400, why), "", keep)),
         };
         let id = asked.id.clone();
-        self.wait_known(asked.patience).await;
+        self.wait_known(asked.timeout).await;
         let routed = gate.route(&head, &asked);
         let expects = head.has_word("expect", "100-continue");
-        let until = came + asked.patience.unwrap_or(BODY);
+        let until = came + asked.timeout.unwrap_or(BODY);
         let body = self
             .body((input, out), expects, framing, limits.body_bytes, until)
             .await?;
@@ -218,7 +218,7 @@
         let wait = Duration::from_secs_f64(over.wait_s.clamp(QUOTA_WAIT_S.0, QUOTA_WAIT_S.1));
         info!(self.gate.logger, "over quota"; "request" => &asked.id, "account" => account,
             "saved" => over.saved as i64, "rate" => over.rate as i64,
-            "tokens" => asked.tokens.map(|tokens| tokens.prompt + tokens.answer), "entries" => self.gate.entries());
+            "tokens" => asked.tokens.map(|tokens| tokens.prompt + tokens.max_output), "entries" => self.gate.entries());
         let refusal = Refusal::new(429, "not run: over the account's quota").retry_in(wait);
         self.refused(refusal, &asked.id, keep)
     }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -15,15 +15,15 @@
     /// The caller's id of this attempt.
     pub id: String,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Hash of the key that it showed.
-    pub key: Option<KeyHash>,
+    pub key_hash: Option<KeyHash>,
     /// Id of the last event that the caller has of the stream.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
     /// Tokens of prompt and answer.
     pub tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
 }
 
 /// Size of a generation.
@@ -32,16 +32,16 @@
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Most tokens of the answer.
-    pub answer: u64,
+    pub max_output: u64,
 }
 
 /// What the head of one attempt says besides the caller's own lines.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHeaders<'a> {
     /// Time that is left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The upstream's incarnation; any other refuses the request.
-    pub upstream: &'a str,
+    pub incarnation: &'a str,
     /// Name of the client account.
     pub account: Option<&'a str>,
     /// Id of the last event that the caller has.
@@ -49,20 +49,20 @@
     /// Rank, 0 is the most urgent.
     pub priority: u8,
     /// The copy of its KV cache with which the upstream goes on.
-    pub copy: Option<&'a KvCopy>,
+    pub kv_copy: Option<&'a KvCopy>,
 }
 
 /// A call that copies a stream's KV cache to another upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvCopyRequest {
     /// The upstream that runs the stream.
-    pub host: SocketAddr,
+    pub source: SocketAddr,
     /// The request's id.
-    pub request: String,
+    pub request_id: String,
     /// The upstream that gets the copy.
     pub to: SocketAddr,
     /// Whether the stream stops first.
-    pub last: bool,
+    pub stop_stream: bool,
 }
 
 /// What an upstream's answer says in its head.
@@ -71,15 +71,15 @@
     /// Id of the request that it answers.
     pub id: Option<String>,
     /// Whether it states that the request was not run.
-    pub refused: bool,
+    pub not_run: bool,
     /// Whether another incarnation answered than the one that was meant.
-    pub other: bool,
+    pub wrong_incarnation: bool,
     /// Whether it bears the upstream's signature.
     pub signed: bool,
     /// Its load.
     pub load: Option<ReportedLoad>,
     /// How long the connection may stay idle.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 /// The load that an upstream tells.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -77,8 +77,8 @@
     dialect: &dyn HeaderCodec,
 ) -> Result<Opened, Fate> {
     let (head, told, decoder, sent) = send_and_read(&mut connection, request, id, dialect).await?;
-    if told.refused || told.other {
-        let (status, other) = (head.start.status, told.other);
+    if told.not_run || told.wrong_incarnation {
+        let (status, other) = (head.start.status, told.wrong_incarnation);
         return Err(Fate::Refused { status, other });
     }
     Ok(Opened {
@@ -223,7 +223,7 @@
     pub fn reusable(self) -> Option<(Connection, Option<Duration>)> {
         // The rest of a body that the upstream has not read would be taken for the next request.
         let clean = self.sent && self.decoder.is_done() && self.connection.buffer.is_empty() && self.head.keeps();
-        clean.then_some((self.connection, self.told.idle))
+        clean.then_some((self.connection, self.told.idle_timeout))
     }
 
     /// Tells whether it is a success that bears the upstream's signature and its own bytes.
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -58,7 +58,7 @@
 
 impl Follower {
     pub(crate) fn new(link: StateSync, calls: Calls, known: Arc<Mutex<Known>>) -> Self {
-        let turn = link.run as usize;
+        let turn = link.incarnation as usize;
         Self {
             link,
             calls,
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -88,11 +88,11 @@
     /// Its data centre.
     pub zone: Zone,
     /// Bounds of repeated sends.
-    pub repeats: RetryBounds,
+    pub retries: RetryBounds,
     /// Units that may pass beyond an account's quota.
-    pub slack: Slack,
+    pub quota_slack: Slack,
     /// Length of a window of usage.
-    pub window: Duration,
+    pub usage_window: Duration,
 }
 
 /// What all requests share.
@@ -184,7 +184,7 @@
             dialect,
             shared,
             lender,
-            began: RefCell::new(Began::new(place.window)),
+            began: RefCell::new(Began::new(place.usage_window)),
             place,
             clock,
             logger,
@@ -229,7 +229,7 @@
         let Some(quota) = account.quota else {
             return Ok(0.0);
         };
-        let tokens = asked.tokens.map(|tokens| (tokens.prompt + tokens.answer) as f64);
+        let tokens = asked.tokens.map(|tokens| (tokens.prompt + tokens.max_output) as f64);
         let units = if quota.tokens {
             tokens.unwrap_or(quota.plain)
         } else {
@@ -300,7 +300,7 @@
     /// Gives what may be saved up: the part of the burst and a part of the slack. Callers meet entry hosts by chance, so that
     /// each needs room for more than its share for a while.
     fn burst(&self, burst: f64, part: f64) -> f64 {
-        burst * part + self.place.slack.split(self.entries())
+        burst * part + self.place.quota_slack.split(self.entries())
     }
 
     fn part(&self) -> f64 {
@@ -340,7 +340,7 @@
         let now = self.clock.now();
         let mut repeats = self.repeats.borrow_mut();
         let repeats = repeats.entry(service.clone()).or_default();
-        repeats.request(now, &self.place.repeats);
+        repeats.request(now, &self.place.retries);
     }
 
     /// Takes a repeated send from the service's budget, if one is left.
@@ -349,7 +349,7 @@
         let now = self.clock.now();
         let mut repeats = self.repeats.borrow_mut();
         let repeats = repeats.entry(service.clone()).or_default();
-        repeats.take(now, &self.place.repeats, self.entries())
+        repeats.take(now, &self.place.retries, self.entries())
     }
 
     /// Notes a prompt that was sent to an upstream, which reads for so many milliseconds.
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -50,7 +50,7 @@
     /// Name of this process.
     pub node: NodeId,
     /// Its incarnation.
-    pub run: u64,
+    pub incarnation: u64,
     /// Inner addresses of state nodes that it was told of.
     pub seeds: Arc<ArcSwap<Vec<SocketAddr>>>,
     /// What the event loop sees.
@@ -110,7 +110,7 @@
 
     /// Tells the leader what this entry host has seen, and learns its parts of the limits.
     fn beat(&self, calls: &Calls, known: &Mutex<Known>) {
-        let mut at = self.run as usize;
+        let mut at = self.incarnation as usize;
         let mut client = None;
         let mut told = true;
         let mut listing = Listing::default();
@@ -128,7 +128,7 @@
                 continue;
             };
             let mut beat = self.shared.beat.lock().clone();
-            beat.run = self.run;
+            beat.run = self.incarnation;
             listing.ask(&mut beat);
             let asked = self.clock.now();
             let error = match calls.wait(open.beat(Envelope::new(&self.node, Revision(self.version()), beat))) {
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -229,22 +229,22 @@
         let tried = [self.from.id.clone()];
         let chosen = request.choose(gate, &tried).ok()?;
         // A copy takes a slot there at once.
-        if !chosen.predicted.free || !gate.may_repeat(&request.service) {
+        if !chosen.prediction.free || !gate.may_repeat(&request.service) {
             return None;
         }
         // The copy brings everything that was read.
-        let whole = request.asked.parts.iter().map(|part| part.tokens).sum();
+        let whole = request.asked.prompt_parts.iter().map(|part| part.tokens).sum();
         let reading = PrefillWork {
             cached: whole,
             fresh: 0,
         };
         let predicted = Prediction {
             reading_ms: 0.0,
-            ..chosen.predicted
+            ..chosen.prediction
         };
         Some(ChosenUpstream {
-            predicted,
-            reading,
+            prediction: predicted,
+            prefill: reading,
             ..chosen
         })
     }
@@ -257,7 +257,7 @@
             source: (),
             left,
             tokens: asked.prompt + made,
-            remaining: asked.answer.saturating_sub(made),
+            remaining: asked.max_output.saturating_sub(made),
             step: request.pace(made).unwrap_or(STEP),
             slack: Duration::ZERO,
             failed: self.failed,
@@ -268,10 +268,10 @@
         let (peer, to) = (self.from.address, to.address);
         let gate = Rc::clone(gate);
         let copying = KvCopyRequest {
-            host: peer,
-            request: request.asked.id.clone(),
+            source: peer,
+            request_id: request.asked.id.clone(),
             to,
-            last,
+            stop_stream: last,
         };
         Box::pin(async move {
             let answer = timeout(COPY, copy(&gate, &copying)).await;
@@ -303,12 +303,12 @@
 
 /// Asks an upstream to copy a stream's cache; gives status and body of its answer.
 async fn copy(gate: &Gateway, copying: &KvCopyRequest) -> Result<(u16, bytes::Bytes), Fate> {
-    let connection = connect(copying.host, COPY).await.map_err(|error| Fate::NotSent {
-        why: format!("connect to {}: {error}", copying.host),
+    let connection = connect(copying.source, COPY).await.map_err(|error| Fate::NotSent {
+        why: format!("connect to {}: {error}", copying.source),
     })?;
     let mut bytes = Vec::new();
     gate.dialect.write_copy(&mut bytes, copying);
-    let mut opened = open(connection, &bytes, &copying.request, gate.dialect.as_ref()).await?;
+    let mut opened = open(connection, &bytes, &copying.request_id, gate.dialect.as_ref()).await?;
     let status = opened.head.start.status;
     Ok((status, opened.whole().await?))
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -158,7 +158,7 @@
                 break;
             }
             tried.push(chosen.id.clone());
-            let fate = match self.attempt(gate, &chosen, self.asked.after, None).await {
+            let fate = match self.attempt(gate, &chosen, self.asked.last_event, None).await {
                 Ok((opened, running)) => match self.answer(gate, out, opened, running, &mut tried).await {
                     Ok(end) => return end,
                     Err(fate) => fate,
@@ -189,7 +189,7 @@
     pub(crate) fn choose(&self, gate: &Gateway, tried: &[String]) -> Result<ChosenUpstream, NoUpstream> {
         let need = Need {
             service: &self.service,
-            parts: &self.asked.parts,
+            parts: &self.asked.prompt_parts,
             tried,
             zone: &gate.place.zone,
             entries: gate.entries(),
@@ -327,11 +327,11 @@
             "late" => late, "first_ms" => first_ms, "took_ms" => took.as_millis() as u64,
             "route" => &self.route.name, "service" => %self.service, "sends" => self.progress.get().sends,
             "upstream" => placed.map(|placed| placed.id.as_str()), "load" => placed.map(|placed| placed.load),
-            "predicted_ms" => placed.map(|placed| placed.predicted.ms as u64),
-            "reading_ms" => placed.map(|placed| placed.predicted.reading_ms as u64),
-            "before_ms" => placed.map(|placed| placed.predicted.before_ms as u64),
+            "predicted_ms" => placed.map(|placed| placed.prediction.ms as u64),
+            "reading_ms" => placed.map(|placed| placed.prediction.reading_ms as u64),
+            "before_ms" => placed.map(|placed| placed.prediction.before_ms as u64),
             "target_ms" => self.route.target_ms, "pause_ms" => pause_ms, "longest_ms" => self.route.pause_ms,
-            "cached" => placed.map(|placed| placed.reading.cached), "parts" => self.asked.parts.len(),
+            "cached" => placed.map(|placed| placed.prefill.cached), "parts" => self.asked.prompt_parts.len(),
             "prompt" => self.asked.tokens.map(|tokens| tokens.prompt), "version" => version);
     }
 }
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -37,7 +37,7 @@
         let route = table
             .route(host, target)
             .ok_or_else(|| self.unknown(&table, Refusal::new(404, "no such route")))?;
-        let account = asked.key.as_ref().and_then(|key| table.account(key));
+        let account = asked.key_hash.as_ref().and_then(|key| table.account(key));
         if table.needs_key() && account.is_none() && !route.public {
             return Err(self.unknown(&table, Refusal::new(401, "the key is not known")));
         }
@@ -58,7 +58,7 @@
     /// Gives the time at which a request gets its final answer at the latest.
     #[must_use]
     pub fn until(&self, came: Instant, asked: &RequestInfo, route: &Route) -> Instant {
-        let patience = asked.patience.unwrap_or(DEFAULT_PATIENCE).saturating_sub(EARLY);
+        let patience = asked.timeout.unwrap_or(DEFAULT_PATIENCE).saturating_sub(EARLY);
         came + patience.min(Duration::from_millis(route.timeout_ms))
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -47,7 +47,7 @@
     /// For scrapers.
     pub metrics: Option<SocketAddr>,
     /// Time from the request to stop until the process is ended from outside.
-    pub grace: Duration,
+    pub stop_grace: Duration,
 }
 
 /// What the connections of a process share besides the gate.
@@ -78,7 +78,7 @@
         stop,
         stopping: Cell::new(None),
         active: Cell::new(0),
-        grace: listen.grace,
+        grace: listen.stop_grace,
         render,
     });
     LocalSet::new().block_on(&runtime, server.serve(listen))
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -38,7 +38,7 @@
     tried: &mut Vec<String>,
 ) -> Result<End, Fate> {
     let status = opened.head.start.status;
-    let mut events = Events::after(request.asked.after);
+    let mut events = Events::after(request.asked.last_event);
     let head = answer_head(&opened.head, None, request.keep);
     let mut source = Source::new(opened, running);
     let mut sink = Sink { out, head: Some(head) };
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -91,11 +91,11 @@
     /// Where it answers.
     pub address: SocketAddr,
     /// What was predicted.
-    pub predicted: Prediction,
+    pub prediction: Prediction,
     /// Load that the prediction rests on.
     pub load: f64,
     /// What the prompt is believed to ask of it.
-    pub reading: PrefillWork,
+    pub prefill: PrefillWork,
 }
 
 /// Why no upstream was chosen.
@@ -167,9 +167,9 @@
         Ok(ChosenUpstream {
             id: chosen.listed.id.clone(),
             address: chosen.listed.address,
-            predicted,
+            prediction: predicted,
             load: candidate.map_or(0.0, |one| one.load),
-            reading: candidate.map_or_else(PrefillWork::default, |one| one.reading(need.tokens())),
+            prefill: candidate.map_or_else(PrefillWork::default, |one| one.reading(need.tokens())),
         })
     }
 
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -116,9 +116,9 @@
     pub fn sent(&mut self, parts: &[PromptPart], chosen: &ChosenUpstream, now: Tick) -> u64 {
         let alone = self.before_ms(now) < LITTLE_MS && chosen.load < f64::from(self.listed.slots) * ALONE;
         let sent = SentRequest {
-            reading: chosen.reading,
-            reading_ms: chosen.predicted.reading_ms,
-            predicted_ms: chosen.predicted.ms,
+            reading: chosen.prefill,
+            reading_ms: chosen.prediction.reading_ms,
+            predicted_ms: chosen.prediction.ms,
             alone: alone && !parts.is_empty(),
         };
         let number = self.backlog.sent(sent, now);
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -113,13 +113,13 @@
         let work = move || {
             let place = HostSettings {
                 zone: Zone::from("z"),
-                repeats: RetryBounds {
+                retries: RetryBounds {
                     ratio: 0.2,
                     extra: 50.0,
                     window: Duration::from_secs(10),
                 },
-                slack: Slack::default(),
-                window: Duration::from_secs(5),
+                quota_slack: Slack::default(),
+                usage_window: Duration::from_secs(5),
             };
             let lender = QuotaBorrower::new(NodeId::from("e"), Arc::clone(&shared));
             let log = (Clock::start(), Logger::root(Discard, o!()));
@@ -128,7 +128,7 @@
                 callers,
                 ready,
                 metrics: None,
-                grace: Duration::from_secs(8),
+                stop_grace: Duration::from_secs(8),
             };
             server::run(gate, listen, flag, Box::new(String::new)).unwrap();
         };
--- a/crates/gateway/tests/common/words.rs
+++ b/crates/gateway/tests/common/words.rs
@@ -14,12 +14,15 @@
         let number = |name| head.get(name).and_then(|text| text.parse().ok());
         Ok(RequestInfo {
             id: head.get("id").unwrap_or_default().to_owned(),
-            patience: number("wait-ms").map(Duration::from_millis),
-            key: head.get("key").map(KeyHash::of),
-            after: number("after"),
+            timeout: number("wait-ms").map(Duration::from_millis),
+            key_hash: head.get("key").map(KeyHash::of),
+            last_event: number("after"),
             tokens: number("prompt")
                 .zip(number("most"))
-                .map(|(prompt, answer)| TokenCounts { prompt, answer }),
+                .map(|(prompt, answer)| TokenCounts {
+                    prompt,
+                    max_output: answer,
+                }),
             ..RequestInfo::default()
         })
     }
@@ -35,9 +38,9 @@
             .after
             .map(|after| format!("After: {after}\r\n"))
             .unwrap_or_default();
-        let (left, upstream) = (attempt.left.as_millis(), attempt.upstream);
+        let (left, upstream) = (attempt.remaining.as_millis(), attempt.incarnation);
         let copy = attempt
-            .copy
+            .kv_copy
             .map(|copy| format!("Copy: {}/{}\r\n", copy.source, copy.handle));
         let copy = copy.unwrap_or_default();
         let lines = format!("Wait-Ms: {left}\r\nMeant: {upstream}\r\n{after}{copy}");
@@ -45,7 +48,12 @@
     }
 
     fn write_copy(&self, out: &mut Vec<u8>, copying: &KvCopyRequest) {
-        let KvCopyRequest { request, to, last, .. } = copying;
+        let KvCopyRequest {
+            request_id: request,
+            to,
+            stop_stream: last,
+            ..
+        } = copying;
         let text =
             format!("POST /copy HTTP/1.1\r\nOf: {request}\r\nTo: {to}\r\nLast: {last}\r\nContent-Length: 0\r\n\r\n");
         out.extend_from_slice(text.as_bytes());
@@ -58,11 +66,11 @@
     fn told(&self, head: &Head<StatusLine>) -> ResponseInfo {
         ResponseInfo {
             id: head.get("id").map(str::to_owned),
-            refused: head.get("not-run").is_some(),
-            other: head.start.status == 421,
+            not_run: head.get("not-run").is_some(),
+            wrong_incarnation: head.start.status == 421,
             signed: head.get("signed").is_some(),
             load: None,
-            idle: None,
+            idle_timeout: None,
         }
     }
 
--- a/crates/gateway/tests/slow_node/mod.rs
+++ b/crates/gateway/tests/slow_node/mod.rs
@@ -104,7 +104,7 @@
         let shared = Arc::new(Shared::default());
         let link = StateSync {
             node: NodeId::from("entry-1"),
-            run: 0,
+            incarnation: 0,
             seeds: Arc::new(ArcSwap::from_pointee(vec![self.address])),
             shared: Arc::clone(&shared),
             clock: Clock::start(),
