--- a/crates/ctl/src/state.rs
+++ b/crates/ctl/src/state.rs
@@ -149,7 +149,7 @@
 }
 
 fn verify(check: &Check, json: bool) -> anyhow::Result<String> {
-    let report = disk::check(&check.folder)?;
+    let report = disk::check_folder(&check.folder)?;
     let id = report.id.map_or_else(|| "blank".to_owned(), |id| id.to_string());
     if json {
         let value = json!({
--- a/crates/gateway/benches/rollout.rs
+++ b/crates/gateway/benches/rollout.rs
@@ -52,7 +52,7 @@
     let mut bytes = 0;
     while mirror.version() != Some(newest.version) {
         let news = Followed {
-            parts: feed.answer(&mirror.ask(Duration::ZERO), newest),
+            parts: feed.next_parts(&mirror.ask(Duration::ZERO), newest),
             newest: newest.version,
             age_ms: 0,
             members: Vec::new(),
@@ -70,7 +70,7 @@
         let mut feed = CatalogFeed::default();
         let mut mirror = Mirror::default();
         let whole = fetch(&mut mirror, &mut feed, &old);
-        feed.publish(&old, &new);
+        feed.push_change(&old, &new);
         let change = fetch(&mut mirror, &mut feed, &new);
         let json = serde_json::to_vec(&new).expect("a catalog is encoded");
         println!(
@@ -78,7 +78,7 @@
             json.len()
         );
         group.bench_function(BenchmarkId::new("node_compares", routes), |bencher| {
-            bencher.iter(|| CatalogFeed::default().publish(&old, black_box(&new)));
+            bencher.iter(|| CatalogFeed::default().push_change(&old, black_box(&new)));
         });
         let ask = {
             let mut behind = Mirror::default();
@@ -86,7 +86,7 @@
             behind.ask(Duration::ZERO)
         };
         group.bench_function(BenchmarkId::new("node_answers", routes), |bencher| {
-            bencher.iter(|| feed.answer(black_box(&ask), &new));
+            bencher.iter(|| feed.next_parts(black_box(&ask), &new));
         });
         let (table, delta) = (Table::new(&old), Delta::between(&old, &new));
         group.bench_function(BenchmarkId::new("host_applies", routes), |bencher| {
--- a/crates/gateway/tests/catalog_transfer.rs
+++ b/crates/gateway/tests/catalog_transfer.rs
@@ -69,7 +69,7 @@
 
 fn told(ask: &Follow, feed: &mut CatalogFeed, newest: &Catalog) -> Followed {
     Followed {
-        parts: feed.answer(ask, newest),
+        parts: feed.next_parts(ask, newest),
         newest: newest.version,
         age_ms: 0,
         members: Vec::new(),
@@ -101,7 +101,7 @@
                 4 | 5 => {
                     if let Some(next) = later.next() {
                         for feed in &mut feeds {
-                            feed.publish(&newest, &next);
+                            feed.push_change(&newest, &next);
                         }
                         newest = next;
                     }
@@ -172,7 +172,7 @@
             let mut next = newest.clone();
             next.version += 1;
             next.routes[pages].timeout_ms = 7;
-            feed.publish(&newest, &next);
+            feed.push_change(&newest, &next);
             newest = next;
         }
     }
@@ -190,7 +190,7 @@
     let mut newest = old.clone();
     newest.version = 2;
     newest.routes.truncate(4_990);
-    feed.publish(&old, &newest);
+    feed.push_change(&old, &newest);
     std::mem::swap(&mut old, &mut newest);
     let mut mirror = Mirror::default();
     while mirror.version() != Some(2) {
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -262,7 +262,7 @@
         };
         let node = NodeId::from(format!("e{host}"));
         let sharing = SharedLimits {
-            sharers: self.load.hosts as u32,
+            entry_hosts: self.load.hosts as u32,
             ..SharedLimits::default()
         };
         if let Some(news) = self.registry.heartbeat(1, (&node, beat), &sharing, now) {
--- a/crates/gateway/tests/list_copy.rs
+++ b/crates/gateway/tests/list_copy.rs
@@ -29,7 +29,7 @@
 /// Beats once, with so many entries in the answer at most.
 fn beat(registry: &EntryRegistry, copy: &mut Listing, most: u32, now: Tick) -> ListNews {
     let sharing = SharedLimits {
-        sharers: 1,
+        entry_hosts: 1,
         ..SharedLimits::default()
     };
     let mut beat = Beat::default();
--- a/crates/state/src/core/mod.rs
+++ b/crates/state/src/core/mod.rs
@@ -267,7 +267,7 @@
         if let (Some(old), Some(new)) = (before, &self.applied.published)
             && !Arc::ptr_eq(&old, new)
         {
-            self.feed.publish(&old.catalog, &new.catalog);
+            self.feed.push_change(&old.catalog, &new.catalog);
         }
         self.pending.answer(record.at, reply);
     }
--- a/crates/state/src/core/watchers.rs
+++ b/crates/state/src/core/watchers.rs
@@ -47,7 +47,7 @@
         let version = applied.catalog().map(|catalog| catalog.version);
         let ready = |(until, follow, _): &mut (Tick, Follow, _)| follow.after < version || *until <= now;
         for (_, follow, reply) in self.following.extract_if(.., ready) {
-            let parts = applied.catalog().map(|newest| feed.answer(&follow, newest));
+            let parts = applied.catalog().map(|newest| feed.next_parts(&follow, newest));
             let answer = Followed {
                 parts: parts.unwrap_or_default(),
                 ..told()
--- a/crates/state/src/disk/check.rs
+++ b/crates/state/src/disk/check.rs
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// Names the first file that is damaged and the offset in it.
-pub fn check(folder: &Path) -> Result<FolderReport, DiskError> {
+pub fn check_folder(folder: &Path) -> Result<FolderReport, DiskError> {
     let id = identity::read(folder)?;
     let (snapshot, snapshot_bytes) = snapshot::read(folder)?;
     let segments = segment::list(folder)?;
--- a/crates/state/src/disk/mod.rs
+++ b/crates/state/src/disk/mod.rs
@@ -12,7 +12,7 @@
 mod snapshot;
 mod space;
 
-pub use check::{FolderReport, check};
+pub use check::{FolderReport, check_folder};
 pub use error::DiskError;
 pub use folder::{Folder, Limits};
 pub use space::{Space, Unlimited};
--- a/crates/state/src/duties/mod.rs
+++ b/crates/state/src/duties/mod.rs
@@ -56,7 +56,7 @@
     /// How many there shall be.
     pub count: u32,
     /// Whether they are reclaimable.
-    pub spot: bool,
+    pub reclaimable: bool,
 }
 
 /// A call that failed.
@@ -92,9 +92,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DutyTiming {
     /// Time in which holders must not take turns.
-    pub lease: Duration,
+    pub holder_lease: Duration,
     /// Length of a window of usage.
-    pub window: Duration,
+    pub usage_window: Duration,
 }
 
 /// The thread that does the duties while its process leads.
@@ -176,7 +176,7 @@
         let lead: Lead = self.ask(Ask::Lead)?;
         let since = lead.since?;
         let now = self.clock.now();
-        let turns = lead.term == self.term || now.since(self.acted) >= self.timing.lease + MARGIN;
+        let turns = lead.term == self.term || now.since(self.acted) >= self.timing.holder_lease + MARGIN;
         (turns && now.since(since) >= SETTLED).then_some((lead.term, since))
     }
 
@@ -187,7 +187,7 @@
     }
 
     fn report_usage(&mut self) {
-        let length = self.timing.window.as_millis() as u64;
+        let length = self.timing.usage_window.as_millis() as u64;
         let now = wall_ms();
         let newest = now.saturating_sub(SETTLE_MS) / length.max(1);
         for window in newest.saturating_sub(BACK)..newest {
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -222,7 +222,7 @@
             service: service.to_string(),
             zone: zone.to_string(),
             count: wanted,
-            spot: *spot,
+            reclaimable: *spot,
         };
         let seat = DutyHolder {
             name: self.node.as_str(),
--- a/crates/state/src/feed.rs
+++ b/crates/state/src/feed.rs
@@ -56,7 +56,7 @@
 
 impl CatalogFeed {
     /// Adds the change from one catalog to the next.
-    pub fn publish(&mut self, old: &Catalog, new: &Catalog) {
+    pub fn push_change(&mut self, old: &Catalog, new: &Catalog) {
         let change = Encoded::new(&Delta::between(old, new));
         self.bytes += change.bytes.len();
         self.changes.push_back(change);
@@ -73,7 +73,7 @@
     }
 
     /// Gives the next bytes that lead an asker to the newest catalog; none if it has it.
-    pub fn answer(&mut self, ask: &Follow, newest: &Catalog) -> Vec<Part> {
+    pub fn next_parts(&mut self, ask: &Follow, newest: &Catalog) -> Vec<Part> {
         let mut left = (ask.max_bytes as usize).clamp(1, MOST);
         let mut held = ask.after;
         let mut resumed = ask.resume.and_then(|resume| {
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -46,7 +46,7 @@
         membership: MembershipMode::Manual,
     };
     let program = StateNode::start(me, &settings.data, Slack::default(), logger, &stop)?;
-    let admin = start_admin(settings, program.ring.clone(), scrape)?;
+    let admin = start_admin(settings, program.requests.clone(), scrape)?;
     info!(logger, "serving"; "inner" => %settings.listen, "admin" => %admin.server_addr());
     while !stop.load(Ordering::Relaxed) {
         admin.poll_timeout(Duration::from_millis(50));
--- a/crates/state/src/program.rs
+++ b/crates/state/src/program.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct StateNode {
     /// Questions to the thread that owns the state.
-    pub ring: Sender<Ask>,
+    pub requests: Sender<Ask>,
     /// What is known of the entry hosts while this node leads.
     pub registry: Arc<EntryRegistry>,
     /// The clock of all its parts.
@@ -88,7 +88,7 @@
         let server = calls.wait(Server::builder().set_config(config).build(listen))?;
         let server = calls.wait(async { server.start(methods) });
         Ok(Self {
-            ring,
+            requests: ring,
             registry,
             clock,
             calls,
@@ -162,7 +162,7 @@
     pub fn group_client(&self, node: &NodeId) -> GroupClient {
         GroupClient {
             node: node.clone(),
-            ring: self.ring.clone(),
+            ring: self.requests.clone(),
             calls: self.calls.with_timeout(DECIDE),
         }
     }
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -49,9 +49,9 @@
     /// Quotas by client account.
     pub quotas: Vec<(String, Quota)>,
     /// Entry hosts that share, as last counted.
-    pub sharers: u32,
+    pub entry_hosts: u32,
     /// Version of the newest catalog.
-    pub version: u64,
+    pub catalog_version: u64,
 }
 
 /// Requests by client account.
@@ -81,7 +81,7 @@
             inner.sharers = None;
             inner.rollout = Rollout::default();
             inner.term = term;
-            inner.counted = shared.sharers;
+            inner.counted = shared.entry_hosts;
         }
         for (window, counts) in beat.began {
             let runs = inner.counts.entry(window).or_default();
@@ -94,7 +94,7 @@
         inner.signs.note(from, beat.signs, now);
         let sharers = inner
             .sharers
-            .get_or_insert_with(|| QuotaAllocator::new(shared.sharers, now));
+            .get_or_insert_with(|| QuotaAllocator::new(shared.entry_hosts, now));
         sharers.set_quotas(&shared.quotas, &self.slack, now);
         let portion = sharers.beat(from, now);
         sharers.take_back(from, beat.run, beat.spare);
@@ -107,7 +107,7 @@
             parts,
             list: inner.list.news(&beat.list, beat.max_listed, now),
             signs: inner.signs.others(from, now),
-            version: shared.version,
+            version: shared.catalog_version,
         })
     }
 
--- a/crates/state/src/rpc.rs
+++ b/crates/state/src/rpc.rs
@@ -87,8 +87,8 @@
                 // An asker that has gone away needs no answer.
                 let _ = reply.send(SharedLimits {
                     quotas: quotas.collect(),
-                    sharers: applied.sharers,
-                    version: applied.catalog().map_or(0, |catalog| catalog.version),
+                    entry_hosts: applied.sharers,
+                    catalog_version: applied.catalog().map_or(0, |catalog| catalog.version),
                 });
             }))
         };
@@ -184,7 +184,7 @@
         let held = request.revision.0;
         let progress = self
             .registry
-            .record_version(&request.from, held, sharing.version, self.clock.now());
+            .record_version(&request.from, held, sharing.catalog_version, self.clock.now());
         if let Some(progress) = progress {
             self.tell_rollout(&progress);
         }
--- a/crates/state/tests/first_orders.rs
+++ b/crates/state/tests/first_orders.rs
@@ -109,8 +109,8 @@
     let notes = Notes::default();
     let parts = (lead(&clock), Arc::clone(&registry), clock.clone());
     let timing = DutyTiming {
-        lease: Duration::from_secs(3),
-        window: Duration::from_secs(5),
+        holder_lease: Duration::from_secs(3),
+        usage_window: Duration::from_secs(5),
     };
     let logger = Logger::root(Discard, o!());
     let duties = LeaderDuties::new(NodeId::from("s1"), parts, timing, Box::new(notes.clone()), logger);
@@ -126,12 +126,16 @@
     // All orders of one plan leave together.
     thread::sleep(Duration::from_millis(200));
     let orders = notes.0.lock().clone();
-    let reclaimable: u32 = orders.iter().filter(|order| order.spot).map(|order| order.count).sum();
+    let reclaimable: u32 = orders
+        .iter()
+        .filter(|order| order.reclaimable)
+        .map(|order| order.count)
+        .sum();
     // Half of the forty are taken to be needed, and twice that is ordered.
     assert_eq!(reclaimable, 40, "{orders:?}");
     let kept: Vec<u32> = orders
         .iter()
-        .filter(|order| !order.spot)
+        .filter(|order| !order.reclaimable)
         .map(|order| order.count)
         .collect();
     assert_eq!(
--- a/crates/state/tests/log_recovery.rs
+++ b/crates/state/tests/log_recovery.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use state::disk::{DiskError, Folder, Limits, Space, check};
+use state::disk::{DiskError, Folder, Limits, Space, check_folder};
 use state::raft::{Hard, Index, Payload, Position, Ready, Record, Snapshot, Term};
 
 const SMALL: Limits = Limits {
@@ -67,12 +67,12 @@
     let segment = written(folder.path());
     let file = OpenOptions::new().write(true).open(&segment).unwrap();
     file.set_len(file.metadata().unwrap().len() - 3).unwrap();
-    assert!(check(folder.path()).unwrap().torn_bytes > 0);
+    assert!(check_folder(folder.path()).unwrap().torn_bytes > 0);
     let (mut open, restored) = Folder::open(folder.path(), Limits::default()).unwrap();
     assert_eq!(restored.records.last(), Some(&record(1, 4)));
     open.write(&records(2, 5..=5)).unwrap();
     drop(open);
-    assert_eq!(check(folder.path()).unwrap().log_end, record(2, 5).at);
+    assert_eq!(check_folder(folder.path()).unwrap().log_end, record(2, 5).at);
 }
 
 /// A disk flips a bit in the middle of the log. What stands behind it was acknowledged, so starting without it would lose
@@ -88,7 +88,7 @@
     };
     assert_eq!(*file, segment);
     assert!(*offset > 8 && error.to_string().contains("offset"), "{error}");
-    assert_eq!(check(folder.path()).unwrap_err().to_string(), error.to_string());
+    assert_eq!(check_folder(folder.path()).unwrap_err().to_string(), error.to_string());
 }
 
 /// A length in the middle of the log is damaged and points far behind the end. It must not be taken for a torn tail.
@@ -100,7 +100,7 @@
     bytes[10] = 0x7f;
     fs::write(&segment, bytes).unwrap();
     assert!(matches!(
-        check(folder.path()),
+        check_folder(folder.path()),
         Err(DiskError::Damaged { offset: 8, .. })
     ));
 }
@@ -115,10 +115,10 @@
     let first = folder.path().join("log-0000000000000001");
     let whole = fs::read(&first).unwrap();
     fs::write(&first, &whole[..whole.len() - 1]).unwrap();
-    assert!(matches!(check(folder.path()), Err(DiskError::Damaged { .. })));
+    assert!(matches!(check_folder(folder.path()), Err(DiskError::Damaged { .. })));
     fs::remove_file(&first).unwrap();
     assert!(matches!(
-        check(folder.path()),
+        check_folder(folder.path()),
         Err(DiskError::Gap { after: Index(0), .. })
     ));
     fs::write(&first, &whole).unwrap();
@@ -126,7 +126,7 @@
     open.keep(&snapshot(1, 20)).unwrap();
     drop(open);
     flip(&folder.path().join("snapshot-0000000000000020"), 2);
-    assert!(matches!(check(folder.path()), Err(DiskError::Damaged { .. })));
+    assert!(matches!(check_folder(folder.path()), Err(DiskError::Damaged { .. })));
 }
 
 /// A file of a later version of the program is refused by name instead of being read wrongly.
@@ -137,7 +137,10 @@
     let mut bytes = fs::read(&segment).unwrap();
     bytes[7] = 9;
     fs::write(&segment, bytes).unwrap();
-    assert!(matches!(check(folder.path()), Err(DiskError::Version { found: 9, .. })));
+    assert!(matches!(
+        check_folder(folder.path()),
+        Err(DiskError::Version { found: 9, .. })
+    ));
 }
 
 /// A follower's tail is replaced by the new leader's records; after a restart only the new ones may be there.
@@ -183,7 +186,7 @@
         }
     }
     drop(open);
-    let report = check(folder.path()).unwrap();
+    let report = check_folder(folder.path()).unwrap();
     assert!(report.segments <= 5 && report.records <= 20, "{report:?}");
     assert_eq!((report.log_end, report.hard_state), (record(1, 500).at, hard));
 }
--- a/crates/state/tests/real_processes.rs
+++ b/crates/state/tests/real_processes.rs
@@ -183,7 +183,7 @@
     check(&nodes, &told);
     (0..3).for_each(|n| nodes.kill(n));
     for n in 0..3 {
-        assert!(state::disk::check(&nodes.data(n)).unwrap().log_end.index.0 > 0);
+        assert!(state::disk::check_folder(&nodes.data(n)).unwrap().log_end.index.0 > 0);
     }
     (0..3).for_each(|n| nodes.run(n));
     nodes.leader();
--- a/crates/state/tests/shared_news.rs
+++ b/crates/state/tests/shared_news.rs
@@ -26,7 +26,7 @@
 
 fn beat(registry: &EntryRegistry, from: &str, beat: Beat, now_ms: u64) -> News {
     let sharing = SharedLimits {
-        sharers: 2,
+        entry_hosts: 2,
         ..SharedLimits::default()
     };
     let from = NodeId::from(from);
