--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -60,7 +60,7 @@
     /// The request's id.
     pub request_id: String,
     /// The upstream that gets the copy.
-    pub to: SocketAddr,
+    pub target: SocketAddr,
     /// Whether the stream stops first.
     pub stop_stream: bool,
 }
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvCopy {
     /// The upstream that holds the copy.
-    pub at: ChosenUpstream,
+    pub upstream: ChosenUpstream,
     /// Where the copy came from.
     pub source: SocketAddr,
     /// Name of the copy there.
@@ -165,7 +165,7 @@
             }
             (Step::Stopping(to, _), Ok(handle)) => {
                 let taken = KvCopy {
-                    at: to,
+                    upstream: to,
                     source: self.from.address,
                     handle,
                 };
@@ -270,7 +270,7 @@
         let copying = KvCopyRequest {
             source: peer,
             request_id: request.asked.id.clone(),
-            to,
+            target: to,
             stop_stream: last,
         };
         Box::pin(async move {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -212,21 +212,21 @@
     taken: &KvCopy,
     tried: &mut Vec<String>,
 ) -> Option<Source> {
-    tried.push(taken.at.id.clone());
-    match request.attempt(gate, &taken.at, events.last(), Some(taken)).await {
+    tried.push(taken.upstream.id.clone());
+    match request.attempt(gate, &taken.upstream, events.last(), Some(taken)).await {
         Ok((opened, running)) if opened.is_sound() && opened.head.start.status == 200 => {
             counter!("gentian_gateway_streams_moved_total").increment(1);
-            info!(gate.logger, "stream moved"; "request" => &request.asked.id, "upstream" => &taken.at.id,
+            info!(gate.logger, "stream moved"; "request" => &request.asked.id, "upstream" => &taken.upstream.id,
                 "from" => %taken.source, "after" => events.last());
             Some(Source::new(opened, running))
         }
         Ok((opened, _)) => {
             let fate = Fate::unknown(format!("answered {}", opened.head.start.status));
-            request.note_fate(gate, &taken.at, &fate);
+            request.note_fate(gate, &taken.upstream, &fate);
             None
         }
         Err(fate) => {
-            request.note_fate(gate, &taken.at, &fate);
+            request.note_fate(gate, &taken.upstream, &fate);
             None
         }
     }
--- a/crates/gateway/tests/common/words.rs
+++ b/crates/gateway/tests/common/words.rs
@@ -50,7 +50,7 @@
     fn write_copy(&self, out: &mut Vec<u8>, copying: &KvCopyRequest) {
         let KvCopyRequest {
             request_id: request,
-            to,
+            target: to,
             stop_stream: last,
             ..
         } = copying;
