--- a/crates/state/src/lists.rs
+++ b/crates/state/src/lists.rs
@@ -23,7 +23,7 @@
 #[derive(derive_more::Debug)]
 pub struct ListPoller {
     /// Questions to the thread that owns the state.
-    pub ring: Sender<Ask>,
+    pub requests: Sender<Ask>,
     /// Where lists go.
     pub registry: Arc<EntryRegistry>,
     /// The clock.
@@ -55,7 +55,7 @@
 
     fn leads(&self) -> Option<u64> {
         let (reply, answer) = oneshot::channel();
-        self.ring.try_send(Ask::Lead(reply)).ok()?;
+        self.requests.try_send(Ask::Lead(reply)).ok()?;
         let lead: Lead = answer.blocking_recv().ok()?;
         lead.since.map(|_| lead.term)
     }
