--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -149,8 +149,8 @@
             if let Some(asked) = asked {
                 meter.share.borrow(peer, read(&row.lent), asked);
             }
-            let part = owned_part(&meter.limits, self.hosts, self.rank).list();
-            let (own, its) = (meter.wanted(now).list(), told.wanted.list());
+            let part = owned_part(&meter.limits, self.hosts, self.rank).to_array();
+            let (own, its) = (meter.wanted(now).to_array(), told.wanted.to_array());
             lacks |= (0..part.len()).any(|at| its[at] > part[at] && own[at] < part[at]);
         }
         lacks
--- a/crates/entry/src/admission/mod.rs
+++ b/crates/entry/src/admission/mod.rs
@@ -192,10 +192,10 @@
         Ticket {
             id: self.next,
             customer: contract.customer.clone(),
-            share: contract.share,
+            weight: contract.share,
             tokens: work.tokens.max(1.0),
-            latest: work.latest,
-            shed: work.shed,
+            latest_start: work.latest,
+            shed_order: work.shed,
         }
     }
 
--- a/crates/entry/src/admission/queues.rs
+++ b/crates/entry/src/admission/queues.rs
@@ -52,7 +52,7 @@
         let victim = lane.offer(ticket, now)?;
         let victim = victim.map(|ticket| {
             (
-                lane.turn(RefusalReason::QueueFull, ticket.tokens, Duration::ZERO, now),
+                lane.reject(RefusalReason::QueueFull, ticket.tokens, Duration::ZERO, now),
                 ticket,
             )
         });
@@ -65,7 +65,7 @@
         let lane = self.lanes.get_mut(target)?;
         let ticket = lane.remove(ticket)?;
         self.waiters.remove(&ticket.id);
-        Some(lane.turn(RefusalReason::TooLate, ticket.tokens, Duration::ZERO, now))
+        Some(lane.reject(RefusalReason::TooLate, ticket.tokens, Duration::ZERO, now))
     }
 
     /// Lets the next request run and gives its thread's handle.
@@ -75,7 +75,7 @@
         let mut open = self.lanes.values_mut().filter(|lane| lane.waiting() > 0);
         let ticket = open.find_map(|lane| {
             let has_place = room.has_place(lane.running(), used.iter().copied());
-            has_place.then(|| lane.grant()).flatten()
+            has_place.then(|| lane.admit_next()).flatten()
         })?;
         self.waiters.remove(&ticket.id)
     }
@@ -88,7 +88,7 @@
     pub(super) fn next_place(&self, target: &Target) -> Duration {
         self.lanes
             .get(target)
-            .map(AdmissionQueue::next_place)
+            .map(AdmissionQueue::next_slot)
             .unwrap_or_default()
     }
 
@@ -100,7 +100,7 @@
         for size in sizes {
             let lane = self.lane(&size.target);
             lane.resize(size.slots);
-            lane.set_first(size.first);
+            lane.set_first_token(size.first);
         }
         self.lanes
             .retain(|_, lane| lane.running() + lane.waiting() + lane.capacity() > 0);
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -14,7 +14,7 @@
 use metrics::counter;
 use policy::prefix::Prefix;
 use policy::rescue::StreamAction;
-use policy::route::{Need, Target};
+use policy::route::{RequestNeed, Target};
 use slog::warn;
 use telemetry::burn::Meter;
 use upstream::engine::{Chat, EngineClient, Event, Message, Usage};
@@ -157,7 +157,7 @@
         let entry = self.entry;
         let view = entry.current.view();
         let target = search.take_target();
-        let need = Need {
+        let need = RequestNeed {
             prompt_tokens: self.ask.prompt_tokens,
             answer_tokens: self.ask.chat.max_tokens,
             turn: 0,
--- a/crates/entry/src/callers/service.rs
+++ b/crates/entry/src/callers/service.rs
@@ -5,7 +5,7 @@
 use contract::{Class, Contract, Repeat, RequestId, UpstreamId, UpstreamSpec};
 use metrics::counter;
 use policy::prefix::Prefix;
-use policy::route::{Need, Target};
+use policy::route::{RequestNeed, Target};
 use telemetry::burn::{End, Meter};
 use upstream::UpstreamError;
 use upstream::engine::REQUEST_HEADER;
@@ -247,7 +247,7 @@
         let ask = Ask {
             target: &Target::Service(self.service.to_owned()),
             prefix: &Prefix::default(),
-            need: Need::default(),
+            need: RequestNeed::default(),
             tried,
         };
         let choice = entry.fleet.choose(&view, &ask, entry.clock.now())?;
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use policy::Tick;
 use policy::budget::RetryBudget;
-use policy::route::Rules;
+use policy::route::RoutingRules;
 use slog::Logger;
 use telemetry::Clock;
 use telemetry::burn::Ledger;
@@ -96,7 +96,7 @@
     pub fn new(settings: Settings, logger: Logger, calls: &Calls) -> Result<Self, CallError> {
         let clock = Clock::start();
         let state = StateClient::new(calls, &settings.node, &settings.state)?;
-        let rules = Rules {
+        let rules = RoutingRules {
             routing: settings.routing,
             without: settings.without.clone(),
         };
--- a/crates/entry/src/fleet/events.rs
+++ b/crates/entry/src/fleet/events.rs
@@ -81,7 +81,7 @@
     fn take_events(&self, row: &Row, events: &[CacheEvent], now: Tick) {
         let mut state = row.member.state.lock();
         let applied = state.cursor.apply(events);
-        state.trust.lost(applied.lost, applied.fresh.len());
+        state.trust.record_lost(applied.lost, applied.fresh.len());
         drop(state);
         counter!("gentian_cache_events_total", "fate" => "read").increment(applied.fresh.len() as u64);
         counter!("gentian_cache_events_total", "fate" => "lost").increment(applied.lost);
--- a/crates/entry/src/fleet/index.rs
+++ b/crates/entry/src/fleet/index.rs
@@ -5,7 +5,7 @@
 
 use contract::{DataCenter, HostId, Revision, UpstreamId, UpstreamSpec};
 use parking_lot::Mutex;
-use policy::route::{Group, GroupMember, Rates, Target};
+use policy::route::{GroupMember, Rates, Target, UpstreamGroup};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::member::Member;
@@ -24,7 +24,7 @@
 /// Everything that serves one model or service.
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
-    pub(super) group: Arc<Group>,
+    pub(super) group: Arc<UpstreamGroup>,
     pub(super) rows: Arc<Vec<Row>>,
     pub(super) rates: Arc<Mutex<Rates>>,
 }
@@ -97,9 +97,9 @@
                 near: row.spec.host.data_center == *place,
             })
             .collect();
-        let before = self.pools.get(target).filter(|pool| pool.group.places() == places);
+        let before = self.pools.get(target).filter(|pool| pool.group.members() == places);
         // Most changes are of contracts; the tables of rendezvous hashing are only made anew where a group changed.
-        let group = before.map_or_else(|| Arc::new(Group::new(places)), |pool| Arc::clone(&pool.group));
+        let group = before.map_or_else(|| Arc::new(UpstreamGroup::new(places)), |pool| Arc::clone(&pool.group));
         let rates = rows.first().map(|row| Arc::clone(&row.rates)).unwrap_or_default();
         Pool {
             group,
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -20,7 +20,8 @@
 use policy::load::LoadReport;
 use policy::prefix::{Prefix, PrefixIndex};
 use policy::route::{
-    Ablation, Candidate, Choice, Group, Need, ProposedCandidate, Reason, Routing, Rules, Target, choose,
+    Ablation, Candidate, Choice, ProposedCandidate, Reason, RequestNeed, Routing, RoutingRules, Target, UpstreamGroup,
+    choose,
 };
 use telemetry::Clock;
 use wire::digest::LoadDigest;
@@ -45,7 +46,7 @@
     /// The lives of the hosts.
     pub hosts: Hosts,
     clock: Clock,
-    rules: Rules,
+    rules: RoutingRules,
     place: DataCenter,
     index: ArcSwap<Index>,
     numbers: Mutex<Numbers>,
@@ -63,7 +64,7 @@
     /// The prompt's blocks; empty for services.
     pub prefix: &'a Prefix,
     /// Lengths of prompt and answer.
-    pub need: Need,
+    pub need: RequestNeed,
     /// Upstreams that were tried already.
     pub tried: &'a [UpstreamId],
 }
@@ -82,7 +83,7 @@
 impl Fleet {
     /// Makes an empty fleet.
     #[must_use]
-    pub fn new(clock: Clock, rules: Rules, place: DataCenter) -> Self {
+    pub fn new(clock: Clock, rules: RoutingRules, place: DataCenter) -> Self {
         Self {
             hosts: Hosts::default(),
             clock,
@@ -136,11 +137,11 @@
     }
 
     fn weigh(&self, pool: &Pool, ask: &Ask<'_>, turn: u64, now: Tick) -> Option<Choice> {
-        let need = Need { turn, ..ask.need };
+        let need = RequestNeed { turn, ..ask.need };
         let homes = self.homes(&pool.group, ask.prefix);
         let proposed = self.propose(&pool.group, &homes, ask.prefix, turn);
         if let Some(session) = ask.prefix.session() {
-            pool.rates.lock().followed(session.begun > 0);
+            pool.rates.lock().record_turn(session.begun > 0);
         }
         let rates = *pool.rates.lock();
         let found = choose(
@@ -163,7 +164,7 @@
         choose(&self.rules, &open, &need, &rates)
     }
 
-    fn propose(&self, group: &Group, homes: &[usize], prefix: &Prefix, turn: u64) -> Vec<ProposedCandidate> {
+    fn propose(&self, group: &UpstreamGroup, homes: &[usize], prefix: &Prefix, turn: u64) -> Vec<ProposedCandidate> {
         if self.rules.routing != Routing::Cost {
             return group.window(turn);
         }
@@ -174,12 +175,12 @@
         } else {
             Vec::new()
         };
-        let lead = (with_prefix && self.rules.with(Ablation::Rendezvous)).then(|| prefix.lead());
+        let lead = (with_prefix && self.rules.with(Ablation::Rendezvous)).then(|| prefix.leading_hash());
         group.propose(homes, lead, &holders, turn)
     }
 
     /// Gives the homes of the prompt's conversation, if it has one.
-    fn homes(&self, group: &Group, prefix: &Prefix) -> Vec<usize> {
+    fn homes(&self, group: &UpstreamGroup, prefix: &Prefix) -> Vec<usize> {
         let home = self.rules.routing == Routing::Cost && self.rules.with(Ablation::Home);
         let session = prefix.session().filter(|_| home);
         session.map_or_else(Vec::new, |session| group.homes(session.key).to_vec())
@@ -225,7 +226,7 @@
         let waves = self.waves.read();
         let begun = ask.prefix.session().map_or(0, |session| session.begun) as f64;
         let rates = *pool.rates.lock();
-        let kept = begun * rates.kept;
+        let kept = begun * rates.cached_share;
         let home = self.home(pool, homes);
         let candidate = |(proposed, held): (&ProposedCandidate, u64)| {
             let row = &pool.rows[proposed.at];
@@ -241,7 +242,7 @@
                 reason: proposed.reason,
                 class: spec.host.class,
                 price: spec.host.price,
-                slots: (f64::from(spec.slots) * rates.ease).ceil() as u32,
+                slots: (f64::from(spec.slots) * rates.usable_share).ceil() as u32,
                 near: spec.host.data_center == self.place,
                 reclaims: waves.reclaims(&spec.host.zone, now),
                 load: state.load.predict(now, expiry, self.rules.with(Ablation::Corrections)),
@@ -290,12 +291,12 @@
             return;
         };
         let report = LoadReport {
-            measured: now - Duration::from_millis(u64::from(load.age_ms)),
+            measured_at: now - Duration::from_millis(u64::from(load.age_ms)),
             running: load.running,
             waiting: load.waiting,
             kv_used: f32::from(load.kv_used) / 1_000.0,
         };
-        row.member.state.lock().load.report(report);
+        row.member.state.lock().load.update(report);
         // An upstream that refused a connection is read by one entry host only. Unless the others take that one's word,
         // they would doubt its host for ever, and their callers would be refused although it has long been back.
         self.hosts.answered(&row.spec.host, now);
@@ -313,7 +314,7 @@
             let report = state.load.newest()?;
             Some(LoadDigest {
                 upstream: short_key(&row.spec.id),
-                age_ms: now.since(report.measured).as_millis() as u32,
+                age_ms: now.since(report.measured_at).as_millis() as u32,
                 running: report.running,
                 waiting: report.waiting,
                 kv_used: (report.kv_used * 1_000.0) as u16,
@@ -352,11 +353,11 @@
         };
         let sizes = index.pools.iter().map(|(target, pool)| {
             let rates = *pool.rates.lock();
-            let slots: f64 = pool.rows.iter().map(|row| size(row, rates.ease)).sum();
+            let slots: f64 = pool.rows.iter().map(|row| size(row, rates.usable_share)).sum();
             Size {
                 target: target.clone(),
                 slots: slots.floor() as usize,
-                first: Duration::from_secs_f64(rates.first_ms / 1_000.0),
+                first: Duration::from_secs_f64(rates.first_token_ms / 1_000.0),
             }
         });
         sizes.collect()
--- a/crates/entry/src/fleet/poll.rs
+++ b/crates/entry/src/fleet/poll.rs
@@ -122,13 +122,13 @@
         match result {
             Ok(load) => {
                 let report = LoadReport {
-                    measured: now - Duration::from_millis(load.age_ms),
+                    measured_at: now - Duration::from_millis(load.age_ms),
                     running: load.running,
                     waiting: load.waiting,
                     kv_used: load.kv_used,
                 };
                 let mut state = row.member.state.lock();
-                state.load.report(report);
+                state.load.update(report);
                 state.polled = Some(now);
                 drop(state);
                 entry.fleet.hosts.answered(&row.spec.host, now);
--- a/crates/entry/src/fleet/prompt.rs
+++ b/crates/entry/src/fleet/prompt.rs
@@ -12,7 +12,7 @@
 pub fn prefix(messages: &[Message]) -> Prefix {
     let prefix = Prefix::of(messages.iter().flat_map(words));
     match session(messages) {
-        Some(session) => prefix.in_session(session),
+        Some(session) => prefix.with_session(session),
         None => prefix,
     }
 }
--- a/crates/entry/src/fleet/visit.rs
+++ b/crates/entry/src/fleet/visit.rs
@@ -96,11 +96,11 @@
         let Some(row) = &self.row else { return };
         let held = self.seen.lock().held;
         if let Some(words) = self.fleet.home_words(row, prefix) {
-            row.rates.lock().found(cached as f64 / words as f64);
+            row.rates.lock().record_cached(cached as f64 / words as f64);
         }
         // Judged is what was remembered, not what was left of it after the last judgement.
         if self.fleet.rules.with(Ablation::CacheEvents) {
-            row.member.state.lock().trust.counted(held, cached);
+            row.member.state.lock().trust.record_count(held, cached);
         }
     }
 }
@@ -117,8 +117,8 @@
             Some(first) => seen.fresh as f64 * rates.prefill_ms + millis(now.since(first)),
             None => millis(now.since(self.started)),
         };
-        rates.held(held);
-        rates.paced(seen.pauses, seen.late);
+        rates.record_hold(held);
+        rates.record_pauses(seen.pauses, seen.late);
     }
 }
 
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -20,7 +20,7 @@
 use policy::Tick;
 use policy::life::AnyHostState;
 use policy::prefix::Prefix;
-use policy::rescue::{Rates, Stream, StreamAction, plan};
+use policy::rescue::{MoveRates, Stream, StreamAction, plan};
 
 use crate::Entry;
 use crate::settings::KvExport;
@@ -70,9 +70,9 @@
         self.kept.lock().push(id, spec, prefix);
     }
 
-    fn rates(&self, export: bool) -> Rates {
+    fn rates(&self, export: bool) -> MoveRates {
         let measured = self.export.lock().map(Duration::from_secs_f64);
-        Rates {
+        MoveRates {
             export: export.then(|| measured.unwrap_or(EXPORT)),
             prefill: PREFILL,
         }
@@ -169,12 +169,12 @@
         let next = numbers.len();
         Stream {
             source: *numbers.entry(stream.source.clone()).or_insert(next),
-            left: stream.left,
+            time_left: stream.time_left,
             tokens: stream.tokens,
             remaining: stream.remaining,
-            step: stream.step,
+            token_interval: stream.token_interval,
             slack: stream.slack,
-            failed: stream.failed,
+            failed_copies: stream.failed_copies,
         }
     };
     streams.iter().map(number).collect()
--- a/crates/entry/src/rescue/copy.rs
+++ b/crates/entry/src/rescue/copy.rs
@@ -6,7 +6,7 @@
 use metrics::counter;
 use policy::prefix::Prefix;
 use policy::rescue::StreamAction;
-use policy::route::{Need, Target};
+use policy::route::{RequestNeed, Target};
 use slog::warn;
 use upstream::kv::{Export, Exported};
 
@@ -119,7 +119,7 @@
         let ask = Ask {
             target: &Target::Model(model.to_string()),
             prefix: &Prefix::of([]),
-            need: Need {
+            need: RequestNeed {
                 prompt_tokens: exported.tokens,
                 answer_tokens: 0,
                 turn: 0,
--- a/crates/entry/src/rescue/ride.rs
+++ b/crates/entry/src/rescue/ride.rs
@@ -92,12 +92,12 @@
         let needs = step.saturating_mul(u32::try_from(remaining).unwrap_or(u32::MAX));
         Stream {
             source: &self.spec.id,
-            left: gone_at.since(now),
+            time_left: gone_at.since(now),
             tokens: self.prompt + len as u64,
             remaining,
-            step,
+            token_interval: step,
             slack: self.due.since(now).saturating_sub(needs),
-            failed: self.failed,
+            failed_copies: self.failed,
         }
     }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -37,7 +37,7 @@
     /// Notes that something came from the upstream.
     pub(crate) fn hear(&self) {
         if let Some(reach) = &self.reach {
-            reach.hear(self.gate.clock.now());
+            reach.record_received(self.gate.clock.now());
         }
     }
 
@@ -140,7 +140,7 @@
     /// Notes that the request leaves for an upstream; gives the number under which it waits for its first event there.
     fn note_sent(&self, gate: &Gateway, chosen: &ChosenUpstream) -> u64 {
         let now = gate.clock.now();
-        gate.note_reading(&self.service, chosen.prediction.reading_ms);
+        gate.note_reading(&self.service, chosen.prediction.prefill_ms);
         let mut upstreams = gate.upstreams.borrow_mut();
         upstreams.note_use(&self.asked.prompt_parts, now);
         let upstream = upstreams.get(&chosen.id);
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -178,7 +178,7 @@
         self.spent.failed += 1;
         self.spent.time += took;
         self.client = None;
-        self.sources.fail(peer, self.link.clock.now());
+        self.sources.record_failure(peer, self.link.clock.now());
         thread::sleep(PAUSE);
     }
 }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -262,7 +262,7 @@
     /// Gives back what a request took that no upstream ran.
     pub fn give_back(&self, account: &str, units: f64) {
         if let Some(bucket) = self.buckets.borrow_mut().get_mut(account) {
-            bucket.give_back(units);
+            bucket.refund(units);
         }
     }
 
@@ -293,7 +293,7 @@
         let buckets = self.buckets.borrow();
         let spare = buckets
             .iter()
-            .map(|(account, bucket)| (account.clone(), bucket.spare() as u64));
+            .map(|(account, bucket)| (account.clone(), bucket.overflow() as u64));
         spare.filter(|(_, units)| *units > 0).collect()
     }
 
--- a/crates/gateway/src/learnt.rs
+++ b/crates/gateway/src/learnt.rs
@@ -37,12 +37,12 @@
             }
             *before = (now, rates);
             info!(logger, "rates learnt"; "service" => %service, "tokens_per_ms" => 1.0 / rates.token_ms,
-                "pairs_ms" => rates.pairs_ms, "base_ms" => rates.base_ms, "run_ms" => rates.run_ms);
+                "pairs_ms" => rates.attention_ms, "base_ms" => rates.base_ms, "run_ms" => rates.run_ms);
         }
     }
 }
 
 fn differs(a: &EngineRates, b: &EngineRates) -> bool {
     let moved = |a: f64, b: f64| (a / b).ln().abs() > CHANGED;
-    moved(a.token_ms, b.token_ms) || moved(a.pairs_ms, b.pairs_ms) || moved(a.run_ms, b.run_ms)
+    moved(a.token_ms, b.token_ms) || moved(a.attention_ms, b.attention_ms) || moved(a.run_ms, b.run_ms)
 }
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -14,7 +14,7 @@
 use metrics::counter;
 use policy::pace::{self, PrefillWork};
 use policy::place::Prediction;
-use policy::rescue::{MAX_COPY_FAILURES, Rates, Stream, StreamAction, plan};
+use policy::rescue::{MAX_COPY_FAILURES, MoveRates, Stream, StreamAction, plan};
 use slog::info;
 use tokio::time::{Sleep, sleep, timeout};
 
@@ -239,7 +239,7 @@
             fresh: 0,
         };
         let predicted = Prediction {
-            reading_ms: 0.0,
+            prefill_ms: 0.0,
             ..chosen.prediction
         };
         Some(ChosenUpstream {
@@ -255,12 +255,12 @@
         let asked = request.asked.tokens.unwrap_or_default();
         Stream {
             source: (),
-            left,
+            time_left: left,
             tokens: asked.prompt + made,
             remaining: asked.max_output.saturating_sub(made),
-            step: request.pace(made).unwrap_or(STEP),
+            token_interval: request.pace(made).unwrap_or(STEP),
             slack: Duration::ZERO,
-            failed: self.failed,
+            failed_copies: self.failed,
         }
     }
 
@@ -286,7 +286,7 @@
 
 /// Decides what becomes of a stream whose upstream ends.
 fn how(stream: &Stream<()>, engine: EngineSpec, learnt: pace::EngineRates) -> StreamAction {
-    let rates = Rates {
+    let rates = MoveRates {
         export: copy_time(&engine, 1),
         prefill: Duration::from_secs_f64(learnt.token_ms / 1_000.0),
     };
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -328,8 +328,8 @@
             "route" => &self.route.name, "service" => %self.service, "sends" => self.progress.get().sends,
             "upstream" => placed.map(|placed| placed.id.as_str()), "load" => placed.map(|placed| placed.load),
             "predicted_ms" => placed.map(|placed| placed.prediction.ms as u64),
-            "reading_ms" => placed.map(|placed| placed.prediction.reading_ms as u64),
-            "before_ms" => placed.map(|placed| placed.prediction.before_ms as u64),
+            "reading_ms" => placed.map(|placed| placed.prediction.prefill_ms as u64),
+            "before_ms" => placed.map(|placed| placed.prediction.backlog_ms as u64),
             "target_ms" => self.route.target_ms, "pause_ms" => pause_ms, "longest_ms" => self.route.pause_ms,
             "cached" => placed.map(|placed| placed.prefill.cached), "parts" => self.asked.prompt_parts.len(),
             "prompt" => self.asked.tokens.map(|tokens| tokens.prompt), "version" => version);
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -62,7 +62,7 @@
         let paced = (self.pause_ms > 0).then_some(self.pause_ms as f64);
         PromptNeed {
             tokens: self.tokens(),
-            pause_ms: paced.unwrap_or(f64::INFINITY),
+            max_pause_ms: paced.unwrap_or(f64::INFINITY),
         }
     }
 
@@ -156,8 +156,8 @@
         let mut candidates: Vec<Candidate> = candidates.filter(|one| one.load < one.slots * QUEUE).collect();
         let others = need.entries.saturating_sub(1);
         assume_home_cached(&mut candidates, need.shared_tokens(), |home| {
-            let there = now.since(open[home.at].since).min(self.uses.span(now));
-            self.uses.read_by_others(lead, others, there, now)
+            let there = now.since(open[home.at].since).min(self.uses.observed_span(now));
+            self.uses.cached_by_others(lead, others, there, now)
         });
         // Without a prompt there is nothing that entry hosts could agree on: the least loaded one is taken.
         let close_ms = if need.parts.is_empty() { 0.0 } else { CLOSE_MS };
@@ -177,7 +177,7 @@
     fn judge_reach(&self, now: Tick) {
         for upstream in self.all.values() {
             if let Some(sent) = upstream.backlog.oldest() {
-                upstream.reach.waits(sent, now);
+                upstream.reach.record_wait(sent, now);
             }
         }
     }
@@ -228,7 +228,7 @@
     /// Notes that a prompt is sent.
     pub fn note_use(&mut self, parts: &[PromptPart], now: Tick) {
         if parts.len() > 1 {
-            self.uses.note(lead(parts), now);
+            self.uses.record(lead(parts), now);
         }
     }
 
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -107,7 +107,7 @@
     /// requests are seen to wait longer, here or at another entry host.
     fn before_ms(&self, now: Tick) -> f64 {
         let ms = |until: Tick| until.since(now).as_secs_f64() * 1_000.0;
-        let unread = self.backlog.unread_ms(now) + ms(self.others_until);
+        let unread = self.backlog.pending_ms(now) + ms(self.others_until);
         unread.max(self.backlog.overdue_ms(now)).max(ms(self.overdue_until))
     }
 
@@ -116,10 +116,10 @@
     pub fn sent(&mut self, parts: &[PromptPart], chosen: &ChosenUpstream, now: Tick) -> u64 {
         let alone = self.before_ms(now) < LITTLE_MS && chosen.load < f64::from(self.listed.slots) * ALONE;
         let sent = SentRequest {
-            reading: chosen.prefill,
-            reading_ms: chosen.prediction.reading_ms,
+            prefill: chosen.prefill,
+            reading_ms: chosen.prediction.prefill_ms,
             predicted_ms: chosen.prediction.ms,
-            alone: alone && !parts.is_empty(),
+            unqueued: alone && !parts.is_empty(),
         };
         let number = self.backlog.sent(sent, now);
         self.own += 1;
@@ -133,14 +133,18 @@
     /// Notes that a request got its first event, or its whole answer.
     pub fn begun(&mut self, number: u64, now: Tick) {
         self.breaker.succeeded();
-        let Some(begun) = self.backlog.begun(number, now).filter(|begun| begun.sent.alone) else {
+        let Some(begun) = self
+            .backlog
+            .first_event(number, now)
+            .filter(|begun| begun.sent.unqueued)
+        else {
             return;
         };
         let mut pace = self.pace.borrow_mut();
-        let (reading, rates) = (begun.sent.reading, pace.rates());
+        let (reading, rates) = (begun.sent.prefill, pace.rates());
         self.relative
-            .learn(begun.seen_ms, rates.base_ms + rates.reading_ms(reading));
-        pace.learn(reading, begun.seen_ms, self.relative.factor());
+            .learn(begun.elapsed_ms, rates.base_ms + rates.reading_ms(reading));
+        pace.learn(reading, begun.elapsed_ms, self.relative.factor());
     }
 
     /// Notes that a request has ended there.
@@ -167,7 +171,7 @@
 
     /// Notes that it did not accept a connection.
     pub fn refused(&mut self, now: Tick) {
-        self.reach.hangs(now);
+        self.reach.record_connect_timeout(now);
         self.breaker.failed(now);
     }
 
@@ -191,8 +195,8 @@
     }
 
     pub(super) fn note_load(&mut self, running: u32, waiting: u32, measured: Tick) {
-        self.load.report(LoadReport {
-            measured,
+        self.load.update(LoadReport {
+            measured_at: measured,
             running,
             waiting,
             kv_used: 0.0,
@@ -203,7 +207,7 @@
     pub(super) fn sign(&self, now: Tick) -> Option<Sign> {
         let fresh = self.sight.filter(|(_, at)| now.since(*at) < SIGHT_FRESH);
         let load = fresh.map(|(load, at)| (load.running, load.waiting, now.since(at).as_millis() as u32));
-        let backlog_ms = self.backlog.unread_ms(now) as u32;
+        let backlog_ms = self.backlog.pending_ms(now) as u32;
         let overdue_ms = self.backlog.overdue_ms(now) as u32;
         (load.is_some() || backlog_ms > 0 || overdue_ms > 0).then(|| Sign {
             id: self.listed.id.clone(),
--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -18,10 +18,10 @@
     Ticket {
         id,
         customer: format!("customer-{}", id % customers).into(),
-        share: (id % customers) as u32 + 1,
+        weight: (id % customers) as u32 + 1,
         tokens: 100.0 + (id % 7) as f64,
-        latest: Tick::from_millis(1_000_000 + id % 1_000),
-        shed: (id % 4) as u8,
+        latest_start: Tick::from_millis(1_000_000 + id % 1_000),
+        shed_order: (id % 4) as u8,
     }
 }
 
@@ -33,14 +33,14 @@
         for id in 0..waiting as u64 + 16 {
             // Some are refused; the queue is full in the end.
             let _ = lane.offer(ticket(id, 10), Tick::default());
-            lane.grant();
+            lane.admit_next();
         }
         let mut id = 1_000_000;
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter(|| {
                 id += 1;
                 lane.finished(100.0, Duration::from_millis(1));
-                black_box(lane.grant());
+                black_box(lane.admit_next());
                 black_box(lane.offer(ticket(id, 10), Tick::default()).is_ok());
             });
         });
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -12,13 +12,13 @@
 use policy::Tick;
 use policy::load::{LoadEstimate, LoadReport};
 use policy::prefix::{Prefix, PrefixIndex};
-use policy::route::{Candidate, Group, GroupMember, Need, Rates, Rules, choose};
+use policy::route::{Candidate, GroupMember, Rates, RequestNeed, RoutingRules, UpstreamGroup, choose};
 
 const EXPIRY: Duration = Duration::from_secs(3);
 
 struct Fleet {
     ids: Vec<UpstreamId>,
-    group: Group,
+    group: UpstreamGroup,
     loads: Vec<LoadEstimate>,
     history: PrefixIndex,
 }
@@ -35,7 +35,7 @@
         id: ids[number as usize].clone(),
         near: number.is_multiple_of(8),
     };
-    let group = Group::new((0..count).map(place).collect());
+    let group = UpstreamGroup::new((0..count).map(place).collect());
     let mut history = PrefixIndex::new(256 * 1024);
     for seed in 0..2_000 {
         history.store(
@@ -46,8 +46,8 @@
     }
     let load = |number: u32| {
         let mut load = LoadEstimate::default();
-        load.report(LoadReport {
-            measured: Tick::from_millis(2_000),
+        load.update(LoadReport {
+            measured_at: Tick::from_millis(2_000),
             running: number % 16,
             ..LoadReport::default()
         });
@@ -70,7 +70,7 @@
         class: MachineClass::Reclaimable,
         price: 90_000,
         slots: 16,
-        near: fleet.group.places()[at].near,
+        near: fleet.group.members()[at].near,
         reclaims: 0.05,
         load: fleet.loads[at].predict(Tick::from_millis(2_500), EXPIRY, true),
         cached,
@@ -81,19 +81,22 @@
 
 fn pick(fleet: &Fleet, prefix: &Prefix, turn: u64) -> Option<UpstreamId> {
     let holders: Vec<u32> = fleet.history.holders(prefix).iter().map(|held| held.upstream).collect();
-    let proposed = fleet
-        .group
-        .propose(&fleet.group.homes(prefix.lead()), Some(prefix.lead()), &holders, turn);
-    let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.places()[p.at].number).collect();
+    let proposed = fleet.group.propose(
+        &fleet.group.homes(prefix.leading_hash()),
+        Some(prefix.leading_hash()),
+        &holders,
+        turn,
+    );
+    let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.members()[p.at].number).collect();
     let held = fleet.history.held(prefix, &numbers);
     let rows = proposed.iter().zip(held);
     let candidates: Vec<Candidate<'_>> = rows.map(|(p, held)| candidate(fleet, p.at, held, p.reason)).collect();
-    let need = Need {
+    let need = RequestNeed {
         prompt_tokens: prefix.words(),
         answer_tokens: 200,
         turn,
     };
-    let choice = choose(&Rules::default(), &candidates, &need, &Rates::default())?;
+    let choice = choose(&RoutingRules::default(), &candidates, &need, &Rates::default())?;
     Some(choice.chosen)
 }
 
@@ -114,9 +117,9 @@
     let mut index = c.benchmark_group("index");
     index.sample_size(10);
     for count in [40, 400, 3_300] {
-        let places = fleet(count).group.places().to_vec();
+        let places = fleet(count).group.members().to_vec();
         index.bench_function(BenchmarkId::from_parameter(count), |b| {
-            b.iter(|| black_box(Group::new(places.clone())));
+            b.iter(|| black_box(UpstreamGroup::new(places.clone())));
         });
     }
     index.finish();
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -13,13 +13,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SentRequest {
     /// What its prompt asks of the upstream.
-    pub reading: PrefillWork,
+    pub prefill: PrefillWork,
     /// Milliseconds in which the prompt is read.
     pub reading_ms: f64,
     /// Milliseconds until its answer was predicted to begin.
     pub predicted_ms: f64,
     /// Whether nothing was known to go before it, so that the time to its first event is that of its own prompt.
-    pub alone: bool,
+    pub unqueued: bool,
 }
 
 /// A request that got its first event.
@@ -28,7 +28,7 @@
     /// What was expected.
     pub sent: SentRequest,
     /// Milliseconds since it was sent.
-    pub seen_ms: f64,
+    pub elapsed_ms: f64,
 }
 
 /// The prompts that were sent to an upstream and may not be read yet.
@@ -54,10 +54,13 @@
     }
 
     /// Notes that a request got its first event; gives what was expected of it and what came, the first time.
-    pub fn begun(&mut self, number: u64, now: Tick) -> Option<FirstEvent> {
+    pub fn first_event(&mut self, number: u64, now: Tick) -> Option<FirstEvent> {
         let (at, sent) = self.waiting.remove(&number)?;
         let seen_ms = now.since(at).as_secs_f64() * 1_000.0;
-        Some(FirstEvent { sent, seen_ms })
+        Some(FirstEvent {
+            sent,
+            elapsed_ms: seen_ms,
+        })
     }
 
     /// Notes that a request ended without one.
@@ -67,7 +70,7 @@
 
     /// Gives the milliseconds of own prompts that are not read yet.
     #[must_use]
-    pub fn unread_ms(&self, now: Tick) -> f64 {
+    pub fn pending_ms(&self, now: Tick) -> f64 {
         self.read_at.since(now).as_secs_f64() * 1_000.0
     }
 
@@ -91,6 +94,6 @@
     /// Gives the milliseconds of work that goes before a new request: what is not read yet, or by how much requests are overdue.
     #[must_use]
     pub fn ms(&self, now: Tick) -> f64 {
-        self.unread_ms(now).max(self.overdue_ms(now))
+        self.pending_ms(now).max(self.overdue_ms(now))
     }
 }
--- a/crates/policy/src/cache.rs
+++ b/crates/policy/src/cache.rs
@@ -91,13 +91,13 @@
     }
 
     /// Takes in that events were lost, each of which may have been an eviction.
-    pub fn lost(&mut self, lost: u64, fresh: usize) {
+    pub fn record_lost(&mut self, lost: u64, fresh: usize) {
         let share = lost as f64 / (lost + fresh as u64).max(1) as f64;
         self.0 = (self.0 * (1.0 - share * GAP_WEIGHT)).max(LEAST);
     }
 
     /// Takes in an engine's own count of the cached words of a prompt against what was believed.
-    pub fn counted(&mut self, believed: u64, cached: u64) {
+    pub fn record_count(&mut self, believed: u64, cached: u64) {
         if believed > 0 {
             let share = (cached as f64 / believed as f64).min(1.0);
             self.0 = (self.0 + COUNT_WEIGHT * (share - self.0)).max(LEAST);
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -15,13 +15,13 @@
     /// The customer in whose name it is made.
     pub customer: CustomerId,
     /// The customer's weight.
-    pub share: u32,
+    pub weight: u32,
     /// Expected work, in tokens.
     pub tokens: f64,
     /// Latest start with which it can still be on time.
-    pub latest: Tick,
+    pub latest_start: Tick,
     /// Order of shedding: higher numbers go first.
-    pub shed: u8,
+    pub shed_order: u8,
 }
 
 /// Why a request was refused; it was not run.
@@ -94,7 +94,7 @@
     /// # Errors
     /// Refuses the request when it is too late already or is the victim itself.
     pub fn push(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, RefusalReason> {
-        if ticket.latest < now {
+        if ticket.latest_start < now {
             return Err(RefusalReason::TooLate);
         }
         let shed = if self.length >= self.bound {
@@ -128,11 +128,11 @@
 
     /// Gives the tokens that are served before a request if it is queued now.
     #[must_use]
-    pub fn ahead(&self, ticket: &Ticket) -> f64 {
+    pub fn work_ahead(&self, ticket: &Ticket) -> f64 {
         let own = self.lines.get(&ticket.customer);
         let before = own.map_or(0.0, |line| line.before(ticket));
         let start = own.map_or(self.virtual_time, |line| line.start.max(self.virtual_time));
-        let turn = start + before / f64::from(ticket.share.max(1));
+        let turn = start + before / f64::from(ticket.weight.max(1));
         let others = self.lines.iter().filter(|(customer, _)| **customer != ticket.customer);
         let served = others.map(|(_, line)| ((turn - line.start).max(0.0) * line.share).min(line.work));
         before + served.sum::<f64>()
@@ -161,7 +161,7 @@
 
     /// Takes out the victim of a full queue, unless it is the new request itself.
     fn shed_for(&mut self, ticket: &Ticket) -> Option<Ticket> {
-        let share = f64::from(ticket.share.max(1));
+        let share = f64::from(ticket.weight.max(1));
         let weight = |(customer, line): &(&CustomerId, &mut Line)| {
             let more = if **customer == ticket.customer {
                 ticket.tokens
@@ -174,7 +174,7 @@
         let (customer, line) = waiting.max_by(|a, b| weight(a).total_cmp(&weight(b)))?;
         if *customer == ticket.customer {
             let first = *line.sheds.last()?;
-            if (ticket.shed, ticket.latest, ticket.id) > first {
+            if (ticket.shed_order, ticket.latest_start, ticket.id) > first {
                 return None;
             }
         } else if ticket.tokens / share > line.work / line.share {
@@ -197,17 +197,17 @@
 
 impl Line {
     fn add(&mut self, ticket: Ticket) {
-        self.share = f64::from(ticket.share.max(1));
+        self.share = f64::from(ticket.weight.max(1));
         self.work += ticket.tokens;
-        self.order.insert((ticket.latest, ticket.id));
-        self.sheds.insert((ticket.shed, ticket.latest, ticket.id));
+        self.order.insert((ticket.latest_start, ticket.id));
+        self.sheds.insert((ticket.shed_order, ticket.latest_start, ticket.id));
         self.tickets.insert(ticket.id, ticket);
     }
 
     fn take(&mut self, id: u64) -> Option<Ticket> {
         let ticket = self.tickets.remove(&id)?;
-        self.order.remove(&(ticket.latest, id));
-        self.sheds.remove(&(ticket.shed, ticket.latest, id));
+        self.order.remove(&(ticket.latest_start, id));
+        self.sheds.remove(&(ticket.shed_order, ticket.latest_start, id));
         // Rounding errors must not pile up while the line is never empty.
         self.work = if self.tickets.is_empty() {
             0.0
@@ -219,7 +219,7 @@
 
     /// Gives the customer's own work that goes before a request.
     fn before(&self, ticket: &Ticket) -> f64 {
-        let earlier = self.order.range(..(ticket.latest, ticket.id));
+        let earlier = self.order.range(..(ticket.latest_start, ticket.id));
         earlier
             .filter_map(|(_, id)| self.tickets.get(id))
             .map(|other| other.tokens)
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -38,11 +38,11 @@
     /// Reclaimable ones that are ready.
     pub reclaimable: u32,
     /// Whether reclaimable ones were refused lately, so that a wave of reclaims is likely under way.
-    pub dry: bool,
+    pub scarce: bool,
     /// Whether its reclaimable ones were called back a moment ago, within the time in which an upstream starts.
     pub reclaimed: bool,
     /// Whether they were refused just now, so that asking again is of no use yet.
-    pub closed: bool,
+    pub backing_off: bool,
 }
 
 /// What there shall be in one data centre.
@@ -77,7 +77,7 @@
     let mut wanted: BTreeMap<Zone, ZoneTarget> =
         zones.iter().map(|zone| (zone.clone(), ZoneTarget::default())).collect();
     spread_reclaimable(&mut wanted, &zones, scaling, needed);
-    let dry = present.values().any(|there| there.dry);
+    let dry = present.values().any(|there| there.scarce);
     if dry {
         keep_reclaimable(&mut wanted, present);
     }
@@ -149,7 +149,7 @@
         let Some(held) = present.get(zone) else {
             continue;
         };
-        there.reclaimable = if held.closed {
+        there.reclaimable = if held.backing_off {
             held.reclaimable
         } else {
             there.reclaimable.max(held.reclaimable)
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -27,7 +27,7 @@
 
 impl PartUsage {
     /// Notes a prompt by the key of its innermost shared part.
-    pub fn note(&mut self, key: u64, now: Tick) {
+    pub fn record(&mut self, key: u64, now: Tick) {
         if self.since.is_none() {
             self.since = Some(now);
             self.halved = now;
@@ -69,14 +69,14 @@
 
     /// Gives the probability that one of so many other entry hosts has had a part read in a time.
     #[must_use]
-    pub fn read_by_others(&self, key: u64, others: u32, there: Duration, now: Tick) -> f64 {
+    pub fn cached_by_others(&self, key: u64, others: u32, there: Duration, now: Tick) -> f64 {
         let uses = self.per_s(key, now) * f64::from(others) * there.as_secs_f64();
         -(-uses).exp_m1()
     }
 
     /// Gives for how long prompts have been sent.
     #[must_use]
-    pub fn span(&self, now: Tick) -> Duration {
+    pub fn observed_span(&self, now: Tick) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.since(since))
     }
 }
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -61,7 +61,7 @@
 
     /// Gives the mean time for which a slot is kept; absent until enough was measured.
     #[must_use]
-    pub fn hold(&self) -> Option<f64> {
+    pub fn mean_hold(&self) -> Option<f64> {
         (self.finished >= FIRST).then_some(self.hold_s)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Changes the time that a request is expected to take from its start to its first token.
-    pub const fn set_first(&mut self, first: Duration) {
+    pub const fn set_first_token(&mut self, first: Duration) {
         self.first = first;
     }
 
@@ -129,7 +129,7 @@
     /// Predicts how long a request would wait if it came now.
     #[must_use]
     pub fn wait(&self, ticket: &Ticket) -> Duration {
-        let (Some(hold), Some(per_token)) = (self.rate.hold(), self.rate.per_token()) else {
+        let (Some(hold), Some(per_token)) = (self.rate.mean_hold(), self.rate.per_token()) else {
             return Duration::ZERO;
         };
         if self.running < self.capacity && self.queue.is_empty() {
@@ -137,7 +137,7 @@
         }
         let slots = self.capacity.max(1) as f64;
         // On average the first slot comes free after one hold divided by the slots.
-        let seconds = (hold + self.queue.ahead(ticket) * per_token) / slots;
+        let seconds = (hold + self.queue.work_ahead(ticket) * per_token) / slots;
         Duration::from_secs_f64(seconds.min(3_600.0))
     }
 
@@ -156,26 +156,26 @@
         let mut ticket = ticket;
         // It must start so early that its first token is on time. At most half of the time is kept for that: were it all,
         // nothing would be let in any more after a slow spell, and no faster one could be measured.
-        ticket.latest = ticket.latest - self.first.min(ticket.latest.since(now) / 2);
+        ticket.latest_start = ticket.latest_start - self.first.min(ticket.latest_start.since(now) / 2);
         let wait = self.wait(&ticket);
         let run = if self.whole {
-            self.rate.hold().unwrap_or_default()
+            self.rate.mean_hold().unwrap_or_default()
         } else {
             0.0
         };
         let ends = wait + Duration::from_secs_f64(run);
-        let left = ticket.latest.since(now);
+        let left = ticket.latest_start.since(now);
         let waits = wait > Duration::ZERO;
-        if ticket.latest < now || (waits && ends > left) {
-            return Err(self.turn(RefusalReason::TooLate, ticket.tokens, ends.saturating_sub(left), now));
+        if ticket.latest_start < now || (waits && ends > left) {
+            return Err(self.reject(RefusalReason::TooLate, ticket.tokens, ends.saturating_sub(left), now));
         }
         let tokens = ticket.tokens;
         let pushed = self.queue.push(ticket, now);
-        pushed.map_err(|why| self.turn(why, tokens, wait.saturating_sub(left), now))
+        pushed.map_err(|why| self.reject(why, tokens, wait.saturating_sub(left), now))
     }
 
     /// Lets the next request run, if there is a slot.
-    pub fn grant(&mut self) -> Option<Ticket> {
+    pub fn admit_next(&mut self) -> Option<Ticket> {
         if self.running >= self.capacity {
             return None;
         }
@@ -199,9 +199,9 @@
     ///
     /// Callers who were told the same time would all come back at once and be refused again, most of them. So each is
     /// given a time after that of the one before, by as long as its work will keep the slots busy.
-    pub fn turn(&mut self, why: RefusalReason, tokens: f64, late: Duration, now: Tick) -> Rejection {
+    pub fn reject(&mut self, why: RefusalReason, tokens: f64, late: Duration, now: Tick) -> Rejection {
         let work = tokens * self.rate.per_token().unwrap_or_default() / self.capacity.max(1) as f64;
-        let at = self.promised.max(now + late.max(self.next_place())).min(now + RETRY.1);
+        let at = self.promised.max(now + late.max(self.next_slot())).min(now + RETRY.1);
         self.promised = at + Duration::from_secs_f64(work.min(RETRY.1.as_secs_f64()));
         Rejection {
             why,
@@ -211,8 +211,8 @@
 
     /// Gives the time in which one running request ends on average.
     #[must_use]
-    pub fn next_place(&self) -> Duration {
-        let hold = self.rate.hold().unwrap_or_default();
+    pub fn next_slot(&self) -> Duration {
+        let hold = self.rate.mean_hold().unwrap_or_default();
         Duration::from_secs_f64(hold / self.running.max(1) as f64)
     }
 }
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/life.rs
@@ -52,7 +52,7 @@
     Serving(HostState<Serving>),
     /// Doubted.
     #[display("doubted")]
-    Doubted(HostState<Suspected>),
+    Suspected(HostState<Suspected>),
     /// Leaving.
     #[display("leaving")]
     Leaving(HostState<Leaving>),
@@ -157,7 +157,7 @@
         match self {
             Self::Starting(life) => life.incarnation,
             Self::Serving(life) => life.incarnation,
-            Self::Doubted(life) => life.incarnation,
+            Self::Suspected(life) => life.incarnation,
             Self::Leaving(life) => life.incarnation,
             Self::Gone(life) => life.incarnation,
         }
@@ -171,7 +171,7 @@
     pub fn after(self, sign: HostEvent, now: Tick) -> Self {
         match (self, sign) {
             (Self::Starting(life), HostEvent::Answered) => life.serve().into(),
-            (Self::Doubted(life), HostEvent::Answered) => life.trust().into(),
+            (Self::Suspected(life), HostEvent::Answered) => life.trust().into(),
             (Self::Serving(life), HostEvent::Refused) => life.doubt().into(),
             (Self::Gone(_), _) | (_, HostEvent::Answered | HostEvent::Refused) => self,
             (Self::Leaving(life), HostEvent::Leaves { left }) => life.hurry(now, left).into(),
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -31,7 +31,7 @@
 impl LimitAmounts {
     /// Gives the amounts in the order of the fields.
     #[must_use]
-    pub const fn list(&self) -> [f64; 3] {
+    pub const fn to_array(&self) -> [f64; 3] {
         [self.requests, self.tokens, self.running]
     }
 }
@@ -84,7 +84,7 @@
 
     /// Takes over what a peer lends in answer to a demand that was sent at the given time.
     pub fn borrow(&mut self, peer: u32, lent: LimitAmounts, asked: Tick) {
-        for (loans, amount) in self.loans.iter_mut().zip(lent.list()) {
+        for (loans, amount) in self.loans.iter_mut().zip(lent.to_array()) {
             loans.borrow(peer, amount, asked);
         }
     }
@@ -103,9 +103,9 @@
             let wanted: Vec<f64> = self
                 .peers
                 .values()
-                .map(|(_, peer)| peer.wanted.list()[measure])
+                .map(|(_, peer)| peer.wanted.to_array()[measure])
                 .collect();
-            let (part, own) = (parts_of(part)[measure], own.list()[measure]);
+            let (part, own) = (parts_of(part)[measure], own.to_array()[measure]);
             let mut wish = plan(part, own, &wanted)[place];
             if measure == RUNNING {
                 // Slots that are in use can't come back before the requests end. Lending them on, or using them here,
@@ -133,6 +133,6 @@
 const RUNNING: usize = 2;
 
 fn parts_of(amounts: LimitAmounts) -> [Part; 3] {
-    let [requests, tokens, running] = amounts.list();
+    let [requests, tokens, running] = amounts.to_array();
     [Part::rate(requests), Part::rate(tokens), Part::count(running)]
 }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Time at which the upstream measured it, on the own clock.
-    pub measured: Tick,
+    pub measured_at: Tick,
     /// Requests that ran.
     pub running: u32,
     /// Requests that waited.
@@ -31,7 +31,7 @@
 
 /// The predicted load with what it rests on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Predicted {
+pub struct PredictedLoad {
     /// Requests that run or wait there; absent without an unexpired report.
     pub reported: Option<f64>,
     /// Own requests there.
@@ -54,11 +54,11 @@
     }
 
     /// Takes a report over unless a newer one is known; tells whether it did.
-    pub fn report(&mut self, report: LoadReport) -> bool {
-        let newer = self.report.is_none_or(|before| before.measured < report.measured);
+    pub fn update(&mut self, report: LoadReport) -> bool {
+        let newer = self.report.is_none_or(|before| before.measured_at < report.measured_at);
         if newer {
             self.report = Some(report);
-            self.moves.retain(|(at, _)| *at > report.measured);
+            self.moves.retain(|(at, _)| *at > report.measured_at);
         }
         newer
     }
@@ -75,16 +75,19 @@
     /// sent or ended after that are added and taken off; without this every entry host sends all it has to whichever
     /// upstream was idle at the last report, and one sees bursts that wander from upstream to upstream.
     #[must_use]
-    pub fn predict(&self, now: Tick, expiry: Duration, corrected: bool) -> Predicted {
-        let age = self.report.map(|report| now.since(report.measured));
-        let valid = self.report.filter(|report| now.since(report.measured) < expiry);
+    pub fn predict(&self, now: Tick, expiry: Duration, corrected: bool) -> PredictedLoad {
+        let age = self.report.map(|report| now.since(report.measured_at));
+        let valid = self.report.filter(|report| now.since(report.measured_at) < expiry);
         let reported = valid.map(|report| {
-            let since = self.moves.iter().filter(|(at, _)| corrected && *at > report.measured);
+            let since = self
+                .moves
+                .iter()
+                .filter(|(at, _)| corrected && *at > report.measured_at);
             let change: f64 = since.map(|(_, by)| f64::from(*by)).sum();
             let own = if corrected { f64::from(self.running) } else { 0.0 };
             (f64::from(report.running + report.waiting) + change).max(own)
         });
-        Predicted {
+        PredictedLoad {
             reported,
             own: self.running,
             age,
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -14,7 +14,7 @@
 const START: EngineRates = EngineRates {
     base_ms: 15.0,
     token_ms: 0.025,
-    pairs_ms: 0.3,
+    attention_ms: 0.3,
     run_ms: START_RUN_MS,
 };
 /// Least and most of each rate, as factors on the start; beyond them lie no engines but faults.
@@ -59,7 +59,7 @@
     /// For a token of a prompt.
     pub token_ms: f64,
     /// For a million pairs of tokens.
-    pub pairs_ms: f64,
+    pub attention_ms: f64,
     /// For a whole request, from when it is sent to the end of its answer.
     pub run_ms: f64,
 }
@@ -74,7 +74,7 @@
     /// Gives the milliseconds in which an engine reads the rest of a prompt.
     #[must_use]
     pub fn reading_ms(&self, reading: PrefillWork) -> f64 {
-        reading.fresh as f64 * self.token_ms + reading.pairs() * self.pairs_ms
+        reading.fresh as f64 * self.token_ms + reading.pairs() * self.attention_ms
     }
 
     /// Gives the rates of an engine that takes so many times as long.
@@ -83,7 +83,7 @@
         Self {
             base_ms: self.base_ms * factor,
             token_ms: self.token_ms * factor,
-            pairs_ms: self.pairs_ms * factor,
+            attention_ms: self.attention_ms * factor,
             run_ms: self.run_ms * factor,
         }
     }
@@ -140,7 +140,7 @@
         let parts = [
             self.rates.base_ms,
             reading.fresh as f64 * self.rates.token_ms,
-            reading.pairs() * self.rates.pairs_ms,
+            reading.pairs() * self.rates.attention_ms,
         ];
         let expected: f64 = parts.iter().sum();
         let by = self.step.take(seen_ms > expected * own);
@@ -152,7 +152,7 @@
         self.rates = EngineRates {
             base_ms: moved(self.rates.base_ms, parts[0], START.base_ms),
             token_ms: moved(self.rates.token_ms, parts[1], START.token_ms),
-            pairs_ms: moved(self.rates.pairs_ms, parts[2], START.pairs_ms),
+            attention_ms: moved(self.rates.attention_ms, parts[2], START.attention_ms),
             ..self.rates
         };
     }
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -73,7 +73,7 @@
     /// Entry hosts that share.
     pub entries: u32,
     /// Part of every limit that is its own.
-    pub floor: f64,
+    pub fraction: f64,
 }
 
 impl QuotaAllocator {
@@ -90,14 +90,14 @@
     }
 
     /// Notes a beat and gives the entry host's part; nothing while it is not known yet who shares.
-    pub fn beat(&mut self, node: &NodeId, now: Tick) -> Option<EntryShare> {
+    pub fn record_heartbeat(&mut self, node: &NodeId, now: Tick) -> Option<EntryShare> {
         self.known.retain(|_, heard| now.since(*heard) < REMEMBERED);
         self.spares.retain(|node, _| self.known.contains_key(node));
         self.known.insert(node.clone(), now);
         let entries = self.count(now);
         (entries > 0).then(|| EntryShare {
             entries,
-            floor: EVEN / f64::from(entries),
+            fraction: EVEN / f64::from(entries),
         })
     }
 
@@ -129,13 +129,13 @@
     /// Takes back what an entry host had to spare since it told so last; `totals` count from its start.
     ///
     /// The first totals that are heard from an incarnation only begin the count: a former leader may have taken them back.
-    pub fn take_back(&mut self, node: &NodeId, run: u64, totals: BTreeMap<String, u64>) {
+    pub fn collect_overflow(&mut self, node: &NodeId, run: u64, totals: BTreeMap<String, u64>) {
         let before = self.spares.get(node).filter(|(known, _)| *known == run);
         if let Some((_, before)) = before {
             for (account, total) in &totals {
                 let new = total.saturating_sub(before.get(account).copied().unwrap_or(0));
                 if let Some(pool) = self.pools.get_mut(account) {
-                    pool.give_back(new as f64);
+                    pool.refund(new as f64);
                 }
             }
         }
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -109,11 +109,11 @@
     /// Milliseconds until the answer begins.
     pub ms: f64,
     /// Milliseconds of them in which the prompt is read.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// Milliseconds of them for what goes before.
-    pub before_ms: f64,
+    pub backlog_ms: f64,
     /// Milliseconds that weigh against it besides: requests that run there get no tokens while a long prompt is read.
-    pub harm_ms: f64,
+    pub stall_ms: f64,
     /// Whether it takes the request without queueing it.
     pub free: bool,
 }
@@ -124,13 +124,16 @@
     /// Tokens of the prompt.
     pub tokens: u64,
     /// Milliseconds of the longest pause of an answer in time; endless where the answer comes whole.
-    pub pause_ms: f64,
+    pub max_pause_ms: f64,
 }
 
 /// Predicts the time until an upstream answers.
 #[must_use]
 pub fn predict(option: &Candidate, wish: PromptNeed) -> Prediction {
-    let PromptNeed { tokens, pause_ms } = wish;
+    let PromptNeed {
+        tokens,
+        max_pause_ms: pause_ms,
+    } = wish;
     let slots = option.slots.max(1.0);
     let queued = (option.load + 1.0 - slots).max(0.0);
     let filled = (option.load / slots).min(1.0);
@@ -152,9 +155,9 @@
     Prediction {
         at: option.at,
         ms,
-        reading_ms,
-        before_ms: option.backlog_ms,
-        harm_ms: held_up * option.load * HARM,
+        prefill_ms: reading_ms,
+        backlog_ms: option.backlog_ms,
+        stall_ms: held_up * option.load * HARM,
         free: queued == 0.0,
     }
 }
@@ -166,7 +169,7 @@
         .iter()
         .map(|option| (predict(option, wish), option.weight))
         .collect();
-    let cost = |one: &Prediction| one.ms + one.harm_ms;
+    let cost = |one: &Prediction| one.ms + one.stall_ms;
     let least = predicted.iter().map(|(one, _)| cost(one)).min_by(f64::total_cmp)?;
     let close = predicted.iter().filter(|(one, _)| cost(one) <= least + close_ms);
     let best = close.max_by(|(_, a), (_, b)| a.cmp(b).then(Ordering::Equal));
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -62,7 +62,7 @@
 
     /// Tells which conversation the prompt belongs to.
     #[must_use]
-    pub fn in_session(self, session: Session) -> Self {
+    pub fn with_session(self, session: Session) -> Self {
         let session = Some(session);
         Self { session, ..self }
     }
@@ -90,14 +90,14 @@
     /// Two blocks are taken where there are as many, so that conversations that only share their first words are
     /// still spread.
     #[must_use]
-    pub fn lead(&self) -> u64 {
+    pub fn leading_hash(&self) -> u64 {
         self.blocks.get(1).or(self.blocks.first()).copied().unwrap_or_default()
     }
 }
 
 /// How many words at the start of a prompt an upstream is believed to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct PrefixHolder {
     /// Number of the upstream.
     pub upstream: u32,
     /// Words that it holds.
@@ -180,15 +180,15 @@
 
     /// Finds the upstreams that hold the longest beginnings of a prompt, longest first.
     #[must_use]
-    pub fn holders(&self, prefix: &Prefix) -> Vec<Held> {
-        let mut held: Vec<Held> = Vec::with_capacity(HOLDERS);
+    pub fn holders(&self, prefix: &Prefix) -> Vec<PrefixHolder> {
+        let mut held: Vec<PrefixHolder> = Vec::with_capacity(HOLDERS);
         let known: Vec<&Place> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
         // The deepest blocks are the rarest and tell best where a conversation lives.
         for place in known.iter().rev() {
             for upstream in place.holders.iter().filter(|holder| **holder != NOBODY) {
                 if held.len() < 2 * HOLDERS && held.iter().all(|other| other.upstream != *upstream) {
                     let words = depth(&known, *upstream) * BLOCK as u64;
-                    held.push(Held {
+                    held.push(PrefixHolder {
                         upstream: *upstream,
                         words,
                     });
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -95,13 +95,13 @@
     }
 
     /// Gives back the units of a request that no upstream ran.
-    pub fn give_back(&mut self, units: f64) {
+    pub fn refund(&mut self, units: f64) {
         self.units = (self.units + units).min(self.burst);
     }
 
     /// Gives the units that came while it was full, since the start; whoever shares the quota may use them.
     #[must_use]
-    pub const fn spare(&self) -> f64 {
+    pub const fn overflow(&self) -> f64 {
         self.spare
     }
 
--- a/crates/policy/src/reach.rs
+++ b/crates/policy/src/reach.rs
@@ -26,19 +26,19 @@
 
 impl Reachability {
     /// Notes that anything has come from there.
-    pub fn hear(&self, now: Tick) {
+    pub fn record_received(&self, now: Tick) {
         self.heard.set(now);
     }
 
     /// Judges by a request that was sent there and has got nothing yet.
-    pub fn waits(&self, sent: Tick, now: Tick) {
+    pub fn record_wait(&self, sent: Tick, now: Tick) {
         if sent > self.heard.get() && now.since(sent) >= SILENCE {
             self.silent.set(Some(now));
         }
     }
 
     /// Notes that a connection was not accepted in time.
-    pub fn hangs(&self, now: Tick) {
+    pub fn record_connect_timeout(&self, now: Tick) {
         if now.since(self.heard.get()) >= SILENCE {
             self.silent.set(Some(now));
         }
--- a/crates/policy/src/rescue.rs
+++ b/crates/policy/src/rescue.rs
@@ -39,22 +39,22 @@
     /// The engine that it runs on; copies from one engine queue for its link.
     pub source: S,
     /// Time until the host is gone.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Tokens of prompt and answer so far; a replay computes them again.
     pub tokens: u64,
     /// Tokens that the answer still needs at most.
     pub remaining: u64,
     /// Time between two tokens.
-    pub step: Duration,
+    pub token_interval: Duration,
     /// Time by which the whole answer may be delayed and still be on target.
     pub slack: Duration,
     /// Copies of its cache that failed.
-    pub failed: u32,
+    pub failed_copies: u32,
 }
 
 /// How fast tokens move and are computed, as measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rates {
+pub struct MoveRates {
     /// Time to export one token's cache; `None` when engines can't or it's switched off.
     pub export: Option<Duration>,
     /// Time to prefill one token.
@@ -66,12 +66,12 @@
 
 /// Decides on all streams together; gives them in the order in which they are to be dealt with.
 #[must_use]
-pub fn plan<S: Copy + Eq + Hash>(streams: &[Stream<S>], rates: &Rates) -> Vec<(usize, StreamAction)> {
+pub fn plan<S: Copy + Eq + Hash>(streams: &[Stream<S>], rates: &MoveRates) -> Vec<(usize, StreamAction)> {
     let (finish, mut rest): (Vec<usize>, Vec<usize>) = (0..streams.len()).partition(|at| fits(&streams[*at]));
     rest.sort_by(|a, b| {
         let (a, b) = (&streams[*a], &streams[*b]);
         let late = |stream: &Stream<S>| !misses(stream, rates);
-        let per_token = |stream: &Stream<S>| stream.left.as_secs_f64() / stream.tokens.max(1) as f64;
+        let per_token = |stream: &Stream<S>| stream.time_left.as_secs_f64() / stream.tokens.max(1) as f64;
         late(a).cmp(&late(b)).then(per_token(a).total_cmp(&per_token(b)))
     });
     let mut links: HashMap<S, Duration> = HashMap::new();
@@ -81,7 +81,7 @@
         let Some(copy) = copy_time(stream, rates) else {
             return (at, StreamAction::Replay);
         };
-        if *busy + copy + SAFETY > stream.left {
+        if *busy + copy + SAFETY > stream.time_left {
             return (at, StreamAction::Replay);
         }
         *busy += copy;
@@ -95,17 +95,18 @@
 /// Tells whether a stream ends before its host does.
 fn fits<S>(stream: &Stream<S>) -> bool {
     let steps = u32::try_from(stream.remaining).unwrap_or(u32::MAX);
-    stream.step.saturating_mul(steps).as_secs_f64() * SLOWER + SAFETY.as_secs_f64() <= stream.left.as_secs_f64()
+    stream.token_interval.saturating_mul(steps).as_secs_f64() * SLOWER + SAFETY.as_secs_f64()
+        <= stream.time_left.as_secs_f64()
 }
 
 /// Tells whether a replay would make a stream miss its target.
-fn misses<S>(stream: &Stream<S>, rates: &Rates) -> bool {
+fn misses<S>(stream: &Stream<S>, rates: &MoveRates) -> bool {
     rates.prefill.as_secs_f64() * stream.tokens as f64 > stream.slack.as_secs_f64()
 }
 
 /// Gives the time to copy a stream's cache, if that can be done and is worth it.
-fn copy_time<S>(stream: &Stream<S>, rates: &Rates) -> Option<Duration> {
-    let worth = stream.tokens >= FEWEST && stream.failed < MAX_COPY_FAILURES;
+fn copy_time<S>(stream: &Stream<S>, rates: &MoveRates) -> Option<Duration> {
+    let worth = stream.tokens >= FEWEST && stream.failed_copies < MAX_COPY_FAILURES;
     let export = rates.export.filter(|_| worth)?;
     Some(export.mul_f64(stream.tokens as f64))
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -85,7 +85,7 @@
 
     /// Gives the number of hosts that don't hold the newest version.
     #[must_use]
-    pub fn behind(&self, now: Tick) -> usize {
+    pub fn hosts_behind(&self, now: Tick) -> usize {
         let newest = self.newest();
         self.live(now).filter(|(_, version)| *version < newest).count()
     }
@@ -97,7 +97,7 @@
         if self.hosts.is_empty() || self.complete == version {
             return None;
         }
-        if self.behind(now) == 0 {
+        if self.hosts_behind(now) == 0 {
             self.complete = version;
             // When it was published is not known here.
             if version == self.inherited {
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -3,7 +3,7 @@
 use contract::MachineClass;
 use serde::{Deserialize, Serialize};
 
-use super::{Ablation, Candidate, Need, Rules};
+use super::{Ablation, Candidate, RequestNeed, RoutingRules};
 
 /// Weight of a measurement against all earlier ones.
 const WEIGHT: f64 = 0.1;
@@ -41,15 +41,15 @@
     /// Milliseconds for which a request keeps its slot.
     pub hold_ms: f64,
     /// Milliseconds that a request's own prefill takes.
-    pub fresh_ms: f64,
+    pub own_prefill_ms: f64,
     /// Share of requests that continue a conversation, which is the chance that another turn will follow.
-    pub follow: f64,
+    pub follow_share: f64,
     /// Share of a conversation's earlier words that its home is found to hold.
-    pub kept: f64,
+    pub cached_share: f64,
     /// Milliseconds until the first token; zero until one was measured.
-    pub first_ms: f64,
+    pub first_token_ms: f64,
     /// Share of the slots that can be used without long waits.
-    pub ease: f64,
+    pub usable_share: f64,
 }
 
 impl Default for Rates {
@@ -58,18 +58,18 @@
             prefill_ms: 0.25,
             decode_ms: 20.0,
             hold_ms: 1_000.0,
-            fresh_ms: 50.0,
-            follow: 0.5,
-            kept: 0.9,
-            first_ms: 0.0,
-            ease: 1.0,
+            own_prefill_ms: 50.0,
+            follow_share: 0.5,
+            cached_share: 0.9,
+            first_token_ms: 0.0,
+            usable_share: 1.0,
         }
     }
 }
 
 impl Rates {
     /// Takes in how long a request kept its slot.
-    pub fn held(&mut self, ms: f64) {
+    pub fn record_hold(&mut self, ms: f64) {
         self.hold_ms += WEIGHT * (ms - self.hold_ms);
     }
 
@@ -85,15 +85,15 @@
             let faster = sample < self.prefill_ms;
             let step = if faster { PREFILL_STEPS.0 } else { PREFILL_STEPS.1 };
             // The first one is taken as it is: a wrong constant would take a hundred requests to forget.
-            self.prefill_ms = if self.first_ms == 0.0 {
+            self.prefill_ms = if self.first_token_ms == 0.0 {
                 sample
             } else {
                 self.prefill_ms * step
             };
         }
-        self.first_ms += WEIGHT * (ms - self.first_ms);
+        self.first_token_ms += WEIGHT * (ms - self.first_token_ms);
         let own = fresh as f64 * self.prefill_ms;
-        self.fresh_ms += WEIGHT * (own - self.fresh_ms);
+        self.own_prefill_ms += WEIGHT * (own - self.own_prefill_ms);
         self.judge(ms - own <= own.max(EASY_MS));
     }
 
@@ -101,7 +101,7 @@
     ///
     /// Each further request in a batch makes the pauses of all others longer. Where the slots allow more than the
     /// promised pauses do, every answer of a full batch would be whole and late.
-    pub fn paced(&mut self, pauses: u32, late: u32) {
+    pub fn record_pauses(&mut self, pauses: u32, late: u32) {
         if pauses > 0 {
             self.judge(f64::from(late) <= f64::from(pauses) * LATE_PAUSES);
         }
@@ -109,21 +109,21 @@
 
     /// Moves the share of the slots that is used by how one request fared.
     fn judge(&mut self, good: bool) {
-        self.ease = if good {
-            (self.ease + EASE.1).min(1.0)
+        self.usable_share = if good {
+            (self.usable_share + EASE.1).min(1.0)
         } else {
-            (self.ease * EASE.0).max(EASE.2)
+            (self.usable_share * EASE.0).max(EASE.2)
         };
     }
 
     /// Takes in a request by whether it continues a conversation.
-    pub fn followed(&mut self, continues: bool) {
-        self.follow += FOLLOW_WEIGHT * (f64::from(u8::from(continues)) - self.follow);
+    pub fn record_turn(&mut self, continues: bool) {
+        self.follow_share += FOLLOW_WEIGHT * (f64::from(u8::from(continues)) - self.follow_share);
     }
 
     /// Takes in which share of the earlier words a conversation's home held.
-    pub fn found(&mut self, share: f64) {
-        self.kept += WEIGHT * (share.clamp(0.0, 1.0) - self.kept);
+    pub fn record_cached(&mut self, share: f64) {
+        self.cached_share += WEIGHT * (share.clamp(0.0, 1.0) - self.cached_share);
     }
 }
 
@@ -151,7 +151,13 @@
     ///
     /// Prefill holds up every request of the batch. What a later turn prefills again is therefore paid by all that run
     /// beside it, of whom there are as many as run beside a request on average now.
-    pub(super) fn of(candidate: &Candidate<'_>, need: &Need, rates: &Rates, rules: &Rules, beside: f64) -> Self {
+    pub(super) fn of(
+        candidate: &Candidate<'_>,
+        need: &RequestNeed,
+        rates: &Rates,
+        rules: &RoutingRules,
+        beside: f64,
+    ) -> Self {
         let slots = f64::from(candidate.slots.max(1));
         // An expired report tells nothing; a cautious constant stands in, so that neither an upstream that fell silent
         // while idle draws all requests nor one that fell silent while busy is never asked again.
@@ -179,17 +185,17 @@
         let before = if need.answer_tokens == 0 {
             0.0
         } else {
-            load.min(slots) * rates.fresh_ms / rates.hold_ms.max(1.0)
+            load.min(slots) * rates.own_prefill_ms / rates.hold_ms.max(1.0)
         };
         let crowd = (load / slots).min(1.0) * CROWD_MS;
         Self {
             load,
-            wait: queued / slots * rates.hold_ms + crowd + before * rates.fresh_ms,
+            wait: queued / slots * rates.hold_ms + crowd + before * rates.own_prefill_ms,
             prefill,
             stray: if candidate.home {
                 0.0
             } else {
-                rates.follow * need.prompt_tokens as f64 * rates.prefill_ms * (1.0 + beside)
+                rates.follow_share * need.prompt_tokens as f64 * rates.prefill_ms * (1.0 + beside)
             },
             price: count(Ablation::Price, rent * MS_PER_MICRODOLLAR),
             risk: count(Ablation::Risk, chance * redo),
--- a/crates/policy/src/route/group.rs
+++ b/crates/policy/src/route/group.rs
@@ -84,7 +84,7 @@
 /// Rendezvous hashing is done once for each of a fixed number of points when the group is made, so that a choice
 /// only reads a table, whatever the size of the group.
 #[derive(Clone, Debug, Default)]
-pub struct Group {
+pub struct UpstreamGroup {
     places: Vec<GroupMember>,
     by_number: Vec<(u32, u32)>,
     near: Vec<u32>,
@@ -92,7 +92,7 @@
     points: Vec<[u32; NEAR + HOMES]>,
 }
 
-impl Group {
+impl UpstreamGroup {
     /// Makes a group.
     #[must_use]
     pub fn new(places: Vec<GroupMember>) -> Self {
@@ -117,7 +117,7 @@
 
     /// Gives the members.
     #[must_use]
-    pub fn places(&self) -> &[GroupMember] {
+    pub fn members(&self) -> &[GroupMember] {
         &self.places
     }
 
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use cost::{Cost, Rates};
-pub use group::{CANDIDATES, Group, GroupMember, HOMES, ProposedCandidate, Reason, Target};
+pub use group::{CANDIDATES, GroupMember, HOMES, ProposedCandidate, Reason, Target, UpstreamGroup};
 pub use record::{Choice, Exclusion, NotChosen, ScoredCandidate};
 
 use contract::{MachineClass, UpstreamId};
@@ -97,14 +97,14 @@
 
 /// How decisions are made: the way of choosing and the parts that are left out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rules {
+pub struct RoutingRules {
     /// The way of choosing.
     pub routing: Routing,
     /// Parts that are left out.
     pub without: Vec<Ablation>,
 }
 
-impl Rules {
+impl RoutingRules {
     /// Tells whether a part counts.
     #[must_use]
     pub fn with(&self, part: Ablation) -> bool {
@@ -130,7 +130,7 @@
     /// Reclaims an hour that its zone is expected to see.
     pub reclaims: f64,
     /// Its predicted load.
-    pub load: crate::load::Predicted,
+    pub load: crate::load::PredictedLoad,
     /// Words of the prompt that are likely to be cached there.
     pub cached: u64,
     /// Whether the request's conversation has its home there; also true of all where there is no conversation.
@@ -141,7 +141,7 @@
 
 /// What the request needs.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Need {
+pub struct RequestNeed {
     /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
     /// Expected length of the answer in tokens.
@@ -154,7 +154,7 @@
 ///
 /// Returns `None` when every candidate is barred.
 #[must_use]
-pub fn choose(rules: &Rules, candidates: &[Candidate<'_>], need: &Need, rates: &Rates) -> Option<Choice> {
+pub fn choose(rules: &RoutingRules, candidates: &[Candidate<'_>], need: &RequestNeed, rates: &Rates) -> Option<Choice> {
     let loads = candidates.iter().filter_map(|candidate| candidate.load.reported);
     let beside = loads.sum::<f64>() / candidates.len().max(1) as f64;
     let costs: Vec<Cost> = candidates
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -44,7 +44,7 @@
     }
 
     /// Notes that a node did not answer, or that its word is too old.
-    pub fn fail(&mut self, node: SocketAddr, now: Tick) {
+    pub fn record_failure(&mut self, node: SocketAddr, now: Tick) {
         self.failed.insert(node, now);
     }
 
--- a/crates/policy/tests/admission_lane.rs
+++ b/crates/policy/tests/admission_lane.rs
@@ -12,10 +12,10 @@
     Ticket {
         id,
         customer: "a".into(),
-        share: 1,
+        weight: 1,
         tokens: 100.0,
-        latest: Tick::from_millis(latest_ms),
-        shed: 0,
+        latest_start: Tick::from_millis(latest_ms),
+        shed_order: 0,
     }
 }
 
@@ -24,7 +24,7 @@
     let mut lane = AdmissionQueue::new(slots, waiting, false);
     for id in 0..20 {
         lane.offer(ticket(id, 1_000_000), Tick::default()).unwrap();
-        lane.grant().unwrap();
+        lane.admit_next().unwrap();
         lane.finished(100.0, Duration::from_secs(1));
     }
     lane
@@ -38,7 +38,7 @@
     let mut lane = measured(10, 100);
     for id in 100..130 {
         lane.offer(ticket(id, 2_000), Tick::default()).unwrap();
-        lane.grant();
+        lane.admit_next();
     }
     let turned = lane.offer(ticket(200, 2_000), Tick::default()).unwrap_err();
     assert_eq!(turned.why, RefusalReason::TooLate);
@@ -57,7 +57,7 @@
         if let Err(turned) = lane.offer(ticket(id, 500), Tick::default()) {
             refused.push(turned.retry_after.as_secs_f64());
         }
-        lane.grant();
+        lane.admit_next();
     }
     let steps: Vec<f64> = refused.windows(2).map(|pair| pair[1] - pair[0]).collect();
     let before_cap = steps.iter().zip(&refused).filter(|(_, at)| **at < 59.0);
@@ -90,7 +90,7 @@
                     lane.resize(capacity);
                 }
             }
-            let granted = std::iter::from_fn(|| lane.grant()).count();
+            let granted = std::iter::from_fn(|| lane.admit_next()).count();
             // A smaller capacity cuts nothing short, but nothing is added above it.
             if granted > 0 && lane.running() > capacity {
                 return false;
--- a/crates/policy/tests/fair_queue.rs
+++ b/crates/policy/tests/fair_queue.rs
@@ -10,10 +10,10 @@
     Ticket {
         id,
         customer: customer.into(),
-        share,
+        weight: share,
         tokens: 100.0,
-        latest: Tick::from_millis(1_000),
-        shed: 0,
+        latest_start: Tick::from_millis(1_000),
+        shed_order: 0,
     }
 }
 
@@ -125,7 +125,7 @@
             let who = who % 5;
             let ticket = Ticket {
                 tokens,
-                latest: Tick::from_millis(1_000 + u64::from(*share)),
+                latest_start: Tick::from_millis(1_000 + u64::from(*share)),
                 ..ticket(id, &who.to_string(), u32::from(who) + 1)
             };
             queue.push(ticket, Tick::default()).unwrap();
@@ -137,7 +137,7 @@
             tokens: f64::from(size % 4_000) + 1.0,
             ..ticket(1_000_000, "small", u32::from(share % 3) + 1)
         };
-        let ahead = queue.ahead(&small);
+        let ahead = queue.work_ahead(&small);
         queue.push(small, Tick::default()).unwrap();
         let before = std::iter::from_fn(|| queue.pop()).take_while(|ticket| ticket.customer.as_str() != "small");
         let served: f64 = before.map(|ticket| ticket.tokens).sum();
@@ -163,8 +163,8 @@
             let good = match what % 8 {
                 0..=4 => {
                     let new = Ticket {
-                        latest: now + std::time::Duration::from_millis(u64::from(time)),
-                        shed: shed % 4,
+                        latest_start: now + std::time::Duration::from_millis(u64::from(time)),
+                        shed_order: shed % 4,
                         ..ticket(id, &(who % 4).to_string(), u32::from(who % 4) + 1)
                     };
                     match queue.push(new.clone(), now) {
@@ -199,7 +199,7 @@
     let mut queue = FairQueue::new(10);
     for id in 0..10 {
         let notice = Ticket {
-            shed: if id == 4 { 9 } else { 1 },
+            shed_order: if id == 4 { 9 } else { 1 },
             ..ticket(id, "flood", 1)
         };
         queue.push(notice, Tick::default()).unwrap();
@@ -207,11 +207,11 @@
     let victim = queue.push(ticket(100, "gate", 1), Tick::default()).unwrap();
     assert_eq!(victim.map(|ticket| ticket.id), Some(4));
     let late = Ticket {
-        shed: 5,
+        shed_order: 5,
         ..ticket(101, "flood", 1)
     };
     assert_eq!(queue.push(late, Tick::default()), Err(RefusalReason::QueueFull));
     let urgent = queue.push(ticket(102, "flood", 1), Tick::default()).unwrap();
-    assert!(urgent.is_some_and(|ticket| ticket.customer.as_str() == "flood" && ticket.shed == 1));
+    assert!(urgent.is_some_and(|ticket| ticket.customer.as_str() == "flood" && ticket.shed_order == 1));
     assert_eq!(queue.len(), 10);
 }
--- a/crates/policy/tests/fleet_plan.rs
+++ b/crates/policy/tests/fleet_plan.rs
@@ -25,9 +25,9 @@
     let there = counts.into_iter().map(|(on_demand, reclaimable, dry)| ZoneSupply {
         on_demand,
         reclaimable,
-        dry,
+        scarce: dry,
         reclaimed: false,
-        closed: dry,
+        backing_off: dry,
     });
     zones.zip(there).collect()
 }
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -134,7 +134,7 @@
 
     /// Gives what all hosts together may admit.
     pub fn usable(&self) -> [f64; 3] {
-        let all = (0..self.all.len()).map(|host| self.allowed(host).list());
+        let all = (0..self.all.len()).map(|host| self.allowed(host).to_array());
         all.fold([0.0; 3], |sum, part| std::array::from_fn(|at| sum[at] + part[at]))
     }
 
--- a/crates/policy/tests/learnt_pace.rs
+++ b/crates/policy/tests/learnt_pace.rs
@@ -27,7 +27,7 @@
     EngineRates {
         base_ms: draw(15.0),
         token_ms: draw(0.02),
-        pairs_ms: draw(0.3),
+        attention_ms: draw(0.3),
         run_ms: 1_000.0,
     }
 }
@@ -85,7 +85,7 @@
             pace.learn(reading, f64::from(ms), own.factor());
             own.learn(f64::from(ms), pace.rates().reading_ms(reading));
         }
-        let EngineRates { base_ms, token_ms, pairs_ms, .. } = pace.rates();
+        let EngineRates { base_ms, token_ms, attention_ms: pairs_ms, .. } = pace.rates();
         [base_ms, token_ms, pairs_ms, own.factor()].iter().all(|rate| rate.is_finite() && *rate > 0.0)
     }
 }
@@ -99,7 +99,7 @@
     let mut real = EngineRates {
         base_ms: 14.0,
         token_ms: 0.01,
-        pairs_ms: 0.2,
+        attention_ms: 0.2,
         run_ms: 1_000.0,
     };
     for round in 0..2 {
--- a/crates/policy/tests/node_choice.rs
+++ b/crates/policy/tests/node_choice.rs
@@ -22,9 +22,9 @@
     let mut sources = NodeSelector::new(1);
     let now = Tick::from_millis(1_000);
     assert_eq!(sources.pick(&nodes(), None, now), Some(node(2)));
-    sources.fail(node(2), now);
+    sources.record_failure(node(2), now);
     assert_eq!(sources.pick(&nodes(), Some(node(5)), now), Some(node(5)));
-    sources.fail(node(5), now);
+    sources.record_failure(node(5), now);
     assert_eq!(sources.pick(&nodes(), Some(node(5)), now), Some(node(3)));
 }
 
@@ -35,10 +35,10 @@
     for port in 1..=4 {
         let now = Tick::from_millis(u64::from(port) * 900);
         assert_eq!(sources.pick(&nodes(), None, now), Some(node(port)));
-        sources.fail(node(port), now);
+        sources.record_failure(node(port), now);
     }
     assert_eq!(sources.pick(&nodes(), None, Tick::from_millis(4_000)), Some(node(5)));
-    sources.fail(node(5), Tick::from_millis(4_100));
+    sources.record_failure(node(5), Tick::from_millis(4_100));
     let longest_ago = sources.pick(&nodes(), None, Tick::from_millis(4_200));
     assert_eq!(
         longest_ago,
--- a/crates/policy/tests/prefix_history.rs
+++ b/crates/policy/tests/prefix_history.rs
@@ -109,7 +109,7 @@
     let applied = cursor.apply(&[event(8), event(9), event(10)]);
     assert_eq!((applied.lost, applied.fresh.len(), applied.restarted), (5, 3, false));
     let mut trust = CacheTrust::default();
-    trust.lost(applied.lost, applied.fresh.len());
+    trust.record_lost(applied.lost, applied.fresh.len());
     assert!(trust.share() < 1.0);
     assert_eq!(cursor.after(), 9);
     assert!(!cursor.apply(&[event(10)]).restarted);
@@ -122,11 +122,11 @@
 fn trust_follows() {
     let mut trust = CacheTrust::default();
     for _ in 0..50 {
-        trust.counted(1_000, 0);
+        trust.record_count(1_000, 0);
     }
     assert!(trust.share() < 0.2);
     for _ in 0..50 {
-        trust.counted(1_000, 1_000);
+        trust.record_count(1_000, 1_000);
     }
     assert!(trust.share() > 0.95);
 }
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -25,14 +25,14 @@
 const RATES: EngineRates = EngineRates {
     base_ms: 0.0,
     token_ms: 1.0 / 64.0,
-    pairs_ms: 0.65,
+    attention_ms: 0.65,
     run_ms: 1_000.0,
 };
 
 fn wish(tokens: u64) -> PromptNeed {
     PromptNeed {
         tokens,
-        pause_ms: 600.0,
+        max_pause_ms: 600.0,
     }
 }
 
@@ -43,10 +43,10 @@
 fn sent(fresh: u64, predicted_ms: f64) -> SentRequest {
     let reading = PrefillWork { cached: 0, fresh };
     SentRequest {
-        reading,
+        prefill: reading,
         reading_ms: RATES.reading_ms(reading),
         predicted_ms,
-        alone: true,
+        unqueued: true,
     }
 }
 
@@ -109,15 +109,15 @@
     let mut uses = PartUsage::default();
     let at = Tick::from_millis;
     for ms in (0..20_000).step_by(500) {
-        uses.note(ms / 500 % 4, at(ms));
+        uses.record(ms / 500 % 4, at(ms));
     }
     let now = at(20_000);
-    let held = |age_ms| uses.read_by_others(1, 7, Duration::from_millis(age_ms), now);
+    let held = |age_ms| uses.cached_by_others(1, 7, Duration::from_millis(age_ms), now);
     assert!(held(0) < 0.01);
     assert!((0.2..0.8).contains(&held(200)), "{}", held(200));
     assert!(held(5_000) > 0.99);
     let first = PartUsage::default();
-    assert!(first.read_by_others(1, 7, Duration::from_mins(1), now) < 0.01);
+    assert!(first.cached_by_others(1, 7, Duration::from_mins(1), now) < 0.01);
     let mut home = [candidate(0, 0.0)];
     assume_home_cached(&mut home, 40_000, |_| held(0));
     assert!(home[0].cached < 400);
@@ -129,10 +129,10 @@
 fn seldom_used() {
     let mut uses = PartUsage::default();
     for ms in (0..20_000).step_by(100) {
-        uses.note(1, Tick::from_millis(ms));
+        uses.record(1, Tick::from_millis(ms));
     }
-    uses.note(2, Tick::from_millis(1_000));
-    let held = |key| uses.read_by_others(key, 7, Duration::from_millis(300), Tick::from_millis(20_000));
+    uses.record(2, Tick::from_millis(1_000));
+    let held = |key| uses.cached_by_others(key, 7, Duration::from_millis(300), Tick::from_millis(20_000));
     assert!(held(1) > 0.99);
     assert!(held(2) < 0.5, "{}", held(2));
 }
@@ -177,8 +177,8 @@
     let mut backlog = Backlog::default();
     let number = backlog.sent(sent(300, 5.0), Tick::from_millis(1_000));
     assert!(backlog.ms(Tick::from_millis(1_400)) > 350.0);
-    let begun = backlog.begun(number, Tick::from_millis(1_400)).unwrap();
-    assert!((begun.seen_ms - 400.0).abs() < 1.0);
+    let begun = backlog.first_event(number, Tick::from_millis(1_400)).unwrap();
+    assert!((begun.elapsed_ms - 400.0).abs() < 1.0);
     assert!(backlog.ms(Tick::from_millis(1_400)) < 1.0);
 }
 
--- a/crates/policy/tests/quota_parts.rs
+++ b/crates/policy/tests/quota_parts.rs
@@ -28,7 +28,7 @@
 fn settled() -> QuotaAllocator {
     let mut sharers = QuotaAllocator::new(0, Tick::default());
     for at in 0..HOSTS {
-        let _ = sharers.beat(&name(at), Tick::from_millis(500));
+        let _ = sharers.record_heartbeat(&name(at), Tick::from_millis(500));
     }
     sharers
 }
@@ -37,9 +37,9 @@
 #[test]
 fn listens_first() {
     let mut sharers = QuotaAllocator::new(0, Tick::default());
-    assert_eq!(sharers.beat(&name(0), Tick::from_millis(100)), None);
+    assert_eq!(sharers.record_heartbeat(&name(0), Tick::from_millis(100)), None);
     let mut sharers = settled();
-    let portion = sharers.beat(&name(0), Tick::from_millis(1_100)).unwrap();
+    let portion = sharers.record_heartbeat(&name(0), Tick::from_millis(1_100)).unwrap();
     assert_eq!(portion.entries, HOSTS as u32);
 }
 
@@ -48,9 +48,9 @@
 #[test]
 fn left_count() {
     let mut sharers = QuotaAllocator::new(8, Tick::default());
-    let portion = sharers.beat(&name(0), Tick::from_millis(10)).unwrap();
+    let portion = sharers.record_heartbeat(&name(0), Tick::from_millis(10)).unwrap();
     assert_eq!(portion.entries, 8);
-    let portion = sharers.beat(&name(0), Tick::from_millis(40_000)).unwrap();
+    let portion = sharers.record_heartbeat(&name(0), Tick::from_millis(40_000)).unwrap();
     assert_eq!(portion.entries, 1);
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn cut_host_counts() {
     let mut sharers = settled();
-    let portion = sharers.beat(&name(0), Tick::from_millis(20_000)).unwrap();
+    let portion = sharers.record_heartbeat(&name(0), Tick::from_millis(20_000)).unwrap();
     assert_eq!(portion.entries, HOSTS as u32);
 }
 
@@ -94,8 +94,8 @@
             self.quota.burst * part + self.slack.split(count),
             now,
         );
-        let spare = BTreeMap::from([("a".to_owned(), own.spare() as u64)]);
-        self.sharers.take_back(&name(at), 1, spare);
+        let spare = BTreeMap::from([("a".to_owned(), own.overflow() as u64)]);
+        self.sharers.collect_overflow(&name(at), 1, spare);
         self.sharers
             .set_quotas(&[("a".to_owned(), self.quota)], &self.slack, now);
     }
@@ -158,13 +158,13 @@
     sharers.set_quotas(&[("a".to_owned(), QUOTA)], &Slack::default(), Tick::default());
     assert!(sharers.lend("a", 320.0, Tick::default()));
     for (run, total) in [(1, 500), (1, 500), (2, 400)] {
-        sharers.take_back(&name(0), run, spare(total));
+        sharers.collect_overflow(&name(0), run, spare(total));
         assert!(
             !sharers.lend("a", 100.0, Tick::default()),
             "run {run}, {total} to spare"
         );
     }
-    sharers.take_back(&name(0), 2, spare(500));
+    sharers.collect_overflow(&name(0), 2, spare(500));
     assert!(sharers.lend("a", 100.0, Tick::default()));
 }
 
--- a/crates/policy/tests/rescue_plan.rs
+++ b/crates/policy/tests/rescue_plan.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use policy::rescue::{Rates, Stream, StreamAction, plan};
+use policy::rescue::{MoveRates, Stream, StreamAction, plan};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Copy, Debug)]
@@ -14,18 +14,18 @@
         let mut up_to = |most: u64| u64::arbitrary(g) % most;
         Self(Stream {
             source: up_to(4) as u8,
-            left: Duration::from_millis(up_to(20_000)),
+            time_left: Duration::from_millis(up_to(20_000)),
             tokens: up_to(20_000),
             remaining: up_to(2_000),
-            step: Duration::from_millis(up_to(100)),
+            token_interval: Duration::from_millis(up_to(100)),
             slack: Duration::from_millis(up_to(5_000)),
-            failed: up_to(4) as u32,
+            failed_copies: up_to(4) as u32,
         })
     }
 }
 
-fn rates(export: bool) -> Rates {
-    Rates {
+fn rates(export: bool) -> MoveRates {
+    MoveRates {
         export: export.then_some(Duration::from_micros(130)),
         prefill: Duration::from_micros(250),
     }
@@ -69,7 +69,7 @@
                 let stream = &streams[*at];
                 let sum = busy.entry(stream.source).or_default();
                 *sum += Duration::from_micros(130).mul_f64(stream.tokens as f64);
-                *sum <= stream.left
+                *sum <= stream.time_left
             })
     }
     check(fits);
@@ -81,8 +81,8 @@
         let (streams, steps) = planned(&all, true);
         steps.iter().all(|(at, how)| {
             let stream = &streams[*at];
-            let needs = stream.step * stream.remaining as u32;
-            *how != StreamAction::Finish || needs <= stream.left
+            let needs = stream.token_interval * stream.remaining as u32;
+            *how != StreamAction::Finish || needs <= stream.time_left
         })
     }
     check(in_time);
@@ -113,12 +113,12 @@
 fn long_before_short() {
     let stream = |tokens| Stream {
         source: 0,
-        left: Duration::from_secs(2),
+        time_left: Duration::from_secs(2),
         tokens,
         remaining: 1_000,
-        step: Duration::from_millis(50),
+        token_interval: Duration::from_millis(50),
         slack: Duration::from_mins(1),
-        failed: 0,
+        failed_copies: 0,
     };
     let steps = plan(&[stream(500), stream(13_000), stream(20)], &rates(true));
     assert_eq!(
--- a/crates/policy/tests/rollout_lag.rs
+++ b/crates/policy/tests/rollout_lag.rs
@@ -18,7 +18,7 @@
     rollout.publish(17, Tick::from_millis(500));
     rollout.note(&host("a"), 17, Tick::from_millis(1_400));
     rollout.note(&host("b"), 9, Tick::from_millis(1_400));
-    assert_eq!(rollout.behind(Tick::from_millis(1_500)), 1);
+    assert_eq!(rollout.hosts_behind(Tick::from_millis(1_500)), 1);
     let late = rollout.report(Tick::from_millis(1_500));
     let expected = Progress::Late {
         version: 17,
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -4,9 +4,10 @@
 
 use contract::{MachineClass, UpstreamId};
 use policy::Tick;
-use policy::load::{LoadEstimate, LoadReport, Predicted};
+use policy::load::{LoadEstimate, LoadReport, PredictedLoad};
 use policy::route::{
-    Ablation, CANDIDATES, Candidate, Group, GroupMember, Need, NotChosen, Rates, Reason, Routing, Rules, choose,
+    Ablation, CANDIDATES, Candidate, GroupMember, NotChosen, Rates, Reason, RequestNeed, Routing, RoutingRules,
+    UpstreamGroup, choose,
 };
 use quickcheck::{Gen, QuickCheck};
 
@@ -19,7 +20,7 @@
         slots: 16,
         near: true,
         reclaims: 0.05,
-        load: Predicted {
+        load: PredictedLoad {
             reported: Some(load),
             own: 0,
             age: Some(Duration::from_millis(100)),
@@ -30,21 +31,21 @@
     }
 }
 
-fn need() -> Need {
-    Need {
+fn need() -> RequestNeed {
+    RequestNeed {
         prompt_tokens: 2_000,
         answer_tokens: 64,
         turn: 0,
     }
 }
 
-fn group(count: u32) -> Group {
+fn group(count: u32) -> UpstreamGroup {
     let place = |number| GroupMember {
         number,
         id: format!("engine-{number}").into(),
         near: number % 4 == 0,
     };
-    Group::new((0..count).map(place).collect())
+    UpstreamGroup::new((0..count).map(place).collect())
 }
 
 /// A long consultation comes back with one more question. Sent to an engine that never saw it, all of it is computed
@@ -52,7 +53,7 @@
 #[test]
 fn session_stays() {
     let (home, other) = (UpstreamId::from("home"), UpstreamId::from("other"));
-    let rules = Rules::default();
+    let rules = RoutingRules::default();
     let rates = Rates::default();
     let busy = [candidate(&home, 12.0, 1_984), candidate(&other, 0.0, 0)];
     assert_eq!(choose(&rules, &busy, &need(), &rates).unwrap().chosen, home);
@@ -70,18 +71,20 @@
     let (zone, calm) = (UpstreamId::from("zone"), UpstreamId::from("calm"));
     let mut candidates = [candidate(&zone, 0.0, 1_984), candidate(&calm, 0.0, 1_000)];
     candidates[0].reclaims = 60.0;
-    let long = Need {
+    let long = RequestNeed {
         answer_tokens: 1_000,
         ..need()
     };
     let rates = Rates::default();
     assert_eq!(
-        choose(&Rules::default(), &candidates, &long, &rates).unwrap().chosen,
+        choose(&RoutingRules::default(), &candidates, &long, &rates)
+            .unwrap()
+            .chosen,
         calm
     );
-    let rules = Rules {
+    let rules = RoutingRules {
         without: vec![Ablation::Risk],
-        ..Rules::default()
+        ..RoutingRules::default()
     };
     assert_eq!(choose(&rules, &candidates, &long, &rates).unwrap().chosen, zone);
 }
@@ -91,8 +94,8 @@
 #[test]
 fn expired_report() {
     let mut estimate = LoadEstimate::default();
-    estimate.report(LoadReport {
-        measured: Tick::from_millis(1_000),
+    estimate.update(LoadReport {
+        measured_at: Tick::from_millis(1_000),
         ..LoadReport::default()
     });
     let expiry = Duration::from_secs(3);
@@ -105,7 +108,7 @@
     let (silent, known) = (UpstreamId::from("silent"), UpstreamId::from("known"));
     let mut candidates = [candidate(&silent, 0.0, 0), candidate(&known, 2.0, 0)];
     candidates[0].load = expired;
-    let choice = choose(&Rules::default(), &candidates, &need(), &Rates::default()).unwrap();
+    let choice = choose(&RoutingRules::default(), &candidates, &need(), &Rates::default()).unwrap();
     assert_eq!(choice.chosen, known);
     assert!(choice.weighed[0].expired);
 }
@@ -122,12 +125,12 @@
             estimate.sent(Tick::from_millis(u64::from(*at)));
         }
         let report = |at: u16| LoadReport {
-            measured: Tick::from_millis(u64::from(at)),
+            measured_at: Tick::from_millis(u64::from(at)),
             running: sends.iter().filter(|sent| **sent <= at).count() as u32,
             ..LoadReport::default()
         };
-        estimate.report(report(measured.max(late)));
-        let newer = estimate.report(report(measured.min(late)));
+        estimate.update(report(measured.max(late)));
+        let newer = estimate.update(report(measured.min(late)));
         let predicted = estimate.predict(Tick::from_millis(70_000), Duration::from_secs(100), true);
         !newer && predicted.reported == Some(sends.len() as f64)
     }
@@ -164,13 +167,13 @@
 fn few_move() {
     let before = group(101);
     let after = {
-        let places = before.places().iter().filter(|place| place.number != 40);
-        Group::new(places.cloned().collect())
+        let places = before.members().iter().filter(|place| place.number != 40);
+        UpstreamGroup::new(places.cloned().collect())
     };
-    let first = |group: &Group, lead: u64| {
+    let first = |group: &UpstreamGroup, lead: u64| {
         let found = group.propose(&[], Some(lead), &[], 0);
         let proposed = found.iter().find(|proposed| proposed.reason == Reason::Rendezvous);
-        proposed.map(|proposed| group.places()[proposed.at].number)
+        proposed.map(|proposed| group.members()[proposed.at].number)
     };
     for lead in 0..1_000 {
         let (was, is) = (first(&before, lead), first(&after, lead));
@@ -181,15 +184,15 @@
 #[test]
 fn baselines_rotate() {
     let group = group(30);
-    let ids: Vec<UpstreamId> = group.places().iter().map(|place| place.id.clone()).collect();
-    let rules = Rules {
+    let ids: Vec<UpstreamId> = group.members().iter().map(|place| place.id.clone()).collect();
+    let rules = RoutingRules {
         routing: Routing::RoundRobin,
-        ..Rules::default()
+        ..RoutingRules::default()
     };
     for turn in 0..90 {
         let window = group.window(turn);
         let candidates: Vec<Candidate<'_>> = window.iter().map(|p| candidate(&ids[p.at], 0.0, 0)).collect();
-        let choice = choose(&rules, &candidates, &Need { turn, ..need() }, &Rates::default()).unwrap();
+        let choice = choose(&rules, &candidates, &RequestNeed { turn, ..need() }, &Rates::default()).unwrap();
         assert_eq!(choice.chosen, ids[turn as usize % 30], "turn {turn}");
     }
 }
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -1,20 +1,22 @@
 //! Every entry host sends the turns of a conversation to the same upstream unless waiting there costs more.
 
 use contract::{MachineClass, UpstreamId};
-use policy::load::Predicted;
-use policy::route::{Ablation, Candidate, Choice, Group, GroupMember, Need, Rates, Reason, Rules, choose};
+use policy::load::PredictedLoad;
+use policy::route::{
+    Ablation, Candidate, Choice, GroupMember, Rates, Reason, RequestNeed, RoutingRules, UpstreamGroup, choose,
+};
 use quickcheck::{Gen, QuickCheck};
 
-fn group(numbers: &[u32], near: u32) -> Group {
+fn group(numbers: &[u32], near: u32) -> UpstreamGroup {
     let place = |number: &u32| GroupMember {
         number: *number,
         id: format!("engine-{number}").into(),
         near: number % 4 == near,
     };
-    Group::new(numbers.iter().map(place).collect())
+    UpstreamGroup::new(numbers.iter().map(place).collect())
 }
 
-fn pick(loads: &[f64], home: usize, rules: &Rules) -> Choice {
+fn pick(loads: &[f64], home: usize, rules: &RoutingRules) -> Choice {
     let ids: Vec<UpstreamId> = (0..loads.len()).map(|at| format!("engine-{at}").into()).collect();
     let candidate = |at: usize| Candidate {
         id: &ids[at],
@@ -24,16 +26,16 @@
         slots: 4,
         near: true,
         reclaims: 0.0,
-        load: Predicted {
+        load: PredictedLoad {
             reported: Some(loads[at]),
-            ..Predicted::default()
+            ..PredictedLoad::default()
         },
         cached: if at == home { 900 } else { 0 },
         home: at == home,
         barred: None,
     };
     let candidates: Vec<Candidate<'_>> = (0..loads.len()).map(candidate).collect();
-    let need = Need {
+    let need = RequestNeed {
         prompt_tokens: 1_000,
         answer_tokens: 50,
         turn: 1,
@@ -49,7 +51,7 @@
         let numbers: Vec<u32> = (0..2 + u32::from(count % 400)).collect();
         let turned: Vec<u32> = numbers.iter().rev().copied().collect();
         let (one, other) = (group(&numbers, 0), group(&turned, 3));
-        let names = |group: &Group| group.homes(key).map(|at| group.places()[at].id.clone());
+        let names = |group: &UpstreamGroup| group.homes(key).map(|at| group.members()[at].id.clone());
         let homes = names(&one);
         homes == names(&other) && homes[0] != homes[1]
     }
@@ -72,13 +74,13 @@
 
 #[test]
 fn home_wins() {
-    let rules = Rules::default();
+    let rules = RoutingRules::default();
     assert_eq!(pick(&[0.0, 3.0, 0.0], 1, &rules).chosen.as_str(), "engine-1");
 }
 
 #[test]
 fn full_home() {
-    let rules = Rules::default();
+    let rules = RoutingRules::default();
     assert_ne!(pick(&[0.0, 30.0, 0.0], 1, &rules).chosen.as_str(), "engine-1");
 }
 
--- a/crates/policy/tests/slot_ease.rs
+++ b/crates/policy/tests/slot_ease.rs
@@ -13,11 +13,11 @@
         rates.first_token(400, 4_000.0);
         rates.first_token(400, 600.0);
     }
-    assert!(rates.ease < 0.3, "{}", rates.ease);
+    assert!(rates.usable_share < 0.3, "{}", rates.usable_share);
     for _ in 0..200 {
         rates.first_token(400, 600.0);
     }
-    assert!(rates.ease > 0.99, "{}", rates.ease);
+    assert!(rates.usable_share > 0.99, "{}", rates.usable_share);
 }
 
 /// Each further request in a batch lengthens the pauses of all. With more than one in twenty longer than promised,
@@ -25,14 +25,14 @@
 #[test]
 fn pauses_count() {
     let mut rates = Rates::default();
-    rates.paced(0, 0);
-    assert!((rates.ease - 1.0).abs() < f64::EPSILON);
+    rates.record_pauses(0, 0);
+    assert!((rates.usable_share - 1.0).abs() < f64::EPSILON);
     for _ in 0..100 {
-        rates.paced(40, 3);
+        rates.record_pauses(40, 3);
     }
-    assert!(rates.ease < 0.3, "{}", rates.ease);
-    rates.paced(40, 2);
-    assert!(rates.ease > 0.25);
+    assert!(rates.usable_share < 0.3, "{}", rates.usable_share);
+    rates.record_pauses(40, 2);
+    assert!(rates.usable_share > 0.25);
 }
 
 /// Most first tokens come after a wait in the engine. Were the wait taken for prefill, a cached prefix would seem to be
--- a/crates/policy/tests/zone_silence.rs
+++ b/crates/policy/tests/zone_silence.rs
@@ -12,13 +12,13 @@
 #[test]
 fn cut_off() {
     let reach = Reachability::default();
-    reach.hear(at(1_000));
-    reach.waits(at(1_010), at(1_200));
+    reach.record_received(at(1_000));
+    reach.record_wait(at(1_010), at(1_200));
     assert!(!reach.is_silent(true, at(1_200)));
-    reach.waits(at(1_010), at(1_350));
+    reach.record_wait(at(1_010), at(1_350));
     assert!(reach.is_silent(false, at(1_400)) && reach.is_silent(true, at(1_400)));
     assert!(!reach.is_silent(false, at(2_400)) && reach.is_silent(true, at(2_400)));
-    reach.hear(at(2_500));
+    reach.record_received(at(2_500));
     assert!(!reach.is_silent(true, at(2_501)));
 }
 
@@ -26,8 +26,8 @@
 #[test]
 fn one_hangs() {
     let reach = Reachability::default();
-    reach.hear(at(2_900));
-    reach.waits(at(1_000), at(3_000));
-    reach.hangs(at(3_000));
+    reach.record_received(at(2_900));
+    reach.record_wait(at(1_000), at(3_000));
+    reach.record_connect_timeout(at(3_000));
     assert!(!reach.is_silent(true, at(3_000)));
 }
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -188,9 +188,9 @@
         let pause = Duration::from_millis(scaling.boot_ms) + UNSEEN;
         for (zone, there) in &mut present {
             let order = |spot| self.orders.given.get(&(service.clone(), zone.clone(), spot)).copied();
-            there.closed = order(true).is_some_and(|given| given.dry && now.since(given.at) < DRY);
+            there.backing_off = order(true).is_some_and(|given| given.dry && now.since(given.at) < DRY);
             let refused = self.orders.refused.get(&(service.clone(), zone.clone()));
-            there.dry = refused.is_some_and(|at| now.since(*at) < WAVE);
+            there.scarce = refused.is_some_and(|at| now.since(*at) < WAVE);
             let reclaimed = self.orders.reclaimed.get(&(service.clone(), zone.clone()));
             let starts = Duration::from_millis(scaling.boot_ms) + SEEN;
             there.reclaimed = reclaimed.is_some_and(|at| now.since(*at) < starts);
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -96,12 +96,12 @@
             .sharers
             .get_or_insert_with(|| QuotaAllocator::new(shared.entry_hosts, now));
         sharers.set_quotas(&shared.quotas, &self.slack, now);
-        let portion = sharers.beat(from, now);
-        sharers.take_back(from, beat.run, beat.spare);
+        let portion = sharers.record_heartbeat(from, now);
+        sharers.collect_overflow(from, beat.run, beat.spare);
         let portion = portion?;
         let parts = Parts {
             entries: portion.entries,
-            floor: portion.floor,
+            floor: portion.fraction,
         };
         Some(News {
             parts,
@@ -116,7 +116,7 @@
         let mut inner = self.inner.lock();
         inner.rollout.publish(newest, now);
         inner.rollout.note(from, held, now);
-        gauge!("gentian_state_hosts_behind_count").set(inner.rollout.behind(now) as f64);
+        gauge!("gentian_state_hosts_behind_count").set(inner.rollout.hosts_behind(now) as f64);
         inner.rollout.report(now)
     }
 
