--- a/crates/capacity/src/api.rs
+++ b/crates/capacity/src/api.rs
@@ -4,7 +4,7 @@
 use parking_lot::Mutex;
 use rouille::{Request, Response};
 use serde_json::json;
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 
 use crate::control::Report;
 
@@ -23,7 +23,7 @@
 
 /// Answers one request.
 #[must_use]
-pub fn answer(shown: &Shown, scrape: &Scrape, key: Option<&KeyHash>, request: &Request) -> Response {
+pub fn answer(shown: &Shown, scrape: &MetricsExporter, key: Option<&KeyHash>, request: &Request) -> Response {
     match request.url().as_str() {
         "/livez" => Response::text("ok\n"),
         "/metrics" => Response::text(scrape.render()),
--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use slog::{Logger, info, warn};
 use telemetry::Clock;
-use upstream::cloud::{CloudClient, CloudHost, Start};
+use upstream::cloud::{CloudClient, CloudHost, StartHost};
 use upstream::engine::EngineClient;
 use wire::client::StateClient;
 use wire::state::{Propose, Proposed};
@@ -78,7 +78,7 @@
     pub(crate) engines: EngineClient,
     pub(crate) backoff: Backoff,
     pub(crate) pending: Vec<(CloudHost, Tick)>,
-    pub(crate) unanswered: Vec<Start>,
+    pub(crate) unanswered: Vec<StartHost>,
     pub(crate) idle: HashMap<HostId, Tick>,
     pub(crate) missing: HashMap<HostId, Tick>,
     pub(crate) moved: Tick,
@@ -207,7 +207,7 @@
         match step {
             Step::Start { model, zone, class, .. } => {
                 self.starts += 1;
-                let start = Start {
+                let start = StartHost {
                     zone: zone.clone(),
                     class: *class,
                     token: format!("{}-{}", tenure.token, self.starts),
--- a/crates/capacity/src/control/engines.rs
+++ b/crates/capacity/src/control/engines.rs
@@ -5,7 +5,7 @@
 use policy::plan::{WeightLoad, next_loads};
 use slog::{info, warn};
 use upstream::cloud::CloudHost;
-use upstream::orders::Action;
+use upstream::orders::EngineAction;
 
 use super::{Changes, Control};
 use crate::lease::Keeper;
@@ -22,7 +22,7 @@
 struct Waiting<'a> {
     host: &'a CloudHost,
     engine: Engine<'a, Read>,
-    action: Action,
+    action: EngineAction,
     load: WeightLoad,
 }
 
@@ -74,7 +74,7 @@
             .address
             .map(|peer| Engine::new(&self.engines, peer, self.settings.checks).read());
         if let Some(Ok(engine)) = read
-            && matches!(self.lacking(host, &engine), Some(Action::LoadModel { .. }))
+            && matches!(self.lacking(host, &engine), Some(EngineAction::LoadModel { .. }))
         {
             counter!("gentian_engines_changed_total").increment(1);
             warn!(self.logger, "engine has lost its model"; "host" => %host.id, "model" => &host.tag);
@@ -100,22 +100,22 @@
     }
 
     /// Gives the first thing that an engine lacks.
-    fn lacking(&self, host: &CloudHost, engine: &Engine<'_, Read>) -> Option<Action> {
+    fn lacking(&self, host: &CloudHost, engine: &Engine<'_, Read>) -> Option<EngineAction> {
         let model = ModelName::from(host.tag.as_str());
         let versions = &self.settings.versions;
         let version = versions.iter().find(|pair| pair.model == model);
-        let load = Action::LoadModel {
+        let load = EngineAction::LoadModel {
             model: model.clone(),
             version: version.map_or_else(|| FIRST_VERSION.to_owned(), |pair| pair.name.clone()),
         };
         let adapters = self.settings.adapters.iter().filter(|pair| pair.model == model);
-        let warm = adapters.map(|pair| Action::LoadAdapter {
+        let warm = adapters.map(|pair| EngineAction::LoadAdapter {
             adapter: ModelName::from(pair.name.as_str()),
             version: FIRST_VERSION.to_owned(),
         });
         std::iter::once(load)
             .chain(warm)
-            .find(|action| !engine.state().has(action))
+            .find(|action| !engine.state().satisfies(action))
     }
 
     fn register(&self, host: &CloudHost, keeper: &Keeper, changes: &dyn Changes) {
@@ -153,9 +153,9 @@
     1.0 - f64::from(serving) / f64::from(all.max(1))
 }
 
-const fn load_of(action: &Action, shortfall: f64) -> WeightLoad {
+const fn load_of(action: &EngineAction, shortfall: f64) -> WeightLoad {
     let size = match action {
-        Action::LoadModel { .. } => MODEL_SIZE,
+        EngineAction::LoadModel { .. } => MODEL_SIZE,
         _ => ADAPTER_SIZE,
     };
     WeightLoad { shortfall, size }
--- a/crates/capacity/src/control/hosts.rs
+++ b/crates/capacity/src/control/hosts.rs
@@ -8,7 +8,7 @@
 use policy::Tick;
 use slog::{info, warn};
 use upstream::Fate;
-use upstream::cloud::{CloudHost, Start};
+use upstream::cloud::{CloudHost, StartHost};
 
 use super::{Changes, Control, LIST_LAG};
 use crate::lease::Keeper;
@@ -19,7 +19,7 @@
 
 impl Control {
     /// Starts a host.
-    pub(super) fn start(&mut self, start: Start, keeper: &Keeper) {
+    pub(super) fn start(&mut self, start: StartHost, keeper: &Keeper) {
         if keeper.held().is_none() {
             return;
         }
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -18,9 +18,9 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use slog::{Logger, info};
 use telemetry::clock::wall_ms;
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 use telemetry::{Clock, ended, log};
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 
 /// Longest wait for an inner call.
 const TIMEOUT: Duration = Duration::from_secs(1);
@@ -48,7 +48,7 @@
 }
 
 fn serve(settings: &Settings, logger: &Logger, stop: &AtomicBool) -> anyhow::Result<()> {
-    let calls = Calls::start(2, TIMEOUT)?;
+    let calls = RpcRuntime::start(2, TIMEOUT)?;
     let state = StateClient::new(&calls, &settings.node, &settings.state)?;
     let clock = Clock::start();
     let holder = NodeId::from(format!("{}/{}", settings.node, wall_ms()));
@@ -76,7 +76,7 @@
 type Answer = Box<dyn Fn(&rouille::Request) -> rouille::Response + Send + Sync>;
 
 fn operators(settings: &Settings, shown: &Arc<Shown>) -> anyhow::Result<rouille::Server<Answer>> {
-    let scrape = Scrape::install()?;
+    let scrape = MetricsExporter::install()?;
     let (shown, key, listen) = (Arc::clone(shown), settings.key.clone(), settings.ops);
     let answer: Answer = Box::new(move |request| api::answer(&shown, &scrape, key.as_ref(), request));
     let server =
--- a/crates/capacity/src/orders.rs
+++ b/crates/capacity/src/orders.rs
@@ -11,7 +11,7 @@
 use metrics::counter;
 use policy::Tick;
 use upstream::engine::EngineClient;
-use upstream::orders::{Action, EngineState, Order};
+use upstream::orders::{EngineAction, EngineOrder, EngineState};
 use upstream::{Fate, UpstreamError};
 
 use crate::lease::{DRIFT, Tenure};
@@ -110,7 +110,12 @@
     ///
     /// # Errors
     /// Fails when the engine knows of a newer holder.
-    pub fn give(self, tenure: &Tenure, now: Tick, action: &Action) -> Result<(Given, Engine<'a, Unread>), Superseded> {
+    pub fn give(
+        self,
+        tenure: &Tenure,
+        now: Tick,
+        action: &EngineAction,
+    ) -> Result<(Given, Engine<'a, Unread>), Superseded> {
         let seen = self.stage.state.token;
         if seen > tenure.token {
             return Err(Superseded {
@@ -129,8 +134,8 @@
         Ok((given, unread))
     }
 
-    fn send(&self, tenure: &Tenure, action: &Action) -> Given {
-        let order = Order {
+    fn send(&self, tenure: &Tenure, action: &EngineAction) -> Given {
+        let order = EngineOrder {
             id: format!("{}/{action}", tenure.token).replace(' ', "-"),
             token: tenure.token,
             action: action.clone(),
--- a/crates/capacity/src/watch.rs
+++ b/crates/capacity/src/watch.rs
@@ -9,10 +9,10 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use metrics::counter;
 use slog::{Logger, info, warn};
-use upstream::cloud::{CloudClient, CloudHost, Notice};
+use upstream::cloud::{CloudClient, CloudHost, ReclaimNotice};
 use wire::Envelope;
-use wire::client::Calls;
-use wire::entry::{EntryRpcClient, HostSign, Sign};
+use wire::client::RpcRuntime;
+use wire::entry::{EntryRpcClient, HostSignal, Sign};
 
 /// Longest time from a notice at the cloud API until entry hosts that can be reached have heard of it.
 pub const BOUND: Duration = Duration::from_secs(2);
@@ -24,7 +24,7 @@
 const TELL: Duration = Duration::from_millis(500);
 const _: () = assert!(STEP.as_millis() + 2 * TIMEOUT.as_millis() + TELL.as_millis() < BOUND.as_millis());
 
-type Signs = Arc<Vec<HostSign>>;
+type Signs = Arc<Vec<HostSignal>>;
 
 /// Watches until told to stop.
 ///
@@ -34,7 +34,7 @@
     node: &NodeId,
     cloud: SocketAddr,
     entries: &[SocketAddr],
-    calls: &Calls,
+    calls: &RpcRuntime,
     logger: &Logger,
     stop: &AtomicBool,
 ) -> std::io::Result<()> {
@@ -61,11 +61,11 @@
     Ok(())
 }
 
-fn same(old: &HostSign, new: &HostSign) -> bool {
+fn same(old: &HostSignal, new: &HostSignal) -> bool {
     old.host == new.host && old.incarnation == new.incarnation
 }
 
-fn read(cloud: &CloudClient) -> Vec<HostSign> {
+fn read(cloud: &CloudClient) -> Vec<HostSignal> {
     let notices = cloud.notices().unwrap_or_else(|_unreachable| {
         counter!("gentian_cloud_failures_total").increment(1);
         Vec::new()
@@ -75,8 +75,8 @@
     notices.into_iter().map(from_notice).chain(leaving).collect()
 }
 
-fn from_notice(notice: Notice) -> HostSign {
-    HostSign {
+fn from_notice(notice: ReclaimNotice) -> HostSignal {
+    HostSignal {
         host: notice.host,
         incarnation: notice.incarnation,
         sign: Sign::Notice {
@@ -85,8 +85,8 @@
     }
 }
 
-fn from_list(host: CloudHost) -> HostSign {
-    HostSign {
+fn from_list(host: CloudHost) -> HostSignal {
+    HostSignal {
         host: host.id,
         incarnation: host.incarnation,
         sign: Sign::Leaving,
@@ -94,7 +94,7 @@
 }
 
 /// Starts the thread that tells one entry host; it ends with its ring.
-fn tell(node: &NodeId, peer: SocketAddr, calls: &Calls, logger: &Logger) -> std::io::Result<Sender<Signs>> {
+fn tell(node: &NodeId, peer: SocketAddr, calls: &RpcRuntime, logger: &Logger) -> std::io::Result<Sender<Signs>> {
     let (ring, signs) = bounded(1);
     let (node, calls, logger) = (node.clone(), calls.with_timeout(TELL), logger.clone());
     std::thread::Builder::new()
@@ -103,7 +103,7 @@
     Ok(ring)
 }
 
-fn tell_all(node: &NodeId, peer: SocketAddr, calls: &Calls, logger: &Logger, signs: &Receiver<Signs>) {
+fn tell_all(node: &NodeId, peer: SocketAddr, calls: &RpcRuntime, logger: &Logger, signs: &Receiver<Signs>) {
     let mut heard = true;
     let client = match calls.client(peer, Duration::ZERO) {
         Ok(client) => client,
--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -8,7 +8,7 @@
 use policy::plan::{Backoff, HeldHost, HostPool, ModelNeed};
 use serde::Serialize;
 use upstream::UpstreamError;
-use upstream::cloud::{CloudClient, CloudHost, Price};
+use upstream::cloud::{CloudClient, CloudHost, HostPrice};
 use upstream::engine::EngineClient;
 
 use crate::settings::Settings;
@@ -26,7 +26,7 @@
     /// Hosts that will be taken.
     pub noticed: HashSet<(HostId, u64)>,
     /// Prices by zone and class.
-    pub prices: Vec<Price>,
+    pub prices: Vec<HostPrice>,
 }
 
 /// A host in the report for operators.
@@ -78,7 +78,7 @@
     /// Gives where hosts can be started.
     #[must_use]
     pub fn pools(&self, backoff: &Backoff, now: Tick) -> Vec<HostPool> {
-        let pool = |price: &Price| HostPool {
+        let pool = |price: &HostPrice| HostPool {
             zone: price.zone.clone(),
             class: price.class,
             price: price.price,
--- a/crates/capacity/tests/orders_fenced.rs
+++ b/crates/capacity/tests/orders_fenced.rs
@@ -9,7 +9,7 @@
 use standin::cli::EngineOptions;
 use standin::engine::{self, Running};
 use upstream::engine::EngineClient;
-use upstream::orders::Action;
+use upstream::orders::EngineAction;
 
 const AGE: Duration = Duration::from_mins(1);
 
@@ -25,8 +25,8 @@
     }
 }
 
-fn role(role: &str) -> Action {
-    Action::SetRole { role: role.to_owned() }
+fn role(role: &str) -> EngineAction {
+    EngineAction::SetRole { role: role.to_owned() }
 }
 
 /// The answer to an order gets lost. The next look at the engine shows that it was carried out, so it isn't given again.
@@ -37,7 +37,7 @@
     let engine = Engine::new(&client, running.address(), true).read().unwrap();
     let (given, unread) = engine.give(&tenure(1), Tick::default(), &role("decode")).unwrap();
     assert_eq!(given, Given::Unanswered);
-    assert!(unread.read().unwrap().state().has(&role("decode")));
+    assert!(unread.read().unwrap().state().satisfies(&role("decode")));
 }
 
 /// An engine that doesn't check tokens may still get an order of the holder before. The new holder waits until none can
--- a/crates/ctl/src/entries.rs
+++ b/crates/ctl/src/entries.rs
@@ -7,7 +7,7 @@
 use jsonrpsee::core::ClientError;
 use jsonrpsee::http_client::HttpClient;
 use wire::Envelope;
-use wire::client::{CallError, Calls};
+use wire::client::{CallError, RpcRuntime};
 
 /// Longest wait for one entry host.
 const TIMEOUT: Duration = Duration::from_secs(3);
@@ -15,7 +15,7 @@
 /// A client of every entry host.
 #[derive(Debug)]
 pub struct Entries {
-    calls: Calls,
+    calls: RpcRuntime,
     peers: Vec<SocketAddr>,
 }
 
@@ -34,7 +34,7 @@
     /// # Errors
     /// Fails when the operating system refuses a thread.
     pub fn new(peers: Vec<SocketAddr>) -> anyhow::Result<Self> {
-        let calls = Calls::start(1, TIMEOUT)?;
+        let calls = RpcRuntime::start(1, TIMEOUT)?;
         Ok(Self { calls, peers })
     }
 
--- a/crates/ctl/src/requests.rs
+++ b/crates/ctl/src/requests.rs
@@ -2,7 +2,7 @@
 
 use contract::RequestId;
 use serde_json::{Value, json};
-use wire::entry::{EntryRpcClient, Journal, JournalAsk};
+use wire::entry::{EntryRpcClient, Journal, JournalRequest};
 
 use crate::cli::RequestCommand;
 use crate::entries::{Answers, Entries};
@@ -22,7 +22,7 @@
 }
 
 fn show(entries: &Entries, id: &str, json: bool) -> anyhow::Result<Output> {
-    let ask = JournalAsk {
+    let ask = JournalRequest {
         request: RequestId::from(id),
         from: 0,
     };
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use upstream::service::{Answer, Call, ServiceClient};
+use upstream::service::{ServiceAnswer, ServiceCall, ServiceClient};
 use upstream::{Fate, UpstreamError};
 use wire::state::Outcome;
 
@@ -16,7 +16,7 @@
 /// The call was sent, or it is certain that it wasn't.
 #[derive(Debug)]
 pub struct Sent {
-    result: Result<Answer, UpstreamError>,
+    result: Result<ServiceAnswer, UpstreamError>,
 }
 
 /// One attempt at a call.
@@ -35,7 +35,7 @@
 
     /// Sends the call.
     #[must_use]
-    pub fn send(self, client: &ServiceClient, call: &Call<'_>, timeout: Duration) -> Attempt<Sent> {
+    pub fn send(self, client: &ServiceClient, call: &ServiceCall<'_>, timeout: Duration) -> Attempt<Sent> {
         let result = client.send(self.peer, call, timeout);
         Attempt {
             peer: self.peer,
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// Returns why there is none.
-    pub fn into_answer(self) -> Result<Answer, UpstreamError> {
+    pub fn into_answer(self) -> Result<ServiceAnswer, UpstreamError> {
         self.stage.result
     }
 }
--- a/crates/entry/src/callers/ask.rs
+++ b/crates/entry/src/callers/ask.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
-use upstream::engine::{Chat, Message};
+use upstream::engine::{ChatRequest, Message};
 
 /// Most tokens of one answer.
 pub(crate) const MAX_TOKENS: u64 = 32_768;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Ask {
     /// The request as it goes to engines.
-    pub(crate) chat: Chat,
+    pub(crate) chat: ChatRequest,
     /// Expected length of the prompt, in tokens.
     pub(crate) prompt_tokens: u64,
 }
@@ -122,14 +122,14 @@
             &"no content",
             "a message that says something",
         )?;
-        let chat = Chat {
+        let chat = ChatRequest {
             model,
             messages,
             max_tokens,
             stream: take(&mut body, "stream")?.unwrap_or_default(),
             add_generation_prompt: true,
             other: passed_on(body)?,
-            ..Chat::default()
+            ..ChatRequest::default()
         };
         Ok(Self { chat, prompt_tokens })
     }
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -8,9 +8,9 @@
 use policy::Tick;
 use policy::route::Target;
 use serde_json::json;
-use telemetry::burn::End;
+use telemetry::burn::RequestEnd;
 use telemetry::clock::wall_ms;
-use upstream::engine::{REQUEST_HEADER, Usage};
+use upstream::engine::{REQUEST_ID_HEADER, Usage};
 
 use super::ask::Ask;
 use super::http::{PeerDemand, Reply};
@@ -42,10 +42,10 @@
     }
     let class =
         class(contract, &ask).ok_or_else(|| Problem::not_found("the contract has no class for this request"))?;
-    let meter = entry.burn.begin(&contract.customer, class, arrived);
+    let meter = entry.burn.start_meter(&contract.customer, class, arrived);
     let admitted = entry.admission.enter(contract, &work(&ask, class, arrived));
     let mut permit = admitted.map_err(|refusal| problem::counted(refusal.into(), &meter, entry.clock.now()))?;
-    meter.admitted(entry.clock.now());
+    meter.record_admission(entry.clock.now());
     let peer = PeerDemand::of(caller.connection).map_err(|_gone| Problem::bad_request("the connection broke"))?;
     let id = entry.request_id();
     let owner = journal::owner(&contract.customer, account);
@@ -134,14 +134,14 @@
 /// Closes the journal; an answer that a peer took over at the last moment ends there.
 fn close(run: &Run<'_>, ended: Ended) -> Ended {
     let end = match &ended {
-        Ended::Whole(_) => Some(End::Whole),
-        Ended::CallerGone => Some(End::CallerGone),
+        Ended::Whole(_) => Some(RequestEnd::Completed),
+        Ended::CallerGone => Some(RequestEnd::CallerGone),
         Ended::Failed(problem) => problem.burns(),
         // The peer that goes on with the answer has no arrival to measure from.
         Ended::Moved => None,
     };
     if let Some(end) = end {
-        run.meter.end(end, run.entry.clock.now());
+        run.meter.finish(end, run.entry.clock.now());
     }
     match run.journal.end(matches!(ended, Ended::Whole(_))) {
         Ok(()) => ended,
@@ -162,7 +162,7 @@
     let choice = json!({"index": 0, "finish_reason": finish(run), "message": message});
     let body = json!({"id": run.id, "object": "chat.completion", "created": wall_ms() / 1_000,
         "model": run.ask.chat.model, "choices": [choice], "usage": usage});
-    Reply::new(200, "application/json", body.to_string().into_bytes()).with(REQUEST_HEADER, run.id.as_str())
+    Reply::new(200, "application/json", body.to_string().into_bytes()).with(REQUEST_ID_HEADER, run.id.as_str())
 }
 
 /// Tells a caller whose answer goes on at a peer where to get it.
@@ -170,7 +170,7 @@
     let resume = resume(run.id, 0);
     let body = json!({"id": run.id, "moved": {"resume": resume}});
     Reply::new(202, "application/json", body.to_string().into_bytes())
-        .with(REQUEST_HEADER, run.id.as_str())
+        .with(REQUEST_ID_HEADER, run.id.as_str())
         .with("Location", resume)
         .with("Retry-After", "1")
 }
--- a/crates/entry/src/callers/http/connection.rs
+++ b/crates/entry/src/callers/http/connection.rs
@@ -10,7 +10,7 @@
 use super::{BODY_TIME, BadHead, HEAD_TIME, Head, IDLE_TIME, Length, MAX_BODY, MAX_HEAD, SEND_TIME};
 
 /// Longest time that one read blocks.
-const STEP: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Bytes that are asked for at once.
 const PIECE: usize = 8 * 1024;
 /// Unread bytes of a refused body that are taken in, so that the refusal is not lost with the connection.
@@ -55,7 +55,7 @@
     /// Fails when the operating system refuses an option.
     pub(in crate::callers) fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(STEP))?;
+        stream.set_read_timeout(Some(CHECK_INTERVAL))?;
         stream.set_write_timeout(Some(SEND_TIME))?;
         Ok(Self {
             stream,
@@ -101,7 +101,7 @@
             .stream
             .set_read_timeout(Some(IDLE_TIME))
             .and_then(|()| read_more(&self.stream, &mut self.buffer))
-            .and_then(|count| self.stream.set_read_timeout(Some(STEP)).map(|()| count));
+            .and_then(|count| self.stream.set_read_timeout(Some(CHECK_INTERVAL)).map(|()| count));
         match read {
             Ok(count) if count > 0 => Ok(()),
             _ => Err(Broken::Ended),
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -31,7 +31,7 @@
 /// Stack of a connection's thread, in bytes.
 const STACK: usize = 512 * 1024;
 /// Longest time until the acceptor looks at its flag again.
-const STEP: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after which a thread without a connection ends.
 const IDLE: Duration = Duration::from_secs(10);
 /// Connections that may wait to be accepted.
@@ -87,7 +87,7 @@
 pub fn accept(entry: &Arc<Entry>, listener: &TcpListener) -> std::io::Result<()> {
     // Connections inherit these options.
     let socket = SockRef::from(listener);
-    socket.set_read_timeout(Some(STEP))?;
+    socket.set_read_timeout(Some(CHECK_INTERVAL))?;
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(PROBE).with_interval(PROBE))?;
     // A ring without places: a connection goes to a thread that waits for one, or to a new thread.
     let (ring, idle) = bounded(0);
@@ -98,7 +98,7 @@
             // One connection that broke early, or a shortage of descriptors, must not end the acceptor.
             Err(_) => {
                 counter!("gentian_accept_errors_total").increment(1);
-                std::thread::sleep(STEP);
+                std::thread::sleep(CHECK_INTERVAL);
             }
         }
     }
--- a/crates/entry/src/callers/problem.rs
+++ b/crates/entry/src/callers/problem.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use policy::Tick;
 use serde_json::json;
-use telemetry::burn::{End, Meter};
+use telemetry::burn::{RequestEnd, RequestMeter};
 
 use super::http::{Broken, Reply};
 use crate::admission::Refusal;
@@ -48,11 +48,11 @@
     }
 
     /// Tells what it is for the burn report; what is wrong with the request itself counts for nothing.
-    pub(super) const fn burns(&self) -> Option<End> {
+    pub(super) const fn burns(&self) -> Option<RequestEnd> {
         match self.status {
-            429 => Some(End::Limited),
-            503 => Some(End::Refused),
-            500.. => Some(End::Failed),
+            429 => Some(RequestEnd::Limited),
+            503 => Some(RequestEnd::Refused),
+            500.. => Some(RequestEnd::Failed),
             _ => None,
         }
     }
@@ -176,9 +176,9 @@
 }
 
 /// Counts a refusal for the burn report and gives it back.
-pub(super) fn counted(problem: Problem, meter: &Meter<'_>, now: Tick) -> Problem {
+pub(super) fn counted(problem: Problem, meter: &RequestMeter<'_>, now: Tick) -> Problem {
     if let Some(end) = problem.burns() {
-        meter.end(end, now);
+        meter.finish(end, now);
     }
     problem
 }
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -16,8 +16,8 @@
 use policy::rescue::StreamAction;
 use policy::route::{RequestNeed, Target};
 use slog::warn;
-use telemetry::burn::Meter;
-use upstream::engine::{Chat, EngineClient, Event, Message, Usage};
+use telemetry::burn::RequestMeter;
+use upstream::engine::{ChatRequest, EngineClient, Message, StreamEvent, Usage};
 use upstream::{Fate, UpstreamError};
 
 use super::ask::Ask;
@@ -73,7 +73,7 @@
 /// One attempt: what is sent, and what the fleet is told of it.
 struct Trip<'a> {
     visit: Visit<'a>,
-    chat: Chat,
+    chat: ChatRequest,
     prefix: Prefix,
     believed: u64,
     usage: Option<Usage>,
@@ -87,7 +87,7 @@
     pub(super) ask: &'a Ask,
     pub(super) journal: Arc<Journal>,
     pub(super) watch: Arc<Watch>,
-    pub(super) meter: Meter<'a>,
+    pub(super) meter: RequestMeter<'a>,
 }
 
 impl Run<'_> {
@@ -117,7 +117,7 @@
                 believed,
                 usage: None,
             };
-            self.meter.tries(&spec.host);
+            self.meter.record_attempt(&spec.host);
             let tried = self.attempt(&spec, &mut trip, search, sink);
             drop(trip);
             match tried {
@@ -126,7 +126,7 @@
                 Tried::Moved(Move {
                     to,
                     how: StreamAction::Export,
-                }) => search.moved(spec.id, to, Cause::Exported),
+                }) => search.moved(spec.id, to, Cause::ExportedCache),
                 Tried::Moved(_) => search.moved(spec.id, None, Cause::Reclaimed),
                 Tried::Failed(cause) => {
                     search.broke(spec.id, cause);
@@ -207,7 +207,7 @@
         if let Some(to) = ride.destination() {
             counter!("gentian_rescued_total", "how" => to.how.to_string()).increment(1);
             // A late answer that was moved off a leaving host is put down to the reclaim.
-            self.meter.failed(true);
+            self.meter.record_failure(true);
             return Tried::Moved(to);
         }
         drop(ride);
@@ -219,7 +219,7 @@
             ))));
         }
         let now = entry.clock.now();
-        self.meter.failed(!entry.fleet.hosts.takes_work(&spec.host));
+        self.meter.record_failure(!entry.fleet.hosts.takes_work(&spec.host));
         entry.fleet.hosts.failed(&spec.host, &error, now);
         entry.fleet.ended(&spec.id, false, now);
         match self.failed(&error) {
@@ -258,14 +258,14 @@
         let clock = &self.entry.clock;
         self.watch.begin();
         let pulse: Arc<Watch> = Arc::clone(&self.watch);
-        let client = EngineClient::watched(CONNECT, pulse);
+        let client = EngineClient::with_monitor(CONNECT, pulse);
         let mut stream = client.stream(spec.address, self.id, &trip.chat, FOREVER)?;
         let mut first = true;
         loop {
             match stream.next_event()? {
-                Event::Token(token) => {
+                StreamEvent::Token(token) => {
                     self.watch.progress();
-                    self.meter.token(clock.now());
+                    self.meter.record_token(clock.now());
                     if std::mem::take(&mut first) {
                         trip.visit.first_token(&trip.prefix, trip.believed, clock.now());
                     }
@@ -278,11 +278,11 @@
                         return Ok(Ended::CallerGone);
                     }
                 }
-                Event::Usage(counts) => {
+                StreamEvent::Usage(counts) => {
                     trip.visit.counted(&trip.prefix, trip.believed, counts.cached_tokens);
                     trip.usage = Some(counts);
                 }
-                Event::Done => {
+                StreamEvent::Done => {
                     let prefix = prompt::prefix(&self.continued().messages);
                     trip.visit.whole(&prefix, clock.now());
                     self.entry.rescue.keep(self.id, spec, prefix);
@@ -293,8 +293,8 @@
     }
 
     /// Gives the request with the tokens that were made already as the beginning of the answer.
-    fn continued(&self) -> Chat {
-        let mut chat = Chat {
+    fn continued(&self) -> ChatRequest {
+        let mut chat = ChatRequest {
             stream: true,
             ..self.ask.chat.clone()
         };
--- a/crates/entry/src/callers/run/adopted.rs
+++ b/crates/entry/src/callers/run/adopted.rs
@@ -65,7 +65,7 @@
             ask,
             journal: Arc::clone(journal),
             watch: Arc::new(watch),
-            meter: entry.burn.begin(&journal.customer(), class, now),
+            meter: entry.burn.start_meter(&journal.customer(), class, now),
         };
         run.drive(&mut Search::adopted(), &mut Nowhere)
     });
--- a/crates/entry/src/callers/run/search.rs
+++ b/crates/entry/src/callers/run/search.rs
@@ -21,7 +21,7 @@
     /// The engine's host was taken away.
     Reclaimed,
     /// The engine's host leaves; the KV cache was moved.
-    Exported,
+    ExportedCache,
 }
 
 /// What was tried so far.
@@ -44,7 +44,7 @@
             Self::Stalled => "stalled",
             Self::Handover => "handover",
             Self::Reclaimed => "reclaimed",
-            Self::Exported => "exported",
+            Self::ExportedCache => "exported",
         }
     }
 }
--- a/crates/entry/src/callers/service.rs
+++ b/crates/entry/src/callers/service.rs
@@ -6,10 +6,10 @@
 use metrics::counter;
 use policy::prefix::Prefix;
 use policy::route::{RequestNeed, Target};
-use telemetry::burn::{End, Meter};
+use telemetry::burn::{RequestEnd, RequestMeter};
 use upstream::UpstreamError;
-use upstream::engine::REQUEST_HEADER;
-use upstream::service::{Answer, Call, KEY_HEADER};
+use upstream::engine::REQUEST_ID_HEADER;
+use upstream::service::{IDEMPOTENCY_HEADER, ServiceAnswer, ServiceCall};
 use wire::state::Outcome;
 
 use super::http::{Head, Reply};
@@ -31,7 +31,7 @@
     "If-Match",
     "If-Modified-Since",
     "If-None-Match",
-    KEY_HEADER,
+    IDEMPOTENCY_HEADER,
 ];
 /// Methods that are passed on.
 const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
@@ -49,7 +49,7 @@
     }
 }
 
-fn serve(entry: &Entry, caller: &mut Caller<'_>) -> Result<(RequestId, Answer), Problem> {
+fn serve(entry: &Entry, caller: &mut Caller<'_>) -> Result<(RequestId, ServiceAnswer), Problem> {
     let arrived = entry.clock.now();
     let view = entry.current.view();
     let (contract, _) = caller
@@ -72,10 +72,10 @@
         latest: arrived + whole,
         shed: class.shed,
     };
-    let meter = entry.burn.begin(&contract.customer, class, arrived);
+    let meter = entry.burn.start_meter(&contract.customer, class, arrived);
     let admitted = entry.admission.enter(contract, &work);
     let _permit = admitted.map_err(|refusal| problem::counted(refusal.into(), &meter, entry.clock.now()))?;
-    meter.admitted(entry.clock.now());
+    meter.record_admission(entry.clock.now());
     let headers = passed(&caller.head);
     let id = entry.request_id();
     let run = Run {
@@ -84,7 +84,7 @@
         contract,
         class,
         id: &id,
-        call: Call {
+        call: ServiceCall {
             method: &caller.head.method,
             path: &path,
             headers: &headers,
@@ -95,11 +95,15 @@
     };
     let answer = match class.repeat {
         Repeat::Idempotent => run.repeatable(),
-        Repeat::AtMostOnce => run.once(caller.head.header(KEY_HEADER)),
+        Repeat::AtMostOnce => run.once(caller.head.header(IDEMPOTENCY_HEADER)),
     };
     let answer = answer.map_err(|failure| problem::counted(failure, &run.meter, entry.clock.now()))?;
-    let end = if answer.status < 500 { End::Whole } else { End::Failed };
-    run.meter.end(end, entry.clock.now());
+    let end = if answer.status < 500 {
+        RequestEnd::Completed
+    } else {
+        RequestEnd::Failed
+    };
+    run.meter.finish(end, entry.clock.now());
     let customer = contract.customer.to_string();
     counter!("gentian_answers_total", "customer" => customer, "class" => class.name.to_string()).increment(1);
     Ok((id, answer))
@@ -153,14 +157,14 @@
     contract: &'a Contract,
     class: &'a Class,
     id: &'a RequestId,
-    call: Call<'a>,
+    call: ServiceCall<'a>,
     until: Instant,
-    meter: Meter<'a>,
+    meter: RequestMeter<'a>,
 }
 
 impl Run<'_> {
     /// Sends a call that may run twice, elsewhere again when it fails and the retry budget allows it.
-    fn repeatable(&self) -> Result<Answer, Problem> {
+    fn repeatable(&self) -> Result<ServiceAnswer, Problem> {
         let mut tried = Vec::new();
         let mut last = None;
         while Instant::now() < self.until
@@ -193,7 +197,7 @@
     }
 
     /// Claims a call that must run at most once, and sends it only with the claim.
-    fn once(&self, key: Option<&str>) -> Result<Answer, Problem> {
+    fn once(&self, key: Option<&str>) -> Result<ServiceAnswer, Problem> {
         let key = key.filter(|key| !key.is_empty() && key.len() <= MAX_KEY);
         let key = key.ok_or_else(|| Problem::bad_request("an Idempotency-Key of 1 to 256 bytes is needed"))?;
         let keyed = Keyed {
@@ -206,7 +210,7 @@
         let verdict = claims::claim(&self.entry.state, revision, &keyed, &digest, self.until);
         match claims::ask_if_unknown(self.entry, self.service, &keyed, verdict) {
             Verdict::Granted => self.send_claimed(&keyed),
-            Verdict::Done(Outcome::Answered { status, media, body }) => Ok(Answer {
+            Verdict::Done(Outcome::Answered { status, media, body }) => Ok(ServiceAnswer {
                 status,
                 media,
                 headers: Vec::new(),
@@ -219,7 +223,7 @@
         }
     }
 
-    fn send_claimed(&self, keyed: &Keyed<'_>) -> Result<Answer, Problem> {
+    fn send_claimed(&self, keyed: &Keyed<'_>) -> Result<ServiceAnswer, Problem> {
         let mut tried = Vec::new();
         let mut outcome = Outcome::NotRun;
         let mut result = Err(Problem::overloaded(Duration::from_secs(1)));
@@ -257,13 +261,13 @@
     fn send(&self, spec: &UpstreamSpec, timeout: Duration) -> Attempt<Sent> {
         let entry = self.entry;
         let _visit = entry.fleet.visit(&spec.id, entry.clock.now());
-        self.meter.tries(&spec.host);
+        self.meter.record_attempt(&spec.host);
         let sent = Attempt::new(spec.address).send(&entry.services, &self.call, timeout);
         let good = sent.status().is_some_and(|status| status < 500);
         let now = entry.clock.now();
         entry.fleet.ended(&spec.id, good, now);
         if let Some(error) = sent.error() {
-            self.meter.failed(!entry.fleet.hosts.takes_work(&spec.host));
+            self.meter.record_failure(!entry.fleet.hosts.takes_work(&spec.host));
             entry.fleet.hosts.failed(&spec.host, error, now);
         }
         if !good {
@@ -274,7 +278,7 @@
 }
 
 /// Gives the last answer or failure of an idempotent call.
-fn ended(last: Option<Result<Answer, UpstreamError>>) -> Result<Answer, Problem> {
+fn ended(last: Option<Result<ServiceAnswer, UpstreamError>>) -> Result<ServiceAnswer, Problem> {
     match last {
         None => Err(Problem::overloaded(Duration::from_secs(1))),
         Some(Ok(answer)) => Ok(answer),
@@ -283,8 +287,8 @@
     }
 }
 
-fn reply(id: &RequestId, answer: Answer) -> Reply {
-    let reply = Reply::new(answer.status, &answer.media, answer.body).with(REQUEST_HEADER, id.as_str());
+fn reply(id: &RequestId, answer: ServiceAnswer) -> Reply {
+    let reply = Reply::new(answer.status, &answer.media, answer.body).with(REQUEST_ID_HEADER, id.as_str());
     answer
         .headers
         .into_iter()
--- a/crates/entry/src/callers/sse.rs
+++ b/crates/entry/src/callers/sse.rs
@@ -6,7 +6,7 @@
 use contract::RequestId;
 use serde_json::json;
 use telemetry::clock::wall_ms;
-use upstream::engine::{REQUEST_HEADER, Usage};
+use upstream::engine::{REQUEST_ID_HEADER, Usage};
 
 use super::http::{Chunks, Head};
 use super::problem::Problem;
@@ -86,7 +86,7 @@
             let headers = [
                 ("Content-Type".into(), "text/event-stream".to_owned()),
                 ("Cache-Control".into(), "no-store".to_owned()),
-                (REQUEST_HEADER.into(), self.id.to_string()),
+                (REQUEST_ID_HEADER.into(), self.id.to_string()),
             ];
             self.out = Some(Chunks::begin(self.stream, self.head, &headers, self.keep)?);
         }
--- a/crates/entry/src/callers/watch.rs
+++ b/crates/entry/src/callers/watch.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use policy::Tick;
 use telemetry::Clock;
-use upstream::pulse::{Pulse, STEP};
+use upstream::pulse::{CHECK_INTERVAL, WaitMonitor};
 
 use super::http::PeerDemand;
 use crate::journal::Journal;
@@ -149,12 +149,12 @@
     }
 }
 
-impl Pulse for Watch {
+impl WaitMonitor for Watch {
     fn beat(&self) -> Result<(), &'static str> {
         let mut wait = self.wait.lock();
         let now = self.clock.now();
         // Looking at the caller costs calls to the operating system, so a quick stream does it only now and then.
-        if now.since(wait.looked) >= STEP {
+        if now.since(wait.looked) >= CHECK_INTERVAL {
             wait.looked = now;
             wait.stop = self.look();
         }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -5,7 +5,7 @@
 use contract::{CustomerId, RequestId, Revision, UpstreamKind, UpstreamSpec};
 use metrics::counter;
 use sha2::{Digest, Sha256};
-use upstream::service::Call;
+use upstream::service::ServiceCall;
 use wire::client::StateClient;
 use wire::state::{Claim, Claimed, Outcome, Settle, Settled, Unavailable};
 
@@ -142,7 +142,7 @@
     };
     let specs = view.config.upstreams.values().filter(tells);
     let path = format!("/outcomes/{}", escape(call.key));
-    let ask = Call {
+    let ask = ServiceCall {
         method: "GET",
         path: &path,
         headers: &[],
--- a/crates/entry/src/current.rs
+++ b/crates/entry/src/current.rs
@@ -117,7 +117,7 @@
 /// Follows the state group until told to stop; while no node of it answers, the peers are asked.
 pub fn follow(entry: &Entry) {
     let (current, state, logger) = (&entry.current, &entry.state, &entry.logger);
-    let mut node = state.home();
+    let mut node = state.preferred_node();
     let mut lost = false;
     while !entry.stop.load(Ordering::Relaxed) {
         let after = current.revision();
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -9,13 +9,13 @@
 use crossbeam_channel::bounded;
 use policy::Tick;
 use slog::info;
-use wire::entry::{Handover, HostSign, Sign};
+use wire::entry::{Handover, HostSignal, Sign};
 
 use crate::Entry;
 use crate::journal::Journal;
 
 /// Pause between two looks at what is still open.
-const STEP: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Looks in a row that must find nothing open; a request that was read just before the first one shows by the second.
 const QUIET: u32 = 3;
 /// Longest time before the host is gone in which streams are handed over; until then they go on.
@@ -26,7 +26,7 @@
 /// Takes in a sign about a host: the process leaves when it is the one that it runs on.
 ///
 /// A sign about an earlier host of the same name comes late when the new one already serves, and must not end it.
-pub fn hear(entry: &Entry, sign: &HostSign) {
+pub fn hear(entry: &Entry, sign: &HostSignal) {
     let own = sign.host == entry.settings.host && sign.incarnation >= entry.settings.incarnation;
     if !own || sign.sign == Sign::Serving {
         return;
@@ -48,7 +48,7 @@
     let mut quiet = 0;
     let mut moved = false;
     while quiet < QUIET {
-        thread::sleep(STEP);
+        thread::sleep(CHECK_INTERVAL);
         let now = entry.clock.now();
         if now >= refuse_at && !entry.refusing.swap(true, Ordering::SeqCst) {
             info!(entry.logger, "taking nothing new"; "open" => entry.callers.working());
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -12,11 +12,11 @@
 use policy::route::RoutingRules;
 use slog::Logger;
 use telemetry::Clock;
-use telemetry::burn::Ledger;
+use telemetry::burn::RequestCounters;
 use telemetry::clock::wall_ms;
 use upstream::engine::EngineClient;
 use upstream::service::ServiceClient;
-use wire::client::{CallError, Calls, StateClient};
+use wire::client::{CallError, RpcRuntime, StateClient};
 
 use crate::admission::Admission;
 use crate::callers::Shared;
@@ -53,7 +53,7 @@
     /// Streamed answers.
     pub journals: Journals,
     /// What the burn report counts.
-    pub burn: Ledger,
+    pub burn: RequestCounters,
     /// The state group.
     pub state: StateClient,
     /// Engines.
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Fails when an address of the state group can't be used.
-    pub fn new(settings: Settings, logger: Logger, calls: &Calls) -> Result<Self, CallError> {
+    pub fn new(settings: Settings, logger: Logger, calls: &RpcRuntime) -> Result<Self, CallError> {
         let clock = Clock::start();
         let state = StateClient::new(calls, &settings.node, &settings.state)?;
         let rules = RoutingRules {
@@ -113,7 +113,7 @@
             current: Arc::default(),
             fleet,
             journals: Journals::default(),
-            burn: Ledger::default(),
+            burn: RequestCounters::default(),
             state,
             engines: EngineClient::new(CONNECT),
             peers: Peers::new(calls, &settings.node, &settings.peers)?,
--- a/crates/entry/src/exchange/mod.rs
+++ b/crates/entry/src/exchange/mod.rs
@@ -14,7 +14,7 @@
 use metrics::{counter, gauge};
 use policy::Tick;
 use slog::info;
-use wire::digest::{Digest, HEADERS, MAX_DATAGRAM};
+use wire::digest::{GossipDigest, MAX_DATAGRAM, UDP_OVERHEAD_BYTES};
 
 use crate::Entry;
 pub use live::Live;
@@ -80,7 +80,7 @@
     }
 }
 
-fn digest(entry: &Entry, peers: &Peers, peer: usize, now: Tick) -> Digest {
+fn digest(entry: &Entry, peers: &Peers, peer: usize, now: Tick) -> GossipDigest {
     let settings = &entry.settings;
     let near = peers.is_near(peer, &settings.data_center) || peers.count() <= FEW;
     let loads = if near {
@@ -88,7 +88,7 @@
     } else {
         Vec::new()
     };
-    Digest {
+    GossipDigest {
         from: settings.node.clone(),
         place: settings.data_center.clone(),
         incarnation: entry.incarnation(),
@@ -102,14 +102,14 @@
     }
 }
 
-fn send(socket: &UdpSocket, peers: &mut Peers, peer: usize, digest: Digest, now: Tick) {
+fn send(socket: &UdpSocket, peers: &mut Peers, peer: usize, digest: GossipDigest, now: Tick) {
     let Ok(parts) = digest.split() else {
         counter!("gentian_digest_errors_total", "step" => "encode").increment(1);
         return;
     };
     let mut bytes = 0;
     for part in parts {
-        bytes += part.len() + HEADERS;
+        bytes += part.len() + UDP_OVERHEAD_BYTES;
         if socket.send_to(&part, peers.address(peer)).is_err() {
             counter!("gentian_digest_errors_total", "step" => "send").increment(1);
         }
@@ -120,8 +120,8 @@
 
 fn hear(entry: &Entry, peers: &mut Peers, bytes: &[u8], from: SocketAddr) {
     let now = entry.clock.now();
-    counter!("gentian_digest_bytes_total", "way" => "received").increment((bytes.len() + HEADERS) as u64);
-    let Ok(digest) = Digest::decode(bytes) else {
+    counter!("gentian_digest_bytes_total", "way" => "received").increment((bytes.len() + UDP_OVERHEAD_BYTES) as u64);
+    let Ok(digest) = GossipDigest::decode(bytes) else {
         return drop_one("codec");
     };
     let heard = match peers.hear(from, &digest, now) {
--- a/crates/entry/src/exchange/peers.rs
+++ b/crates/entry/src/exchange/peers.rs
@@ -7,7 +7,7 @@
 use contract::{DataCenter, NodeId};
 use policy::Tick;
 use policy::limits::Bucket;
-use wire::digest::{Digest, Heard};
+use wire::digest::{DigestAck, GossipDigest};
 
 use super::Live;
 
@@ -38,7 +38,7 @@
 struct Peer {
     address: SocketAddr,
     node: Option<(NodeId, DataCenter)>,
-    heard: Option<Heard>,
+    heard: Option<DigestAck>,
     heard_at: Option<Tick>,
     hosts: u32,
     leaving: bool,
@@ -146,15 +146,15 @@
     }
 
     /// Takes in a digest and gives the number of the peer.
-    pub(super) fn hear(&mut self, from: SocketAddr, digest: &Digest, now: Tick) -> Result<u32, Stale> {
+    pub(super) fn hear(&mut self, from: SocketAddr, digest: &GossipDigest, now: Tick) -> Result<u32, Stale> {
         let at = self.all.binary_search_by_key(&from, |peer| peer.address);
         let at = at.map_err(|_missing| Stale::Stranger)?;
         let peer = &mut self.all[at];
-        let heard = Heard {
+        let heard = DigestAck {
             incarnation: digest.incarnation,
             sequence: digest.sequence,
         };
-        let newest = |heard: Heard| (heard.incarnation, heard.sequence);
+        let newest = |heard: DigestAck| (heard.incarnation, heard.sequence);
         // The parts of one digest have the same number.
         if peer.heard.is_some_and(|before| newest(before) > newest(heard)) {
             return Err(Stale::Old);
@@ -198,7 +198,7 @@
         self.all[peer].address
     }
 
-    pub(super) fn heard(&self, peer: usize) -> Option<Heard> {
+    pub(super) fn heard(&self, peer: usize) -> Option<DigestAck> {
         self.all[peer].heard
     }
 
--- a/crates/entry/src/fleet/events.rs
+++ b/crates/entry/src/fleet/events.rs
@@ -17,7 +17,7 @@
 use super::index::Row;
 use crate::Entry;
 
-const STEP: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 const TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes a second.
 const BUDGET: f64 = 1_000.0;
@@ -31,7 +31,7 @@
     let client = EngineClient::new(TIMEOUT);
     let mut budget = Bucket::new(BUDGET, entry.clock.now());
     while !entry.stopping() {
-        std::thread::sleep(STEP);
+        std::thread::sleep(CHECK_INTERVAL);
         if !entry.fleet.rules.with(Ablation::CacheEvents) {
             continue;
         }
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 };
 use telemetry::Clock;
 use wire::digest::LoadDigest;
-use wire::entry::HostSign;
+use wire::entry::HostSignal;
 
 use crate::current::View;
 use crate::hosts::Hosts;
@@ -274,7 +274,7 @@
     }
 
     /// Takes in what another process or the cloud told about a host.
-    pub fn sign(&self, sign: &HostSign, now: Tick) {
+    pub fn sign(&self, sign: &HostSignal, now: Tick) {
         if !self.hosts.hear(sign, now) {
             return;
         }
--- a/crates/entry/src/fleet/poll.rs
+++ b/crates/entry/src/fleet/poll.rs
@@ -17,7 +17,7 @@
 use crate::exchange::Live;
 
 /// Pause between two looks at what is due.
-const STEP: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 const TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes of one poll both ways, with the headers of TCP and IP: about 350 of HTTP and ten packets of 52.
 const BYTES: f64 = 900.0;
@@ -66,7 +66,7 @@
         owned.poll(&sender, interval, now);
         // Any entry host may send to any upstream, those of other data centres included.
         entry.admission.resize(&entry.fleet.sizes(live.count(), now));
-        std::thread::sleep(STEP);
+        std::thread::sleep(CHECK_INTERVAL);
     }
     Ok(())
 }
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -13,20 +13,20 @@
 use policy::Tick;
 use policy::life::{AnyHostState, HostEvent, HostStates};
 use upstream::UpstreamError;
-use upstream::cloud::{CloudClient, Notice};
-use wire::entry::{self as wire_entry, HostSign};
+use upstream::cloud::{CloudClient, ReclaimNotice};
+use wire::entry::{self as wire_entry, HostSignal};
 
 use crate::{Entry, drain};
 
 /// Longest time from a notice at the cloud API until no new work goes to its host.
 pub const BOUND: Duration = Duration::from_secs(2);
 /// Pause between two looks at the cloud API.
-const STEP: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest wait for the cloud API.
 const TIMEOUT: Duration = Duration::from_millis(500);
 /// Looks between two times of forgetting hosts.
 const FORGET: u64 = 240;
-const _: () = assert!(STEP.as_millis() + TIMEOUT.as_millis() < BOUND.as_millis());
+const _: () = assert!(CHECK_INTERVAL.as_millis() + TIMEOUT.as_millis() < BOUND.as_millis());
 
 /// The lives of all hosts that signs have told about.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
 
 impl Hosts {
     /// Takes in what another process or the cloud told; gives whether the host began to leave by it.
-    pub fn hear(&self, sign: &HostSign, now: Tick) -> bool {
+    pub fn hear(&self, sign: &HostSignal, now: Tick) -> bool {
         let life = self.take(&sign.host, sign.incarnation, from_wire(sign.sign), now);
         matches!(life, Some(AnyHostState::Leaving(_)))
     }
@@ -125,7 +125,7 @@
             entry.fleet.hosts.forget(&known, entry.clock.now());
         }
         looks += 1;
-        std::thread::sleep(STEP);
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
 
@@ -142,8 +142,8 @@
     }
 }
 
-fn from_notice(notice: Notice) -> HostSign {
-    HostSign {
+fn from_notice(notice: ReclaimNotice) -> HostSignal {
+    HostSignal {
         host: notice.host,
         incarnation: notice.incarnation,
         sign: wire_entry::Sign::Notice {
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -5,7 +5,7 @@
 use contract::{AccountName, CustomerId};
 use parking_lot::{Condvar, Mutex};
 use policy::route::Choice;
-use upstream::engine::Chat;
+use upstream::engine::ChatRequest;
 
 pub use kept::Journals;
 
@@ -45,7 +45,7 @@
 struct Made {
     text: String,
     ends: Vec<u32>,
-    ask: Option<Chat>,
+    ask: Option<ChatRequest>,
     whole: bool,
     failed: bool,
 }
@@ -66,7 +66,7 @@
 pub struct Moved;
 
 impl Journal {
-    fn new(owner: String, ask: &Chat) -> Self {
+    fn new(owner: String, ask: &ChatRequest) -> Self {
         let made = Made {
             ask: Some(ask.clone()),
             ..Made::default()
@@ -119,7 +119,7 @@
     ///
     /// The function gets the request and the tokens so far, and tells whether a peer took them. Returns whether the
     /// answer is made elsewhere now.
-    pub fn hand_over(&self, to_peer: impl FnOnce(&Chat, Vec<String>) -> bool) -> bool {
+    pub fn hand_over(&self, to_peer: impl FnOnce(&ChatRequest, Vec<String>) -> bool) -> bool {
         {
             let mut place = self.place.lock();
             if *place != Place::Here {
--- a/crates/entry/src/journal/kept.rs
+++ b/crates/entry/src/journal/kept.rs
@@ -8,7 +8,7 @@
 use metrics::gauge;
 use parking_lot::Mutex;
 use policy::Tick;
-use upstream::engine::Chat;
+use upstream::engine::ChatRequest;
 
 use super::Journal;
 
@@ -41,14 +41,14 @@
 
 impl Journals {
     /// Opens the journal of a request.
-    pub fn open(&self, request: &RequestId, owner: String, ask: &Chat) -> Arc<Journal> {
+    pub fn open(&self, request: &RequestId, owner: String, ask: &ChatRequest) -> Arc<Journal> {
         let journal = Arc::new(Journal::new(owner, ask));
         self.inner.lock().all.insert(request.clone(), Arc::clone(&journal));
         journal
     }
 
     /// Opens the journal of a request unless there is one.
-    pub fn open_new(&self, request: &RequestId, owner: String, ask: &Chat) -> Option<Arc<Journal>> {
+    pub fn open_new(&self, request: &RequestId, owner: String, ask: &ChatRequest) -> Option<Arc<Journal>> {
         let mut inner = self.inner.lock();
         if inner.all.contains_key(request) {
             return None;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -14,9 +14,9 @@
 use entry::{Entry, burn, callers, current, drain, exchange, fleet, hosts, ops, rescue};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use slog::{info, warn};
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 use telemetry::{ended, log};
-use wire::client::Calls;
+use wire::client::RpcRuntime;
 use wire::entry::EntryRpcServer;
 
 /// Longest wait for an inner call.
@@ -36,16 +36,16 @@
         return Ok(());
     };
     let logger = log::start(settings.log, "gentian-entry", settings.node.as_str());
-    let calls = Calls::start(2, TIMEOUT)?;
+    let calls = RpcRuntime::start(2, TIMEOUT)?;
     let entry = Arc::new(Entry::new(settings, logger, &calls)?);
     serve(&entry, &calls)
 }
 
-fn serve(entry: &Arc<Entry>, calls: &Calls) -> anyhow::Result<()> {
+fn serve(entry: &Arc<Entry>, calls: &RpcRuntime) -> anyhow::Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
     signal_hook::flag::register(SIGINT, Arc::clone(&stop))?;
-    let scrape = Scrape::install()?;
+    let scrape = MetricsExporter::install()?;
     let listen = entry.settings.listen;
     let listener = callers::listen(listen).with_context(|| format!("listen on {listen}"))?;
     let ops = start_ops(entry, scrape)?;
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-fn start_ops(entry: &Arc<Entry>, scrape: Scrape) -> anyhow::Result<std::net::SocketAddr> {
+fn start_ops(entry: &Arc<Entry>, scrape: MetricsExporter) -> anyhow::Result<std::net::SocketAddr> {
     let shared = Arc::clone(entry);
     let listen = entry.settings.ops;
     let server = rouille::Server::new(listen, move |request| ops::answer(&shared, &scrape, request))
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -11,14 +11,14 @@
 use metrics::counter;
 use parking_lot::Mutex;
 use wire::Envelope;
-use wire::client::{CallError, Calls};
-use wire::entry::{EntryRpcClient, Handover, Journal, JournalAsk};
+use wire::client::{CallError, RpcRuntime};
+use wire::entry::{EntryRpcClient, Handover, Journal, JournalRequest};
 use wire::state::Watched;
 
 /// Clients of the other entry hosts.
 #[derive(Debug)]
 pub struct Peers {
-    calls: Calls,
+    calls: RpcRuntime,
     me: NodeId,
     clients: Vec<HttpClient>,
     names: Mutex<HashMap<NodeId, usize>>,
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// Fails when an address can't be used.
-    pub fn new(calls: &Calls, me: &NodeId, peers: &[SocketAddr]) -> Result<Self, CallError> {
+    pub fn new(calls: &RpcRuntime, me: &NodeId, peers: &[SocketAddr]) -> Result<Self, CallError> {
         let clients = peers.iter().map(|peer| calls.client(*peer, Duration::ZERO));
         Ok(Self {
             calls: calls.clone(),
@@ -90,7 +90,7 @@
         request: &RequestId,
         from: usize,
     ) -> Result<Option<Journal>, ClientError> {
-        let ask = JournalAsk {
+        let ask = JournalRequest {
             request: request.clone(),
             from: from as u64,
         };
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -29,7 +29,7 @@
 pub use ride::{Boarding, Move, Ride};
 
 /// Pause between two looks at the streams.
-const STEP: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Threads that copy KV cache.
 const COPIERS: usize = 8;
 /// Time to prefill one token, for the question whether a replay would miss a target.
@@ -207,6 +207,6 @@
                 entry.rescue.put_back(refused.into_inner());
             }
         }
-        std::thread::sleep(STEP);
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
--- a/crates/entry/src/rescue/copy.rs
+++ b/crates/entry/src/rescue/copy.rs
@@ -8,7 +8,7 @@
 use policy::rescue::StreamAction;
 use policy::route::{RequestNeed, Target};
 use slog::warn;
-use upstream::kv::{Export, Exported};
+use upstream::kv::{ExportScope, ExportedCache};
 
 use super::{Job, Kept, Stage};
 use crate::Entry;
@@ -33,7 +33,7 @@
 /// Copies the cache of an answer that ended; the next turn of the conversation then goes where it is.
 fn ended(entry: &Entry, kept: &Kept) {
     let began = entry.clock.now();
-    let what = Export::Request(kept.id.clone());
+    let what = ExportScope::Request(kept.id.clone());
     let Ok(exported) = entry.engines.export(kept.spec.address, &what, TIMEOUT) else {
         return counter!("gentian_copies_failed_total").increment(1);
     };
@@ -54,7 +54,7 @@
     let began = entry.clock.now();
     let exported = match entry
         .engines
-        .export(source.address, &Export::Request(id.clone()), TIMEOUT)
+        .export(source.address, &ExportScope::Request(id.clone()), TIMEOUT)
     {
         Ok(exported) => exported,
         Err(error) => {
@@ -77,7 +77,7 @@
 }
 
 /// Imports into one engine after the other until one has it.
-fn import(entry: &Entry, id: &RequestId, source: &UpstreamSpec, exported: &Exported) -> Option<UpstreamId> {
+fn import(entry: &Entry, id: &RequestId, source: &UpstreamSpec, exported: &ExportedCache) -> Option<UpstreamId> {
     let mut avoid = vec![source.id.clone()];
     for _ in 0..TARGETS {
         let target = target(entry, source, exported, &avoid)?;
@@ -97,7 +97,12 @@
 }
 
 /// Chooses where the cache goes: first among the zones in which no host is leaving, then anywhere.
-fn target(entry: &Entry, source: &UpstreamSpec, exported: &Exported, avoid: &[UpstreamId]) -> Option<UpstreamSpec> {
+fn target(
+    entry: &Entry,
+    source: &UpstreamSpec,
+    exported: &ExportedCache,
+    avoid: &[UpstreamId],
+) -> Option<UpstreamSpec> {
     let view = entry.current.view();
     let UpstreamKind::Engine { model, .. } = &source.kind else {
         return None;
--- a/crates/entry/src/rpc.rs
+++ b/crates/entry/src/rpc.rs
@@ -7,7 +7,7 @@
 use jsonrpsee::core::{RpcResult, async_trait};
 use serde_json::json;
 use wire::Envelope;
-use wire::entry::{EntryRpcServer, Handover, HostSign, Journal, JournalAsk};
+use wire::entry::{EntryRpcServer, Handover, HostSignal, Journal, JournalRequest};
 use wire::state::Watched;
 
 use crate::{Entry, burn, callers, drain};
@@ -32,7 +32,7 @@
 
 #[async_trait]
 impl EntryRpcServer for Rpc {
-    async fn hosts(&self, signs: Envelope<Vec<HostSign>>) -> RpcResult<Envelope<()>> {
+    async fn hosts(&self, signs: Envelope<Vec<HostSignal>>) -> RpcResult<Envelope<()>> {
         let now = self.entry.clock.now();
         for sign in &signs.body {
             self.entry.fleet.sign(sign, now);
@@ -41,7 +41,7 @@
         Ok(self.wrap(()))
     }
 
-    async fn journal(&self, ask: Envelope<JournalAsk>) -> RpcResult<Envelope<Option<Journal>>> {
+    async fn journal(&self, ask: Envelope<JournalRequest>) -> RpcResult<Envelope<Option<Journal>>> {
         let from = usize::try_from(ask.body.from).unwrap_or(usize::MAX);
         let found = self.entry.journals.find(&ask.body.request);
         // The answer goes on at a peer, which has all of it.
--- a/crates/entry/tests/burn_handed.rs
+++ b/crates/entry/tests/burn_handed.rs
@@ -7,7 +7,7 @@
 use entry::cli::Options;
 use telemetry::burn::Report;
 use telemetry::clock::wall_ms;
-use wire::client::Calls;
+use wire::client::RpcRuntime;
 
 /// An operator restarts an entry host for an upgrade a few seconds after a bad spell. The misses must still be in the
 /// report, or the customer's budget would look untouched.
@@ -30,7 +30,7 @@
         call(leaving.address, "GET", "/services/till/stock", &[], b"").status,
         502
     );
-    let calls = Calls::start(1, std::time::Duration::from_secs(5)).unwrap();
+    let calls = RpcRuntime::start(1, std::time::Duration::from_secs(5)).unwrap();
     entry::burn::hand_over(&leaving.entry, &calls, inner[0]);
     drop(leaving);
     let report = Report::new(entry::burn::parts(&staying.entry), Vec::new(), wall_ms() / 1_000);
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -24,7 +24,7 @@
 use entry::settings::Settings;
 use entry::{Entry, callers, exchange, fleet, rescue};
 use slog::{Discard, Logger, o};
-use wire::client::Calls;
+use wire::client::RpcRuntime;
 use wire::entry::EntryRpcServer;
 use wire::state::Watched;
 
@@ -42,7 +42,7 @@
     pub entry: Arc<Entry>,
     pub address: SocketAddr,
     pub inner: SocketAddr,
-    _calls: Calls,
+    _calls: RpcRuntime,
 }
 
 impl Host {
@@ -63,7 +63,7 @@
             ..options
         };
         let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
-        let calls = Calls::start(2, Duration::from_secs(5)).unwrap();
+        let calls = RpcRuntime::start(2, Duration::from_secs(5)).unwrap();
         let entry = Arc::new(Entry::new(settings, Logger::root(Discard, o!()), &calls).unwrap());
         let news = Watched {
             snapshot: Some(config),
--- a/crates/entry/tests/common/state.rs
+++ b/crates/entry/tests/common/state.rs
@@ -8,7 +8,7 @@
 use jsonrpsee::core::{RpcResult, async_trait};
 use parking_lot::Mutex;
 use wire::Envelope;
-use wire::client::Calls;
+use wire::client::RpcRuntime;
 use wire::state::{
     Claim, Claimed, Lease, Leased, Outcome, Propose, Proposed, Settle, Settled, StateRpcServer, StateStatus,
     Unavailable, Watch, Watched,
@@ -18,7 +18,7 @@
 pub struct FakeState {
     pub address: SocketAddr,
     pub claims: Arc<Claims>,
-    _calls: Calls,
+    _calls: RpcRuntime,
 }
 
 type Claims = Mutex<HashMap<String, Held>>;
@@ -35,7 +35,7 @@
 
 impl FakeState {
     pub fn start(config: Config) -> Self {
-        let calls = Calls::start(2, super::PATIENCE).unwrap();
+        let calls = RpcRuntime::start(2, super::PATIENCE).unwrap();
         let address = super::free_address();
         let server = calls.wait(jsonrpsee::server::Server::builder().build(address)).unwrap();
         let claims = Arc::new(Claims::default());
--- a/crates/entry/tests/config_feed.rs
+++ b/crates/entry/tests/config_feed.rs
@@ -13,7 +13,7 @@
 use policy::Tick;
 use quickcheck::{Gen, QuickCheck};
 use state::applied::{AppliedState, Command, LogEntry};
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Propose, Proposed};
 
 fn propose(number: usize) -> Propose {
@@ -106,7 +106,7 @@
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
     let mut node = Process::state(address, folder.path());
-    let calls = Calls::start(1, Duration::from_secs(2)).unwrap();
+    let calls = RpcRuntime::start(1, Duration::from_secs(2)).unwrap();
     let client = StateClient::new(&calls, &"tester".into(), &[address]).unwrap();
     change(&client, 0);
     let (mut first, _, ops) = Process::entry("entry-1", address, &[]);
--- a/crates/entry/tests/digest_exchange.rs
+++ b/crates/entry/tests/digest_exchange.rs
@@ -11,8 +11,8 @@
 use entry::cli::Options;
 use entry::settings::Settings;
 use entry::{Entry, exchange};
-use wire::client::Calls;
-use wire::digest::{Amounts, Demand, Digest, HEADERS, Heard, MAX_DATAGRAM};
+use wire::client::RpcRuntime;
+use wire::digest::{Amounts, Demand, DigestAck, GossipDigest, MAX_DATAGRAM, UDP_OVERHEAD_BYTES};
 use wire::state::Watched;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -24,7 +24,7 @@
     entry: Arc<Entry>,
     thread: Option<JoinHandle<()>>,
     address: SocketAddr,
-    _calls: Calls,
+    _calls: RpcRuntime,
 }
 
 impl Host {
@@ -41,7 +41,7 @@
             ..Options::default()
         };
         let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
-        let calls = Calls::start(1, Duration::from_secs(1)).unwrap();
+        let calls = RpcRuntime::start(1, Duration::from_secs(1)).unwrap();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let entry = Arc::new(Entry::new(settings, logger, &calls).unwrap());
         let shared = Arc::clone(&entry);
@@ -111,20 +111,20 @@
 /// The test as a peer.
 struct Peer {
     socket: UdpSocket,
-    digest: Digest,
+    digest: GossipDigest,
 }
 
 impl Peer {
     fn new() -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
-        let digest = Digest {
+        let digest = GossipDigest {
             from: "entry-2".into(),
             place: "dc-1".into(),
             incarnation: 5,
             sequence: 100,
             hosts: 2,
-            ..Digest::default()
+            ..GossipDigest::default()
         };
         Self { socket, digest }
     }
@@ -139,13 +139,13 @@
     }
 
     /// Sends digests until one that comes back satisfies a condition.
-    fn until(&mut self, to: SocketAddr, good: impl Fn(&Digest) -> bool) -> Digest {
+    fn until(&mut self, to: SocketAddr, good: impl Fn(&GossipDigest) -> bool) -> GossipDigest {
         let begun = Instant::now();
         let mut buffer = [0; MAX_DATAGRAM];
         while begun.elapsed() < PATIENCE {
             self.send(to);
             if let Ok(length) = self.socket.recv(&mut buffer) {
-                let digest = Digest::decode(&buffer[..length]).unwrap();
+                let digest = GossipDigest::decode(&buffer[..length]).unwrap();
                 if good(&digest) {
                     return digest;
                 }
@@ -193,8 +193,8 @@
     peer.digest.sequence = 50;
     peer.send(host.address);
     peer.digest.sequence = 10_000;
-    let heard = |digest: &Digest| digest.heard.is_some_and(|heard| heard.sequence > 10_000);
-    let newest: Heard = peer.until(host.address, heard).heard.unwrap();
+    let heard = |digest: &GossipDigest| digest.heard.is_some_and(|heard| heard.sequence > 10_000);
+    let newest: DigestAck = peer.until(host.address, heard).heard.unwrap();
     assert_eq!(newest.incarnation, 5);
     assert_eq!(host.entry.live.load().count(), 2);
 }
@@ -250,7 +250,7 @@
         for (peer, heard) in peers.iter().zip(&mut heard) {
             while let Ok(length) = peer.socket.recv(&mut buffer) {
                 *heard = true;
-                bytes += length + HEADERS;
+                bytes += length + UDP_OVERHEAD_BYTES;
             }
         }
         let allowed = BYTES * (begun.elapsed().as_secs_f64() + 1.0) + MAX_DATAGRAM as f64;
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -12,8 +12,8 @@
 use entry::journal::owner;
 use serde_json::Value;
 use wire::Envelope;
-use wire::client::Calls;
-use wire::entry::{EntryRpcClient, Handover, HostSign, Sign};
+use wire::client::RpcRuntime;
+use wire::entry::{EntryRpcClient, Handover, HostSignal, Sign};
 
 const TOKENS: u64 = 400;
 
@@ -34,9 +34,9 @@
 }
 
 fn notice(host: &Host, left_ms: u64) {
-    let calls = Calls::start(1, PATIENCE).unwrap();
+    let calls = RpcRuntime::start(1, PATIENCE).unwrap();
     let client = calls.client(host.inner, Duration::ZERO).unwrap();
-    let sign = HostSign {
+    let sign = HostSignal {
         host: "vm-0".into(),
         incarnation: 0,
         sign: Sign::Notice { left_ms },
@@ -129,7 +129,7 @@
         ..Options::default()
     };
     let host = Host::with(config([]), options);
-    let sign = |incarnation, sign| HostSign {
+    let sign = |incarnation, sign| HostSignal {
         host: "vm-0".into(),
         incarnation,
         sign,
--- a/crates/entry/tests/host_signs.rs
+++ b/crates/entry/tests/host_signs.rs
@@ -10,8 +10,8 @@
 use entry::cli::Options;
 use entry::hosts;
 use wire::Envelope;
-use wire::client::Calls;
-use wire::entry::{EntryRpcClient, HostSign, Sign};
+use wire::client::RpcRuntime;
+use wire::entry::{EntryRpcClient, HostSignal, Sign};
 use wire::state::Watched;
 
 /// Waits until no new work goes to a host.
@@ -72,9 +72,9 @@
     };
     let host = Host::with(config([spec.clone()]), options);
     watch(&host);
-    let calls = Calls::start(1, Duration::from_secs(10)).unwrap();
+    let calls = RpcRuntime::start(1, Duration::from_secs(10)).unwrap();
     let client = calls.client(host.inner, Duration::ZERO).unwrap();
-    let sign = HostSign {
+    let sign = HostSignal {
         host: "host-a".into(),
         incarnation: 0,
         sign: Sign::Notice { left_ms: 60_000 },
--- a/crates/entry/tests/killed_between.rs
+++ b/crates/entry/tests/killed_between.rs
@@ -13,7 +13,7 @@
 use common::{PATIENCE, contract, free_address, service};
 use contract::{Change, Revision};
 use crossbeam_channel::{Receiver, Sender, bounded};
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Propose, Proposed};
 
 /// How long a deposit may take in these tests; its claim counts as overdue after that.
@@ -58,7 +58,7 @@
     }
 
     fn configure(&self, till: SocketAddr) {
-        let calls = Calls::start(1, Duration::from_secs(2)).unwrap();
+        let calls = RpcRuntime::start(1, Duration::from_secs(2)).unwrap();
         let client = StateClient::new(&calls, &"tester".into(), &[self.state]).unwrap();
         let mut contract = contract();
         contract.classes[0].targets.whole_answer_ms = WHOLE_MS;
--- a/crates/entry/tests/recomputed_count.rs
+++ b/crates/entry/tests/recomputed_count.rs
@@ -6,13 +6,13 @@
 
 use common::ask::{self, Events};
 use common::{Host, config, engine, fake};
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 
 /// An engine dies after two tokens and the next one has none of the prompt in its cache. The customer pays for tokens
 /// that are computed again with time, so an operator must see how many there were, whose and why.
 #[test]
 fn died_engine() {
-    let scrape = Scrape::install().unwrap();
+    let scrape = MetricsExporter::install().unwrap();
     let turns = AtomicUsize::new(0);
     let address = fake::serve(move |_, stream| {
         fake::begin(&stream);
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -15,7 +15,7 @@
 use slog::{info, warn};
 use wire::Envelope;
 use wire::catalog::{CatalogRpcClient, Followed};
-use wire::client::Calls;
+use wire::client::RpcRuntime;
 
 use crate::link::{Known, StateSync};
 use crate::mirror::Mirror;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(crate) struct Follower {
     link: StateSync,
-    calls: Calls,
+    calls: RpcRuntime,
     known: Arc<Mutex<Known>>,
     mirror: Mirror,
     sources: NodeSelector,
@@ -57,7 +57,7 @@
 }
 
 impl Follower {
-    pub(crate) fn new(link: StateSync, calls: Calls, known: Arc<Mutex<Known>>) -> Self {
+    pub(crate) fn new(link: StateSync, calls: RpcRuntime, known: Arc<Mutex<Known>>) -> Self {
         let turn = link.incarnation as usize;
         Self {
             link,
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -18,7 +18,7 @@
 use policy::rollout;
 use slog::Logger;
 use telemetry::Clock;
-use wire::registry::{Beat, Parts, ServiceLoad, Sign};
+use wire::registry::{Heartbeat, QuotaShare, ServiceLoad, UpstreamObservation};
 
 use crate::dialect::{HeaderCodec, RequestInfo};
 use crate::lender::QuotaBorrower;
@@ -50,7 +50,7 @@
     pub confirmed: ArcSwap<Option<Tick>>,
     /// The parts that were told last. They go on holding without news: the parts of all entry hosts that were heard of in
     /// the last half minute add up to the whole.
-    pub parts: ArcSwap<Option<Parts>>,
+    pub parts: ArcSwap<Option<QuotaShare>>,
     /// Inner address of the leader, if known.
     pub leader: ArcSwap<Option<SocketAddr>>,
     /// A list that was read and not taken over yet, with the time at which it was asked for.
@@ -58,9 +58,9 @@
     /// When the list that was heard of last was asked for.
     pub listed: ArcSwap<Option<Tick>>,
     /// What others have seen of upstreams, and when it was told.
-    pub signs: Mutex<Option<(Vec<Sign>, Tick)>>,
+    pub signs: Mutex<Option<(Vec<UpstreamObservation>, Tick)>>,
     /// What the next beat tells.
-    pub beat: Mutex<Beat>,
+    pub beat: Mutex<Heartbeat>,
 }
 
 impl Shared {
--- a/crates/gateway/src/lender.rs
+++ b/crates/gateway/src/lender.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 use wire::Envelope;
 use wire::catalog::CatalogRpcClient;
-use wire::registry::{Borrow, Borrowed};
+use wire::registry::{Borrow, BorrowReply};
 
 use crate::gate::Shared;
 
@@ -48,9 +48,9 @@
         let answer = timeout(PATIENCE, call).await;
         match answer {
             Ok(Ok(answer)) => match answer.body {
-                Borrowed::Lent => Some(true),
-                Borrowed::Over => Some(false),
-                Borrowed::Unavailable(_) => self.lost(),
+                BorrowReply::Lent => Some(true),
+                BorrowReply::Over => Some(false),
+                BorrowReply::Unavailable(_) => self.lost(),
             },
             Ok(Err(_)) | Err(_) => self.lost(),
         }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -17,8 +17,8 @@
 use upstream::directory::Directory;
 use wire::Envelope;
 use wire::catalog::CatalogRpcClient;
-use wire::client::Calls;
-use wire::registry::{Beaten, ListNews};
+use wire::client::RpcRuntime;
+use wire::registry::{HeartbeatReply, ListUpdate};
 use wire::state::Unavailable;
 
 use crate::follow::Follower;
@@ -76,7 +76,7 @@
     /// # Errors
     /// Fails when the operating system refuses a thread.
     pub fn start(&self, directory: Box<dyn Directory>) -> std::io::Result<()> {
-        let calls = Calls::start(1, PATIENCE)?;
+        let calls = RpcRuntime::start(1, PATIENCE)?;
         let known = Arc::new(Mutex::new(Known::default()));
         let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
             thread::Builder::new().name(name.to_owned()).spawn(work).map(drop)
@@ -109,7 +109,7 @@
     }
 
     /// Tells the leader what this entry host has seen, and learns its parts of the limits.
-    fn beat(&self, calls: &Calls, known: &Mutex<Known>) {
+    fn beat(&self, calls: &RpcRuntime, known: &Mutex<Known>) {
         let mut at = self.incarnation as usize;
         let mut client = None;
         let mut told = true;
@@ -133,7 +133,7 @@
             let asked = self.clock.now();
             let error = match calls.wait(open.beat(Envelope::new(&self.node, Revision(self.version()), beat))) {
                 Ok(answer) => match answer.body {
-                    Beaten::News(news) => {
+                    HeartbeatReply::News(news) => {
                         let parts = news.parts;
                         self.shared.hear_newest(news.version, asked);
                         *self.shared.signs.lock() = Some((news.signs, self.clock.now()));
@@ -147,7 +147,7 @@
                         self.shared.parts.store(Arc::new(Some(parts)));
                         continue;
                     }
-                    Beaten::Unavailable(why) => {
+                    HeartbeatReply::Unavailable(why) => {
                         known.lock().leader = match &why {
                             Unavailable::NotLeader { leader } => *leader,
                             _ => Some(peer),
@@ -184,7 +184,7 @@
     }
 
     /// Takes over news of the list. `handed` is when the list that the event loop got last from here was asked for.
-    fn take_list(&self, listing: &mut Listing, news: ListNews, handed: &mut Option<Tick>, took: Duration) {
+    fn take_list(&self, listing: &mut Listing, news: ListUpdate, handed: &mut Option<Tick>, took: Duration) {
         let Some(age_ms) = news.age_ms else {
             return;
         };
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -6,7 +6,7 @@
 use contract::Listed;
 use policy::Tick;
 use policy::paging::PageSize;
-use wire::registry::{Beat, ListMark, ListNews};
+use wire::registry::{Heartbeat, ListPosition, ListUpdate};
 
 /// Bytes that an entry takes in an answer, rounded up.
 const ENTRY_BYTES: u32 = 256;
@@ -17,7 +17,7 @@
 /// The copy, and how far it has got.
 #[derive(Debug, Default)]
 pub struct Listing {
-    mark: ListMark,
+    mark: ListPosition,
     entries: Entries,
     /// A whole list that has not arrived to its end; the old one is used until it has.
     arriving: Option<Entries>,
@@ -28,7 +28,7 @@
 
 impl Listing {
     /// Says in a beat what is known, and how much may come.
-    pub fn ask(&self, beat: &mut Beat) {
+    pub fn ask(&self, beat: &mut Heartbeat) {
         beat.list.clone_from(&self.mark);
         beat.max_listed = Some(self.most());
     }
@@ -44,7 +44,7 @@
     }
 
     /// Takes news of a list that was asked for at a time; the answer came after another.
-    pub fn take(&mut self, news: ListNews, asked: Tick, took: Duration) {
+    pub fn take(&mut self, news: ListUpdate, asked: Tick, took: Duration) {
         if (news.put.len() + news.gone.len()) as u32 >= self.most() / 2 {
             self.paging.arrived(took);
         }
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -6,7 +6,7 @@
 use contract::Delta;
 use derive_more::{Display, Error};
 use policy::paging::PageSize;
-use wire::catalog::{Follow, Followed, Part, Resume, Transfer};
+use wire::catalog::{Follow, Followed, Resume, Transfer, TransferPart};
 
 use crate::table::Table;
 
@@ -126,7 +126,7 @@
         self.paging.lost();
     }
 
-    fn take_part(&mut self, part: Part) -> Result<(), MirrorError> {
+    fn take_part(&mut self, part: TransferPart) -> Result<(), MirrorError> {
         let version = part.transfer.version;
         if part.offset == 0 {
             self.partial = None;
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -14,7 +14,7 @@
 use policy::pace::{EngineRates, PrefillWork, SpeedEstimate};
 use policy::place::{Candidate, Prediction, PromptNeed, PromptPart, choose};
 use policy::reach::Reachability;
-use wire::registry::Sign;
+use wire::registry::UpstreamObservation;
 
 pub use upstream::Upstream;
 
@@ -207,12 +207,12 @@
 
     /// Gives what the others should know.
     #[must_use]
-    pub fn signs(&self, now: Tick) -> Vec<Sign> {
+    pub fn signs(&self, now: Tick) -> Vec<UpstreamObservation> {
         self.all.values().filter_map(|upstream| upstream.sign(now)).collect()
     }
 
     /// Takes what others have seen.
-    pub fn take_signs(&mut self, signs: &[Sign], told: Tick) {
+    pub fn take_signs(&mut self, signs: &[UpstreamObservation], told: Tick) {
         for sign in signs {
             let Some(upstream) = self.all.get_mut(&sign.id) else {
                 continue;
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -12,7 +12,7 @@
 use policy::pace::{RelativeSpeed, SpeedEstimate};
 use policy::place::{CachedParts, Candidate, PromptPart};
 use policy::reach::Reachability;
-use wire::registry::Sign;
+use wire::registry::UpstreamObservation;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{ChosenUpstream, Need};
@@ -204,12 +204,12 @@
     }
 
     /// Gives what the others should know of it, if there is something.
-    pub(super) fn sign(&self, now: Tick) -> Option<Sign> {
+    pub(super) fn sign(&self, now: Tick) -> Option<UpstreamObservation> {
         let fresh = self.sight.filter(|(_, at)| now.since(*at) < SIGHT_FRESH);
         let load = fresh.map(|(load, at)| (load.running, load.waiting, now.since(at).as_millis() as u32));
         let backlog_ms = self.backlog.pending_ms(now) as u32;
         let overdue_ms = self.backlog.overdue_ms(now) as u32;
-        (load.is_some() || backlog_ms > 0 || overdue_ms > 0).then(|| Sign {
+        (load.is_some() || backlog_ms > 0 || overdue_ms > 0).then(|| UpstreamObservation {
             id: self.listed.id.clone(),
             load,
             backlog_ms,
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -20,7 +20,7 @@
 use policy::retries::RetryBounds;
 use slog::{Discard, Logger, o};
 use telemetry::Clock;
-use wire::registry::Parts;
+use wire::registry::QuotaShare;
 
 use super::words::Words;
 use super::{Caller, PATIENCE, Reply, Upstream, listed};
@@ -99,7 +99,9 @@
         let shared = Arc::new(Shared::default());
         shared.table.store(Some(Arc::new(Table::new(&catalog))));
         shared.hear_newest(catalog.version, Tick(Duration::MAX));
-        shared.parts.store(Arc::new(Some(Parts { entries: 1, floor: 1.0 })));
+        shared
+            .parts
+            .store(Arc::new(Some(QuotaShare { entries: 1, floor: 1.0 })));
         *shared.list.lock() = Some((listed(upstreams), Tick::default()));
         shared
     }
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -15,7 +15,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use state::registry::{EntryRegistry, SharedLimits};
-use wire::registry::Beat;
+use wire::registry::Heartbeat;
 
 use engine::{Engine, Made, SLOTS};
 
@@ -255,10 +255,10 @@
 
     fn beat(&mut self, host: usize, now_ms: f64) {
         let now = tick(now_ms);
-        let beat = Beat {
+        let beat = Heartbeat {
             run: 1,
             signs: self.hosts[host].signs(now),
-            ..Beat::default()
+            ..Heartbeat::default()
         };
         let node = NodeId::from(format!("e{host}"));
         let sharing = SharedLimits {
--- a/crates/gateway/tests/list_copy.rs
+++ b/crates/gateway/tests/list_copy.rs
@@ -7,7 +7,7 @@
 use policy::Tick;
 use quickcheck::quickcheck;
 use state::registry::{EntryRegistry, SharedLimits};
-use wire::registry::{Beat, ListNews};
+use wire::registry::{Heartbeat, ListUpdate};
 
 const TERM: u64 = 1;
 
@@ -27,12 +27,12 @@
 }
 
 /// Beats once, with so many entries in the answer at most.
-fn beat(registry: &EntryRegistry, copy: &mut Listing, most: u32, now: Tick) -> ListNews {
+fn beat(registry: &EntryRegistry, copy: &mut Listing, most: u32, now: Tick) -> ListUpdate {
     let sharing = SharedLimits {
         entry_hosts: 1,
         ..SharedLimits::default()
     };
-    let mut beat = Beat::default();
+    let mut beat = Heartbeat::default();
     copy.ask(&mut beat);
     beat.max_listed = Some(most);
     let news = registry.heartbeat(TERM, (&NodeId::from("e"), beat), &sharing, now);
--- a/crates/gateway/tests/slow_node/mod.rs
+++ b/crates/gateway/tests/slow_node/mod.rs
@@ -27,8 +27,8 @@
 use wire::catalog::{
     CatalogRpcClient, CatalogRpcServer, Fetched, Follow, Followed, Publish, Published, Upload, Uploaded,
 };
-use wire::client::MAX_MESSAGE;
-use wire::registry::{Beat, Beaten, Borrow, Borrowed};
+use wire::client::MAX_MESSAGE_BYTES;
+use wire::registry::{Borrow, BorrowReply, Heartbeat, HeartbeatReply};
 
 /// Longest wait for anything; only a guard against hanging.
 const PATIENCE: Duration = Duration::from_mins(1);
@@ -66,7 +66,9 @@
             bytes: Arc::clone(&bytes),
             bytes_per_s,
         };
-        let config = ServerConfig::builder().max_response_body_size(MAX_MESSAGE).build();
+        let config = ServerConfig::builder()
+            .max_response_body_size(MAX_MESSAGE_BYTES)
+            .build();
         let server = program
             .calls
             .wait(Server::builder().set_config(config).build(address))
@@ -230,13 +232,13 @@
         Ok(answer)
     }
 
-    async fn beat(&self, request: Envelope<Beat>) -> RpcResult<Envelope<Beaten>> {
+    async fn beat(&self, request: Envelope<Heartbeat>) -> RpcResult<Envelope<HeartbeatReply>> {
         let answer = passed(self.node.beat(request).await)?;
         self.pass(&answer).await;
         Ok(answer)
     }
 
-    async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<Borrowed>> {
+    async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<BorrowReply>> {
         passed(self.node.borrow_units(request).await)
     }
 }
--- a/crates/gateway/tests/worst_load.rs
+++ b/crates/gateway/tests/worst_load.rs
@@ -7,7 +7,7 @@
 use gateway::upstreams::{Need, Upstreams};
 use policy::Tick;
 use policy::place::PromptPart;
-use wire::registry::Sign;
+use wire::registry::UpstreamObservation;
 
 /// Two fifths of a large deployment in a wave of reclaims: long plans, questions and notices.
 fn grown() -> Load {
@@ -70,7 +70,7 @@
     let mut host = two_upstreams();
     let parts = [PromptPart { key: 1, tokens: 400 }];
     let first = choose(&host, &parts);
-    let sign = Sign {
+    let sign = UpstreamObservation {
         id: first.clone(),
         load: None,
         backlog_ms: 0,
--- a/crates/load/src/slopes/bench.rs
+++ b/crates/load/src/slopes/bench.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use contract::{Change, HostSpec, MachineClass, Revision, UpstreamKind, UpstreamSpec};
 use hdrhistogram::Histogram;
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Propose, Proposed};
 
 use super::usage::Usage;
@@ -35,7 +35,7 @@
     engine_link: Link,
     state: StateClient,
     /// What must outlive the trial and is not asked for anything.
-    _kept: (Process, Calls, tempfile::TempDir),
+    _kept: (Process, RpcRuntime, tempfile::TempDir),
 }
 
 /// Measures one point.
@@ -103,7 +103,7 @@
         let linked: Vec<SocketAddr> = node_links.iter().map(Link::address).collect();
         let ops = addresses(count);
         let entries = start_entries(&ops, &linked, &place)?;
-        let calls = Calls::start(2, TIMEOUT)?;
+        let calls = RpcRuntime::start(2, TIMEOUT)?;
         let state = StateClient::new(&calls, &"trial".into(), &inner)?;
         Ok(Self {
             entries,
--- a/crates/state/examples/measure/claims.rs
+++ b/crates/state/examples/measure/claims.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use contract::Revision;
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Claim, Claimed};
 
 use crate::nodes::Nodes;
@@ -21,7 +21,7 @@
     );
     for callers in [1, 16, 128] {
         let before = cpu(&nodes);
-        let calls = Calls::start(4, Duration::from_secs(5)).unwrap();
+        let calls = RpcRuntime::start(4, Duration::from_secs(5)).unwrap();
         let work = |caller| one_caller(&nodes, &calls, callers, caller);
         let mut times: Vec<f64> = thread::scope(|scope| {
             let threads: Vec<_> = (0..callers).map(|caller| scope.spawn(move || work(caller))).collect();
@@ -40,7 +40,7 @@
     }
 }
 
-fn one_caller(nodes: &Nodes, calls: &Calls, callers: usize, caller: usize) -> Vec<f64> {
+fn one_caller(nodes: &Nodes, calls: &RpcRuntime, callers: usize, caller: usize) -> Vec<f64> {
     let client = StateClient::new(calls, &"measure".into(), &nodes.inner).unwrap();
     let begin = Instant::now();
     let mut times = Vec::new();
--- a/crates/state/examples/measure/restart.rs
+++ b/crates/state/examples/measure/restart.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use contract::Revision;
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Lease, Leased};
 
 use crate::nodes::Nodes;
@@ -47,7 +47,7 @@
 
 /// Writes entries of about the size of a claim that leave little state: renewals of a few leases.
 fn write(nodes: &Nodes, count: usize) {
-    let calls = Calls::start(4, Duration::from_secs(5)).unwrap();
+    let calls = RpcRuntime::start(4, Duration::from_secs(5)).unwrap();
     thread::scope(|scope| {
         for caller in 0..CALLERS {
             let client = StateClient::new(&calls, &"measure".into(), &nodes.inner).unwrap();
--- a/crates/state/src/admin/mod.rs
+++ b/crates/state/src/admin/mod.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 use tokio::sync::oneshot;
 use wire::state::Propose;
 
@@ -31,13 +31,13 @@
 pub struct Admin {
     ring: Sender<Ask>,
     key: KeyHash,
-    scrape: Scrape,
+    scrape: MetricsExporter,
 }
 
 impl Admin {
     /// Makes the API for a ring; whoever shows the key as a bearer token may do everything.
     #[must_use]
-    pub const fn new(ring: Sender<Ask>, key: KeyHash, scrape: Scrape) -> Self {
+    pub const fn new(ring: Sender<Ask>, key: KeyHash, scrape: MetricsExporter) -> Self {
         Self { ring, key, scrape }
     }
 
--- a/crates/state/src/feed.rs
+++ b/crates/state/src/feed.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use contract::{Catalog, Delta};
-use wire::catalog::{Follow, Part, Transfer};
+use wire::catalog::{Follow, Transfer, TransferPart};
 
 /// Bytes of changes that are kept; an entry host that lacks older ones gets the whole catalog.
 const KEPT_BYTES: usize = 4 * 1024 * 1024;
@@ -43,9 +43,9 @@
         })
     }
 
-    fn part(&self, offset: usize, most: usize) -> Part {
+    fn part(&self, offset: usize, most: usize) -> TransferPart {
         let until = self.bytes.len().min(offset + most);
-        Part {
+        TransferPart {
             transfer: self.transfer,
             offset: offset as u64,
             total: self.bytes.len() as u64,
@@ -73,7 +73,7 @@
     }
 
     /// Gives the next bytes that lead an asker to the newest catalog; none if it has it.
-    pub fn next_parts(&mut self, ask: &Follow, newest: &Catalog) -> Vec<Part> {
+    pub fn next_parts(&mut self, ask: &Follow, newest: &Catalog) -> Vec<TransferPart> {
         let mut left = (ask.max_bytes as usize).clamp(1, MOST);
         let mut held = ask.after;
         let mut resumed = ask.resume.and_then(|resume| {
--- a/crates/state/src/listing.rs
+++ b/crates/state/src/listing.rs
@@ -7,7 +7,7 @@
 
 use contract::Listed;
 use policy::Tick;
-use wire::registry::{ListMark, ListNews};
+use wire::registry::{ListPosition, ListUpdate};
 
 /// Place of the term in the numbers of changes.
 const TERM_BITS: u32 = 24;
@@ -25,7 +25,7 @@
     asked: Option<Tick>,
     list: Arc<Vec<Listed>>,
     /// Every entry at its newest change; nothing for one that is gone.
-    changes: BTreeMap<ListMark, Option<Listed>>,
+    changes: BTreeMap<ListPosition, Option<Listed>>,
     numbers: BTreeMap<String, u64>,
     gone: usize,
 }
@@ -99,7 +99,7 @@
     }
 
     /// Gives what one lacks who has everything up to a mark.
-    pub(crate) fn news(&self, known: &ListMark, most: Option<u32>, now: Tick) -> ListNews {
+    pub(crate) fn news(&self, known: &ListPosition, most: Option<u32>, now: Tick) -> ListUpdate {
         let most = most.map_or(MOST, |most| MOST.min(most as usize)).max(1);
         let whole = known.number < self.floor;
         let start = if whole { mark(self.floor, "") } else { known.clone() };
@@ -109,11 +109,11 @@
             Bound::Excluded(&start)
         };
         let mut lacking = self.changes.range((from, Bound::Unbounded));
-        let mut news = ListNews {
+        let mut news = ListUpdate {
             mark: start.clone(),
             age_ms: self.asked.map(|asked| now.since(asked).as_millis() as u64),
             whole,
-            ..ListNews::default()
+            ..ListUpdate::default()
         };
         for (mark, entry) in lacking.by_ref().take(most) {
             news.mark = mark.clone();
@@ -135,8 +135,8 @@
     }
 }
 
-fn mark(number: u64, id: &str) -> ListMark {
-    ListMark {
+fn mark(number: u64, id: &str) -> ListPosition {
+    ListPosition {
         number,
         id: id.to_owned(),
     }
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -15,7 +15,7 @@
 use state::core::{Ask, MembershipMode, NodeConfig};
 use state::program::StateNode;
 use state::settings::Settings;
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 use telemetry::{ended, log};
 
 /// Threads of the administration API.
@@ -38,7 +38,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
     signal_hook::flag::register(SIGINT, Arc::clone(&stop))?;
-    let scrape = Scrape::install()?;
+    let scrape = MetricsExporter::install()?;
     let me = NodeConfig {
         node: settings.node.clone(),
         address: settings.listen,
@@ -60,7 +60,7 @@
 fn start_admin(
     settings: &Settings,
     ring: Sender<Ask>,
-    scrape: Scrape,
+    scrape: MetricsExporter,
 ) -> anyhow::Result<rouille::Server<impl Fn(&rouille::Request) -> rouille::Response + Send + Sync + 'static>> {
     let admin = Admin::new(ring, settings.operator.clone(), scrape);
     let server = rouille::Server::new(settings.admin, move |request| admin.answer(request))
--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -11,7 +11,7 @@
 use slog::{Logger, debug, info};
 use telemetry::Clock;
 use tokio::sync::oneshot;
-use upstream::directory::Engines;
+use upstream::directory::EngineProbe;
 
 use crate::core::{Ask, Lead};
 use crate::registry::EntryRegistry;
@@ -33,7 +33,7 @@
     pub clock: Clock,
     /// Who is asked.
     #[debug("engines")]
-    pub engines: Box<dyn Engines>,
+    pub engines: Box<dyn EngineProbe>,
     /// The log.
     pub logger: Logger,
 }
--- a/crates/state/src/peers.rs
+++ b/crates/state/src/peers.rs
@@ -10,7 +10,7 @@
 use metrics::counter;
 use serde::{Deserialize, Serialize};
 use wire::Envelope;
-use wire::client::Calls;
+use wire::client::RpcRuntime;
 use wire::raft::{Packet, RaftRpcClient};
 
 use crate::core::Hello;
@@ -48,7 +48,7 @@
 /// The rings to all peers.
 #[derive(Debug)]
 pub struct Peers {
-    calls: Calls,
+    calls: RpcRuntime,
     node: NodeId,
     id: MemberId,
     address: SocketAddr,
@@ -58,7 +58,7 @@
 impl Peers {
     /// Makes the sending side of a node.
     #[must_use]
-    pub const fn new(calls: Calls, node: NodeId, id: MemberId, address: SocketAddr) -> Self {
+    pub const fn new(calls: RpcRuntime, node: NodeId, id: MemberId, address: SocketAddr) -> Self {
         Self {
             calls,
             node,
@@ -130,7 +130,7 @@
     }
 }
 
-fn deliver(calls: &Calls, client: &HttpClient, node: &NodeId, delivery: &Delivery) -> Option<()> {
+fn deliver(calls: &RpcRuntime, client: &HttpClient, node: &NodeId, delivery: &Delivery) -> Option<()> {
     let messages = postcard::to_stdvec(delivery).ok()?;
     counter!("gentian_state_sent_bytes_total").increment(messages.len() as u64);
     let packet = Envelope::new(node, Revision::default(), Packet { messages });
--- a/crates/state/src/program.rs
+++ b/crates/state/src/program.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 use wire::Envelope;
 use wire::catalog::{CatalogRpcClient, CatalogRpcServer, Fetched, Publish, Published, Upload, UploadId, Uploaded};
-use wire::client::{Calls, MAX_MESSAGE};
+use wire::client::{MAX_MESSAGE_BYTES, RpcRuntime};
 use wire::raft::RaftRpcServer;
 use wire::state::{StateRpcServer, Unavailable};
 
@@ -46,7 +46,7 @@
     /// The clock of all its parts.
     pub clock: Clock,
     /// Calls to other nodes.
-    pub calls: Calls,
+    pub calls: RpcRuntime,
     owner: JoinHandle<()>,
     server: ServerHandle,
 }
@@ -65,7 +65,7 @@
         stop: &Arc<AtomicBool>,
     ) -> anyhow::Result<Self> {
         let clock = Clock::start();
-        let calls = Calls::start(2, TIMEOUT)?;
+        let calls = RpcRuntime::start(2, TIMEOUT)?;
         let (ring, asks) = ring();
         let registry = Arc::new(EntryRegistry::new(slack));
         let rpc = Rpc::new(
@@ -81,8 +81,8 @@
         methods.merge(CatalogRpcServer::into_rpc(rpc.clone()))?;
         methods.merge(RaftRpcServer::into_rpc(rpc))?;
         let config = ServerConfig::builder()
-            .max_request_body_size(MAX_MESSAGE)
-            .max_response_body_size(MAX_MESSAGE)
+            .max_request_body_size(MAX_MESSAGE_BYTES)
+            .max_response_body_size(MAX_MESSAGE_BYTES)
             .max_connections(MAX_CONNECTIONS)
             .build();
         let server = calls.wait(Server::builder().set_config(config).build(listen))?;
@@ -117,7 +117,7 @@
 fn start_owner(
     me: NodeConfig,
     data: &Path,
-    calls: &Calls,
+    calls: &RpcRuntime,
     asks: Receiver<Ask>,
     clock: Clock,
     logger: &Logger,
@@ -153,7 +153,7 @@
 pub struct GroupClient {
     node: NodeId,
     ring: Sender<Ask>,
-    calls: Calls,
+    calls: RpcRuntime,
 }
 
 impl StateNode {
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -13,7 +13,7 @@
 use policy::parts::{QuotaAllocator, Slack};
 use policy::reclaim::{ReclaimGroup, ReportedReclaims};
 use policy::rollout::{Progress, Rollout};
-use wire::registry::{Beat, News, Parts, ServiceLoad};
+use wire::registry::{Heartbeat, LeaderUpdate, QuotaShare, ServiceLoad};
 
 use crate::listing::Listing;
 use crate::signs::Signs;
@@ -71,10 +71,10 @@
     pub fn heartbeat(
         &self,
         term: u64,
-        (from, beat): (&NodeId, Beat),
+        (from, beat): (&NodeId, Heartbeat),
         shared: &SharedLimits,
         now: Tick,
-    ) -> Option<News> {
+    ) -> Option<LeaderUpdate> {
         let mut inner = self.inner.lock();
         if inner.term != term {
             // Another led in between, and may have given other parts.
@@ -99,11 +99,11 @@
         let portion = sharers.record_heartbeat(from, now);
         sharers.collect_overflow(from, beat.run, beat.spare);
         let portion = portion?;
-        let parts = Parts {
+        let parts = QuotaShare {
             entries: portion.entries,
             floor: portion.fraction,
         };
-        Some(News {
+        Some(LeaderUpdate {
             parts,
             list: inner.list.news(&beat.list, beat.max_listed, now),
             signs: inner.signs.others(from, now),
--- a/crates/state/src/rpc.rs
+++ b/crates/state/src/rpc.rs
@@ -14,7 +14,7 @@
 use wire::Envelope;
 use wire::catalog::{CatalogRpcServer, Fetched, Follow, Followed, Publish, Published, Upload, Uploaded};
 use wire::raft::{Packet, RaftRpcServer};
-use wire::registry::{Beat, Beaten, Borrow, Borrowed};
+use wire::registry::{Borrow, BorrowReply, Heartbeat, HeartbeatReply};
 use wire::state::{
     Claim, Claimed, Lease, Leased, Propose, Proposed, Settle, Settled, StateRpcServer, StateStatus, Unavailable, Watch,
     Watched,
@@ -174,11 +174,11 @@
         self.ask(|reply| Ask::Follow(request.body, reply)).await
     }
 
-    async fn beat(&self, request: Envelope<Beat>) -> RpcResult<Envelope<Beaten>> {
+    async fn beat(&self, request: Envelope<Heartbeat>) -> RpcResult<Envelope<HeartbeatReply>> {
         let lead = self.ask(Ask::Lead).await?.body;
         if lead.since.is_none() {
             let leader = lead.leader;
-            return Ok(self.wrap(Beaten::Unavailable(Unavailable::NotLeader { leader })));
+            return Ok(self.wrap(HeartbeatReply::Unavailable(Unavailable::NotLeader { leader })));
         }
         let sharing = self.sharing().await?;
         let held = request.revision.0;
@@ -200,19 +200,22 @@
         let listening = || Unavailable::NoQuorum {
             reason: "a new leader listens who shares the limits".to_owned(),
         };
-        let body = parts.map_or_else(|| Beaten::Unavailable(listening()), |news| Beaten::News(Box::new(news)));
+        let body = parts.map_or_else(
+            || HeartbeatReply::Unavailable(listening()),
+            |news| HeartbeatReply::News(Box::new(news)),
+        );
         Ok(self.wrap(body))
     }
 
-    async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<Borrowed>> {
+    async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<BorrowReply>> {
         let lead = self.ask(Ask::Lead).await?.body;
         if lead.since.is_none() {
             let leader = lead.leader;
-            return Ok(self.wrap(Borrowed::Unavailable(Unavailable::NotLeader { leader })));
+            return Ok(self.wrap(BorrowReply::Unavailable(Unavailable::NotLeader { leader })));
         }
         let Borrow { account, units } = request.body;
         let lent = self.registry.lend(lead.term, &account, units, self.clock.now());
-        Ok(self.wrap(if lent { Borrowed::Lent } else { Borrowed::Over }))
+        Ok(self.wrap(if lent { BorrowReply::Lent } else { BorrowReply::Over }))
     }
 }
 
--- a/crates/state/src/signs.rs
+++ b/crates/state/src/signs.rs
@@ -5,7 +5,7 @@
 
 use contract::NodeId;
 use policy::Tick;
-use wire::registry::Sign;
+use wire::registry::UpstreamObservation;
 
 /// How long a sight of an upstream's load is told on.
 const LOAD_FRESH: Duration = Duration::from_millis(2_500);
@@ -39,7 +39,7 @@
 
 impl Signs {
     /// Takes what an entry host has seen.
-    pub(crate) fn note(&mut self, from: &NodeId, signs: Vec<Sign>, now: Tick) {
+    pub(crate) fn note(&mut self, from: &NodeId, signs: Vec<UpstreamObservation>, now: Tick) {
         for sign in signs {
             let known = self.0.entry(sign.id).or_default();
             if let Some((running, waiting, age_ms)) = sign.load {
@@ -59,19 +59,19 @@
     }
 
     /// Gives what others than one entry host have seen.
-    pub(crate) fn others(&self, to: &NodeId, now: Tick) -> Vec<Sign> {
+    pub(crate) fn others(&self, to: &NodeId, now: Tick) -> Vec<UpstreamObservation> {
         let sign = |(id, known): (&String, &Known)| {
             let load = known.load.filter(|(_, _, at)| now.since(*at) < LOAD_FRESH);
             let load = load.map(|(running, waiting, at)| (running, waiting, now.since(at).as_millis() as u32));
             let (backlog_ms, overdue_ms) = known.backlog_without(to, now);
-            (load.is_some() || backlog_ms > 0 || overdue_ms > 0).then(|| Sign {
+            (load.is_some() || backlog_ms > 0 || overdue_ms > 0).then(|| UpstreamObservation {
                 id: id.clone(),
                 load,
                 backlog_ms,
                 overdue_ms,
             })
         };
-        let mut signs: Vec<Sign> = self.0.iter().filter_map(sign).collect();
+        let mut signs: Vec<UpstreamObservation> = self.0.iter().filter_map(sign).collect();
         signs.sort_by_key(|sign| std::cmp::Reverse(weight(sign)));
         signs.truncate(MOST);
         signs
@@ -79,7 +79,7 @@
 }
 
 /// Gives how much a sign should keep requests away, in milliseconds.
-fn weight(sign: &Sign) -> u32 {
+fn weight(sign: &UpstreamObservation) -> u32 {
     let (running, waiting, _) = sign.load.unwrap_or_default();
     sign.backlog_ms
         .max(sign.overdue_ms)
--- a/crates/state/tests/nodes/mod.rs
+++ b/crates/state/tests/nodes/mod.rs
@@ -8,7 +8,7 @@
 
 use contract::NodeId;
 use tempfile::TempDir;
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::StateStatus;
 
 /// Bearer key of the group.
@@ -34,7 +34,7 @@
     pub fn start(program: &Path, count: usize) -> Self {
         let inner = free_ports(count);
         let admin = free_ports(count);
-        let calls = Calls::start(2, Duration::from_secs(2)).unwrap();
+        let calls = RpcRuntime::start(2, Duration::from_secs(2)).unwrap();
         let client = StateClient::new(&calls, &NodeId::from("tester"), &inner).unwrap();
         let children = (0..count).map(|_| None).collect();
         let folder = tempfile::tempdir().unwrap();
--- a/crates/state/tests/real_processes.rs
+++ b/crates/state/tests/real_processes.rs
@@ -13,7 +13,7 @@
 use nodes::{KEY, Nodes, wait};
 use serde_json::{Value, json};
 use state::applied::KEPT_AUDITS;
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Claim, Claimed, Outcome, Propose, Proposed, Settle, Settled};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gentian-state");
@@ -149,7 +149,7 @@
 #[test]
 fn kills_and_wipes() {
     let mut nodes = Nodes::start(Path::new(PROGRAM), 3);
-    let calls = Calls::start(2, Duration::from_secs(2)).unwrap();
+    let calls = RpcRuntime::start(2, Duration::from_secs(2)).unwrap();
     let client = StateClient::new(&calls, &"callers".into(), &nodes.inner).unwrap();
     let (changes, stop) = (AtomicUsize::new(0), AtomicBool::new(false));
     let told: Vec<Told> = thread::scope(|scope| {
@@ -197,7 +197,7 @@
     let mut nodes = Nodes::start(Path::new(PROGRAM), 3);
     let left = nodes.leader();
     (0..3).filter(|n| *n != left).for_each(|n| nodes.kill(n));
-    let calls = Calls::start(1, Duration::from_secs(2)).unwrap();
+    let calls = RpcRuntime::start(1, Duration::from_secs(2)).unwrap();
     let client = StateClient::new(&calls, &"caller".into(), &nodes.inner[left..=left]).unwrap();
     let refused = wait("a refusal", || {
         match client.claim(Revision(1), &claim("key", "request")).ok()? {
--- a/crates/state/tests/shared_news.rs
+++ b/crates/state/tests/shared_news.rs
@@ -5,7 +5,7 @@
 use contract::{Listed, NodeId, ServiceName, Zone};
 use policy::Tick;
 use state::registry::{EntryRegistry, SharedLimits};
-use wire::registry::{Beat, News, Sign};
+use wire::registry::{Heartbeat, LeaderUpdate, UpstreamObservation};
 
 const TERM: u64 = 3;
 
@@ -24,7 +24,7 @@
     }
 }
 
-fn beat(registry: &EntryRegistry, from: &str, beat: Beat, now_ms: u64) -> News {
+fn beat(registry: &EntryRegistry, from: &str, beat: Heartbeat, now_ms: u64) -> LeaderUpdate {
     let sharing = SharedLimits {
         entry_hosts: 2,
         ..SharedLimits::default()
@@ -34,15 +34,15 @@
     news.expect("the number of sharers was left by the leader before")
 }
 
-fn seen(id: &str, load: Option<(u32, u32, u32)>, backlog_ms: u32) -> Beat {
-    Beat {
-        signs: vec![Sign {
+fn seen(id: &str, load: Option<(u32, u32, u32)>, backlog_ms: u32) -> Heartbeat {
+    Heartbeat {
+        signs: vec![UpstreamObservation {
             id: id.to_owned(),
             load,
             backlog_ms,
             overdue_ms: 0,
         }],
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -52,26 +52,26 @@
 fn others_backlog() {
     let registry = EntryRegistry::default();
     beat(&registry, "e1", seen("u", None, 800), 1_000);
-    let news = beat(&registry, "e2", Beat::default(), 1_300);
+    let news = beat(&registry, "e2", Heartbeat::default(), 1_300);
     assert_eq!((news.signs[0].id.as_str(), news.signs[0].backlog_ms), ("u", 500));
-    let own = beat(&registry, "e1", Beat::default(), 1_300);
+    let own = beat(&registry, "e1", Heartbeat::default(), 1_300);
     assert!(
         own.signs.is_empty(),
         "its own prompts come back to nobody: {:?}",
         own.signs
     );
-    assert!(beat(&registry, "e2", Beat::default(), 1_900).signs.is_empty());
+    assert!(beat(&registry, "e2", Heartbeat::default(), 1_900).signs.is_empty());
 }
 
-fn overdue(id: &str, overdue_ms: u32) -> Beat {
-    Beat {
-        signs: vec![Sign {
+fn overdue(id: &str, overdue_ms: u32) -> Heartbeat {
+    Heartbeat {
+        signs: vec![UpstreamObservation {
             id: id.to_owned(),
             load: None,
             backlog_ms: 0,
             overdue_ms,
         }],
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -83,9 +83,9 @@
     let registry = EntryRegistry::default();
     beat(&registry, "e1", overdue("u", 700), 1_000);
     beat(&registry, "e2", overdue("u", 900), 1_100);
-    let news = beat(&registry, "e3", Beat::default(), 1_200);
+    let news = beat(&registry, "e3", Heartbeat::default(), 1_200);
     assert_eq!((news.signs[0].backlog_ms, news.signs[0].overdue_ms), (0, 800));
-    assert!(beat(&registry, "e3", Beat::default(), 2_100).signs.is_empty());
+    assert!(beat(&registry, "e3", Heartbeat::default(), 2_100).signs.is_empty());
 }
 
 /// Two entry hosts saw an upstream's load at different times. The newest sight counts, whichever came last.
@@ -94,27 +94,27 @@
     let registry = EntryRegistry::default();
     beat(&registry, "e1", seen("u", Some((9, 1, 50)), 0), 1_000);
     beat(&registry, "e2", seen("u", Some((2, 0, 400)), 0), 1_010);
-    let news = beat(&registry, "e3", Beat::default(), 1_100);
+    let news = beat(&registry, "e3", Heartbeat::default(), 1_100);
     assert_eq!(news.signs[0].load, Some((9, 1, 150)));
-    assert!(beat(&registry, "e3", Beat::default(), 5_000).signs.is_empty());
+    assert!(beat(&registry, "e3", Heartbeat::default(), 5_000).signs.is_empty());
 }
 
 /// A large deployment has thousands of upstreams. An answer names only the busiest, so that beats stay small.
 #[test]
 fn busiest_first() {
     let registry = EntryRegistry::default();
-    let signs = (0..500).map(|at| Sign {
+    let signs = (0..500).map(|at| UpstreamObservation {
         id: format!("u{at}"),
         load: Some((at, 0, 10)),
         backlog_ms: 0,
         overdue_ms: 0,
     });
-    let all = Beat {
+    let all = Heartbeat {
         signs: signs.collect(),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
     beat(&registry, "e1", all, 1_000);
-    let told = beat(&registry, "e2", Beat::default(), 1_100).signs;
+    let told = beat(&registry, "e2", Heartbeat::default(), 1_100).signs;
     assert_eq!((told.len(), told[0].id.as_str()), (64, "u499"));
 }
 
@@ -123,11 +123,11 @@
 fn list_when_changed() {
     let registry = EntryRegistry::default();
     registry.set_list(TERM, vec![listed("u", false, 900)], Tick::from_millis(1_000));
-    let first = beat(&registry, "e1", Beat::default(), 1_100).list;
+    let first = beat(&registry, "e1", Heartbeat::default(), 1_100).list;
     assert_eq!((first.age_ms, first.whole, first.put.len()), (Some(100), true, 1));
-    let known = || Beat {
+    let known = || Heartbeat {
         list: first.mark.clone(),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
     registry.set_list(TERM, vec![listed("u", false, 0)], Tick::from_millis(2_000));
     let same = beat(&registry, "e1", known(), 2_100).list;
@@ -144,7 +144,7 @@
     let (old, new) = (EntryRegistry::default(), EntryRegistry::default());
     old.set_list(TERM, vec![listed("u", false, 0)], Tick::from_millis(1_000));
     new.set_list(TERM + 1, vec![listed("v", false, 0)], Tick::from_millis(1_000));
-    let number = |registry: &EntryRegistry| beat(registry, "e1", Beat::default(), 1_100).list.mark;
+    let number = |registry: &EntryRegistry| beat(registry, "e1", Heartbeat::default(), 1_100).list.mark;
     assert!(number(&new) > number(&old));
 }
 
@@ -160,7 +160,7 @@
     };
     let ready = || vec![spot("u", "z", false), spot("v", "y", false), listed("w", false, 0)];
     let leaving = |now_ms| -> Vec<String> {
-        let list = beat(&registry, "e1", Beat::default(), now_ms).list.put;
+        let list = beat(&registry, "e1", Heartbeat::default(), now_ms).list.put;
         let leaving = list.into_iter().filter(|one| one.leaving && one.left.is_some());
         leaving.map(|one| one.id).collect()
     };
--- a/crates/telemetry/src/burn/cause.rs
+++ b/crates/telemetry/src/burn/cause.rs
@@ -32,9 +32,9 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// With the whole answer.
-    Whole,
+    Completed,
     /// Refused for want of capacity, not run.
     Refused,
     /// Refused because the customer's limit is used up; this burns no budget.
@@ -47,7 +47,7 @@
 
 /// A request that has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Served<'a> {
+pub struct EndedRequest<'a> {
     /// The customer.
     pub customer: &'a CustomerId,
     /// The class.
@@ -55,7 +55,7 @@
     /// What was promised.
     pub targets: &'a Targets,
     /// How it ended.
-    pub end: End,
+    pub end: RequestEnd,
     /// Until it was admitted.
     pub queued: Duration,
     /// Until the first token.
@@ -74,16 +74,16 @@
 
 /// Tells why a request missed its targets; `None` when it met them or burns no budget.
 #[must_use]
-pub fn blame(served: &Served<'_>) -> Option<Cause> {
+pub fn miss_cause(served: &EndedRequest<'_>) -> Option<Cause> {
     match served.end {
-        End::Limited | End::CallerGone => None,
-        End::Refused => Some(fault(served).unwrap_or(Cause::Refusal)),
-        End::Failed => Some(fault(served).unwrap_or(Cause::UpstreamFault)),
-        End::Whole => late(served),
+        RequestEnd::Limited | RequestEnd::CallerGone => None,
+        RequestEnd::Refused => Some(fault(served).unwrap_or(Cause::Refusal)),
+        RequestEnd::Failed => Some(fault(served).unwrap_or(Cause::UpstreamFault)),
+        RequestEnd::Completed => late(served),
     }
 }
 
-fn late(served: &Served<'_>) -> Option<Cause> {
+fn late(served: &EndedRequest<'_>) -> Option<Cause> {
     let over = |limit: Option<u64>, got: Option<Duration>| {
         limit
             .zip(got)
@@ -104,7 +104,7 @@
     Some(fault(served).unwrap_or(slow))
 }
 
-fn fault(served: &Served<'_>) -> Option<Cause> {
+fn fault(served: &EndedRequest<'_>) -> Option<Cause> {
     if served.reclaimed {
         Some(Cause::Reclaim)
     } else {
@@ -112,7 +112,7 @@
     }
 }
 
-fn before_first(served: &Served<'_>) -> Cause {
+fn before_first(served: &EndedRequest<'_>) -> Cause {
     let rest = served.first.unwrap_or_default().saturating_sub(served.queued);
     if served.queued >= rest {
         Cause::Queue
@@ -121,7 +121,7 @@
     }
 }
 
-fn after_first(served: &Served<'_>) -> Cause {
+fn after_first(served: &EndedRequest<'_>) -> Cause {
     if served.queued * 2 >= served.whole {
         Cause::Queue
     } else {
--- a/crates/telemetry/src/burn/ledger.rs
+++ b/crates/telemetry/src/burn/ledger.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-use super::cause::{End, Served, blame};
+use super::cause::{EndedRequest, RequestEnd, miss_cause};
 use super::ring::{Bucket, Ring, Window};
 use crate::clock::wall_ms;
 
@@ -23,7 +23,7 @@
 
 /// Counts requests by customer and class.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct RequestCounters {
     started_ms: u64,
     inner: Mutex<Inner>,
 }
@@ -60,12 +60,12 @@
     /// Requests of customers and classes beyond the bound.
     pub left_out: u64,
     /// One entry for each customer and class.
-    pub rows: Vec<RowPart>,
+    pub rows: Vec<ClassCounts>,
 }
 
 /// What was counted of one customer and class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RowPart {
+pub struct ClassCounts {
     /// The customer.
     pub customer: CustomerId,
     /// The class.
@@ -78,7 +78,7 @@
     pub whole_ms: Vec<(u64, u64)>,
 }
 
-impl Default for Ledger {
+impl Default for RequestCounters {
     fn default() -> Self {
         Self {
             started_ms: wall_ms(),
@@ -87,15 +87,15 @@
     }
 }
 
-impl Ledger {
+impl RequestCounters {
     /// Counts a request that has ended.
-    pub fn record(&self, served: &Served<'_>) {
+    pub fn record(&self, served: &EndedRequest<'_>) {
         self.record_at(served, wall_ms() / 1_000);
     }
 
     /// Counts a request that ended at a time in seconds since 1970.
-    pub fn record_at(&self, served: &Served<'_>, now_s: u64) {
-        if served.end == End::CallerGone {
+    pub fn record_at(&self, served: &EndedRequest<'_>, now_s: u64) {
+        if served.end == RequestEnd::CallerGone {
             return;
         }
         let mut inner = self.inner.lock();
@@ -109,7 +109,7 @@
 
     /// Gives everything counted so far.
     #[must_use]
-    pub fn part(&self, node: &NodeId, now_s: u64) -> Part {
+    pub fn node_counts(&self, node: &NodeId, now_s: u64) -> Part {
         let inner = self.inner.lock();
         let rows = inner
             .rows
@@ -125,7 +125,7 @@
     }
 
     /// Keeps the parts of other processes, for the case that their hosts are restarted or lost.
-    pub fn remember(&self, parts: Vec<Part>, now_s: u64) {
+    pub fn store_peer_counts(&self, parts: Vec<Part>, now_s: u64) {
         let mut inner = self.inner.lock();
         for part in parts {
             let key = (part.node.clone(), part.started_ms);
@@ -141,7 +141,7 @@
 
     /// Gives the parts of other processes that are kept.
     #[must_use]
-    pub fn remembered(&self) -> Vec<Part> {
+    pub fn peer_counts(&self) -> Vec<Part> {
         self.inner.lock().remembered.values().cloned().collect()
     }
 }
@@ -155,24 +155,24 @@
         }
     }
 
-    fn record(&mut self, served: &Served<'_>, now_s: u64) {
-        let cause = blame(served);
+    fn record(&mut self, served: &EndedRequest<'_>, now_s: u64) {
+        let cause = miss_cause(served);
         for ring in &mut self.rings {
             let bucket = ring.bucket(now_s);
             match (served.end, cause) {
-                (End::Limited, _) => bucket.limited += 1,
+                (RequestEnd::Limited, _) => bucket.limited += 1,
                 (_, Some(cause)) => bucket.miss(cause, served.host),
                 (_, None) => bucket.good += 1,
             }
         }
-        if served.end == End::Whole {
+        if served.end == RequestEnd::Completed {
             served.first.iter().for_each(|time| self.first.note(*time, now_s));
             self.whole.note(served.whole, now_s);
         }
     }
 
-    fn part(&self, customer: &CustomerId, class: &ClassName, now_s: u64) -> RowPart {
-        RowPart {
+    fn part(&self, customer: &CustomerId, class: &ClassName, now_s: u64) -> ClassCounts {
+        ClassCounts {
             customer: customer.clone(),
             class: class.clone(),
             rings: self.rings.iter().map(Ring::buckets).collect(),
--- a/crates/telemetry/src/burn/meter.rs
+++ b/crates/telemetry/src/burn/meter.rs
@@ -6,16 +6,16 @@
 use parking_lot::Mutex;
 use policy::Tick;
 
-use super::Ledger;
-use super::cause::{End, Served};
+use super::RequestCounters;
+use super::cause::{EndedRequest, RequestEnd};
 
 /// Most pauses that are kept of one answer; an answer is longer only against its contract.
 const MAX_PAUSES: usize = 65_536;
 
 /// Follows one request; without [`Meter::end`] it counts nothing.
 #[derive(Debug)]
-pub struct Meter<'a> {
-    ledger: &'a Ledger,
+pub struct RequestMeter<'a> {
+    ledger: &'a RequestCounters,
     customer: CustomerId,
     class: ClassName,
     targets: Targets,
@@ -35,11 +35,11 @@
     blamed: bool,
 }
 
-impl Ledger {
+impl RequestCounters {
     /// Begins to follow a request.
     #[must_use]
-    pub fn begin(&self, customer: &CustomerId, class: &Class, arrived: Tick) -> Meter<'_> {
-        Meter {
+    pub fn start_meter(&self, customer: &CustomerId, class: &Class, arrived: Tick) -> RequestMeter<'_> {
+        RequestMeter {
             ledger: self,
             customer: customer.clone(),
             class: class.name.clone(),
@@ -50,14 +50,14 @@
     }
 }
 
-impl Meter<'_> {
+impl RequestMeter<'_> {
     /// Notes that the request was admitted.
-    pub fn admitted(&self, now: Tick) {
+    pub fn record_admission(&self, now: Tick) {
         self.marks.lock().queued = Some(now.since(self.arrived));
     }
 
     /// Notes that it goes to an upstream on a host.
-    pub fn tries(&self, host: &HostSpec) {
+    pub fn record_attempt(&self, host: &HostSpec) {
         let mut marks = self.marks.lock();
         // A miss is put down to the host that failed and not to the one that made it good.
         if !marks.blamed {
@@ -66,7 +66,7 @@
     }
 
     /// Notes that the attempt failed, on a host that was leaving or not.
-    pub fn failed(&self, leaving: bool) {
+    pub fn record_failure(&self, leaving: bool) {
         let mut marks = self.marks.lock();
         marks.failures += 1;
         marks.reclaimed |= leaving;
@@ -74,7 +74,7 @@
     }
 
     /// Notes a token.
-    pub fn token(&self, now: Tick) {
+    pub fn record_token(&self, now: Tick) {
         let mut marks = self.marks.lock();
         if let Some(last) = marks.last
             && marks.pauses.len() < MAX_PAUSES
@@ -87,10 +87,10 @@
     }
 
     /// Counts the request.
-    pub fn end(&self, end: End, now: Tick) {
+    pub fn finish(&self, end: RequestEnd, now: Tick) {
         let mut marks = self.marks.lock();
         let whole = now.since(self.arrived);
-        let served = Served {
+        let served = EndedRequest {
             customer: &self.customer,
             class: &self.class,
             targets: &self.targets,
--- a/crates/telemetry/src/burn/mod.rs
+++ b/crates/telemetry/src/burn/mod.rs
@@ -9,11 +9,11 @@
 mod report;
 mod ring;
 
-pub use cause::{Cause, End, Served, blame};
-pub use ledger::{Ledger, MAX_ROWS, Part, RowPart};
-pub use meter::Meter;
-pub use report::{Alert, CauseCount, NodeSeen, Quantiles, Report, ReportRow, WindowBurn};
-pub use ring::{Bad, Bucket, MAX_BLAMED, Window};
+pub use cause::{Cause, EndedRequest, RequestEnd, miss_cause};
+pub use ledger::{ClassCounts, MAX_ROWS, Part, RequestCounters};
+pub use meter::RequestMeter;
+pub use report::{Alert, CauseCount, Quantiles, Report, ReportNode, ReportRow, WindowBurn};
+pub use ring::{Bucket, MAX_MISS_ROWS, MissCount, Window};
 
 /// Part of the requests of a class that must be answered within its targets.
 pub const OBJECTIVE: f64 = 0.95;
--- a/crates/telemetry/src/burn/report.rs
+++ b/crates/telemetry/src/burn/report.rs
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::ledger::{Part, RowPart, histogram};
+use super::ledger::{ClassCounts, Part, histogram};
 use super::ring::{Bucket, Window};
 use super::{Cause, OBJECTIVE};
 
@@ -23,7 +23,7 @@
     /// Part of the requests that must be within the targets.
     pub objective: f64,
     /// The processes that it is made of.
-    pub nodes: Vec<NodeSeen>,
+    pub nodes: Vec<ReportNode>,
     /// Entry hosts that did not answer; their latest requests are missing.
     pub missing: Vec<String>,
     /// One entry for each customer and class, the fastest burning first.
@@ -32,7 +32,7 @@
 
 /// A process that the report is made of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeSeen {
+pub struct ReportNode {
     /// The entry host.
     pub node: NodeId,
     /// Start of its process, in milliseconds since 1970.
@@ -129,7 +129,7 @@
     #[must_use]
     pub fn new(parts: Vec<Part>, missing: Vec<String>, now_s: u64) -> Self {
         let newest = newest(parts);
-        let nodes = newest.iter().map(|part| NodeSeen {
+        let nodes = newest.iter().map(|part| ReportNode {
             node: part.node.clone(),
             started_ms: part.started_ms,
             age_s: now_s.saturating_sub(part.at_s),
@@ -172,7 +172,7 @@
 }
 
 impl Sum {
-    fn add(&mut self, row: RowPart, fresh: bool) {
+    fn add(&mut self, row: ClassCounts, fresh: bool) {
         for (window, buckets) in self.windows.iter_mut().zip(row.rings) {
             for bucket in buckets {
                 window.entry(bucket.at_s).or_default().push(bucket);
--- a/crates/telemetry/src/burn/ring.rs
+++ b/crates/telemetry/src/burn/ring.rs
@@ -9,7 +9,7 @@
 use super::Cause;
 
 /// Most pairs of cause and host in one bucket; further hosts are counted without a name.
-pub const MAX_BLAMED: usize = 32;
+pub const MAX_MISS_ROWS: usize = 32;
 
 /// A window of the report.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -69,12 +69,12 @@
     /// Requests refused by the customer's own limit.
     pub limited: u64,
     /// Requests that missed their targets.
-    pub bad: Vec<Bad>,
+    pub bad: Vec<MissCount>,
 }
 
 /// Misses of one cause on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bad {
+pub struct MissCount {
     /// Why.
     pub cause: Cause,
     /// Where, if a host had to do with it.
@@ -88,20 +88,20 @@
 impl Bucket {
     /// Counts a miss.
     pub fn miss(&mut self, cause: Cause, host: Option<(&HostId, &Zone)>) {
-        let same = |bad: &&mut Bad| bad.cause == cause && bad.host.as_ref() == host.map(|(host, _)| host);
+        let same = |bad: &&mut MissCount| bad.cause == cause && bad.host.as_ref() == host.map(|(host, _)| host);
         if let Some(bad) = self.bad.iter_mut().find(same) {
             bad.count += 1;
             return;
         }
         // A wave hits many hosts at once. Their names are dropped beyond the bound; the misses are still counted.
-        let host = host.filter(|_| self.bad.len() < MAX_BLAMED);
+        let host = host.filter(|_| self.bad.len() < MAX_MISS_ROWS);
         if host.is_none()
             && let Some(bad) = self.bad.iter_mut().find(|bad| bad.cause == cause && bad.host.is_none())
         {
             bad.count += 1;
             return;
         }
-        self.bad.push(Bad {
+        self.bad.push(MissCount {
             cause,
             host: host.map(|(host, _)| host.clone()),
             zone: host.map(|(_, zone)| zone.clone()),
--- a/crates/telemetry/src/scrape.rs
+++ b/crates/telemetry/src/scrape.rs
@@ -4,15 +4,15 @@
 
 /// The metrics of the process.
 #[derive(Clone)]
-pub struct Scrape(PrometheusHandle);
+pub struct MetricsExporter(PrometheusHandle);
 
-impl std::fmt::Debug for Scrape {
+impl std::fmt::Debug for MetricsExporter {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Scrape")
     }
 }
 
-impl Scrape {
+impl MetricsExporter {
     /// Installs the recorder of the process.
     ///
     /// # Errors
--- a/crates/telemetry/tests/burn_report.rs
+++ b/crates/telemetry/tests/burn_report.rs
@@ -4,7 +4,9 @@
 
 use contract::{ClassName, CustomerId, HostId, NodeId, Targets, Zone};
 use quickcheck::{Gen, QuickCheck};
-use telemetry::burn::{Alert, Cause, End, Ledger, MAX_BLAMED, Part, Report, Served, Window, blame};
+use telemetry::burn::{
+    Alert, Cause, EndedRequest, MAX_MISS_ROWS, Part, Report, RequestCounters, RequestEnd, Window, miss_cause,
+};
 
 const NOW: u64 = 1_800_000_000;
 const SEED: u64 = 9;
@@ -32,12 +34,12 @@
     }
 
     /// A request that met every target.
-    fn good(&self) -> Served<'_> {
-        Served {
+    fn good(&self) -> EndedRequest<'_> {
+        EndedRequest {
             customer: &self.customer,
             class: &self.class,
             targets: &TARGETS,
-            end: End::Whole,
+            end: RequestEnd::Completed,
             queued: Duration::from_millis(100),
             first: Some(Duration::from_millis(400)),
             between: Some(Duration::from_millis(20)),
@@ -48,9 +50,9 @@
         }
     }
 
-    fn refused(&self) -> Served<'_> {
-        Served {
-            end: End::Refused,
+    fn refused(&self) -> EndedRequest<'_> {
+        EndedRequest {
+            end: RequestEnd::Refused,
             host: None,
             ..self.good()
         }
@@ -61,8 +63,8 @@
     Report::new(parts, Vec::new(), now)
 }
 
-fn part(ledger: &Ledger, node: &str, now: u64) -> Part {
-    ledger.part(&NodeId::from(node), now)
+fn part(ledger: &RequestCounters, node: &str, now: u64) -> Part {
+    ledger.node_counts(&NodeId::from(node), now)
 }
 
 #[test]
@@ -70,7 +72,7 @@
     let names = Names::new();
     let good = names.good();
     let ms = Duration::from_millis;
-    let late = Served {
+    let late = EndedRequest {
         first: Some(ms(1_500)),
         ..good
     };
@@ -78,14 +80,14 @@
         (good, None),
         (names.refused(), Some(Cause::Refusal)),
         (
-            Served {
+            EndedRequest {
                 failures: 1,
                 ..names.refused()
             },
             Some(Cause::UpstreamFault),
         ),
         (
-            Served {
+            EndedRequest {
                 queued: ms(900),
                 ..late
             },
@@ -93,47 +95,47 @@
         ),
         (late, Some(Cause::Prefill)),
         (
-            Served {
+            EndedRequest {
                 between: Some(ms(80)),
                 ..good
             },
             Some(Cause::Slow),
         ),
         (
-            Served {
+            EndedRequest {
                 reclaimed: true,
                 failures: 1,
                 ..late
             },
             Some(Cause::Reclaim),
         ),
-        (Served { failures: 1, ..late }, Some(Cause::UpstreamFault)),
+        (EndedRequest { failures: 1, ..late }, Some(Cause::UpstreamFault)),
         (
-            Served {
-                end: End::Failed,
+            EndedRequest {
+                end: RequestEnd::Failed,
                 ..good
             },
             Some(Cause::UpstreamFault),
         ),
         // A failure that was made good in time burns nothing, and neither do a limit and a caller who left.
-        (Served { failures: 2, ..good }, None),
+        (EndedRequest { failures: 2, ..good }, None),
         (
-            Served {
-                end: End::Limited,
+            EndedRequest {
+                end: RequestEnd::Limited,
                 ..late
             },
             None,
         ),
         (
-            Served {
-                end: End::CallerGone,
+            EndedRequest {
+                end: RequestEnd::CallerGone,
                 ..late
             },
             None,
         ),
     ];
     for (served, expected) in cases {
-        assert_eq!(blame(&served), expected, "{served:?}");
+        assert_eq!(miss_cause(&served), expected, "{served:?}");
     }
 }
 
@@ -141,7 +143,7 @@
 fn windows_apart() {
     // Misses of two hours ago burn the long windows and no longer the short ones.
     let names = Names::new();
-    let ledger = Ledger::default();
+    let ledger = RequestCounters::default();
     for _ in 0..10 {
         ledger.record_at(&names.refused(), NOW - 7_200);
     }
@@ -167,8 +169,12 @@
     fn same(mut ends: Vec<(u8, u8, u16)>) -> bool {
         ends.sort_by_key(|(_, _, ago)| std::cmp::Reverse(*ago));
         let names = Names::new();
-        let spread = [Ledger::default(), Ledger::default(), Ledger::default()];
-        let single = Ledger::default();
+        let spread = [
+            RequestCounters::default(),
+            RequestCounters::default(),
+            RequestCounters::default(),
+        ];
+        let single = RequestCounters::default();
         for (host, kind, ago) in ends {
             let served = if kind % 3 == 0 { names.refused() } else { names.good() };
             let at = NOW - u64::from(ago);
@@ -190,13 +196,13 @@
 #[test]
 fn restart_remembered() {
     let names = Names::new();
-    let (peer, before) = (Ledger::default(), Ledger::default());
+    let (peer, before) = (RequestCounters::default(), RequestCounters::default());
     before.record_at(&names.refused(), NOW - 60);
     let mut old = part(&before, "a", NOW - 30);
     old.started_ms = 1;
-    peer.remember(vec![old.clone()], NOW - 30);
+    peer.store_peer_counts(vec![old.clone()], NOW - 30);
     peer.record_at(&names.good(), NOW);
-    let mut parts = peer.remembered();
+    let mut parts = peer.peer_counts();
     parts.extend([part(&peer, "b", NOW), old]);
     let report = report(parts, NOW);
     assert_eq!(report.nodes.len(), 2);
@@ -208,26 +214,26 @@
 
 #[test]
 fn old_forgotten() {
-    let (peer, before) = (Ledger::default(), Ledger::default());
+    let (peer, before) = (RequestCounters::default(), RequestCounters::default());
     let mut old = part(&before, "a", NOW);
     old.started_ms = 1;
-    peer.remember(vec![old], NOW);
-    assert_eq!(peer.remembered().len(), 1);
-    peer.remember(Vec::new(), NOW + 2 * Window::Days3.length());
-    assert!(peer.remembered().is_empty());
+    peer.store_peer_counts(vec![old], NOW);
+    assert_eq!(peer.peer_counts().len(), 1);
+    peer.store_peer_counts(Vec::new(), NOW + 2 * Window::Days3.length());
+    assert!(peer.peer_counts().is_empty());
 }
 
 /// A wave takes away more hosts than a bucket names. The misses of the rest must still be counted.
 #[test]
 fn many_hosts() {
     let names = Names::new();
-    let ledger = Ledger::default();
-    let hosts: Vec<HostId> = (0..2 * MAX_BLAMED)
+    let ledger = RequestCounters::default();
+    let hosts: Vec<HostId> = (0..2 * MAX_MISS_ROWS)
         .map(|at| HostId::from(format!("host-{at}")))
         .collect();
     for host in &hosts {
-        let served = Served {
-            end: End::Failed,
+        let served = EndedRequest {
+            end: RequestEnd::Failed,
             reclaimed: true,
             host: Some((host, &names.zone)),
             ..names.good()
@@ -237,13 +243,13 @@
     let report = report(vec![part(&ledger, "a", NOW)], NOW);
     let window = &report.rows[0].windows[0];
     assert_eq!(window.missed, hosts.len() as u64);
-    assert!(window.causes.len() <= MAX_BLAMED + 1);
+    assert!(window.causes.len() <= MAX_MISS_ROWS + 1);
 }
 
 #[test]
 fn act_now() {
     let names = Names::new();
-    let ledger = Ledger::default();
+    let ledger = RequestCounters::default();
     for at in 0..100 {
         let served = if at % 2 == 0 { names.refused() } else { names.good() };
         ledger.record_at(&served, NOW - at);
--- a/crates/upstream/src/cloud.rs
+++ b/crates/upstream/src/cloud.rs
@@ -36,7 +36,7 @@
 
 /// A reclaim notice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Notice {
+pub struct ReclaimNotice {
     /// The host that will be taken.
     pub host: HostId,
     /// Which host of that name.
@@ -47,7 +47,7 @@
 
 /// What a host of a class costs in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Price {
+pub struct HostPrice {
     /// The zone.
     pub zone: Zone,
     /// Whether it can be reclaimed.
@@ -58,7 +58,7 @@
 
 /// Asks for a host; the same token again gives the same host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct StartHost {
     /// Zone.
     pub zone: Zone,
     /// Whether it can be reclaimed.
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     /// Fails when the API can't be reached or refuses.
-    pub fn notices(&self) -> Result<Vec<Notice>, UpstreamError> {
+    pub fn notices(&self) -> Result<Vec<ReclaimNotice>, UpstreamError> {
         self.get("list notices", "/v1/notices")
     }
 
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     /// Fails when the API can't be reached or refuses.
-    pub fn prices(&self) -> Result<Vec<Price>, UpstreamError> {
+    pub fn prices(&self) -> Result<Vec<HostPrice>, UpstreamError> {
         self.get("list prices", "/v1/prices")
     }
 
@@ -120,7 +120,7 @@
     /// # Errors
     /// Fails when there is no capacity, or the API can't be reached; then it may have started, and asking again with the
     /// same token tells.
-    pub fn start(&self, start: &Start) -> Result<CloudHost, UpstreamError> {
+    pub fn start(&self, start: &StartHost) -> Result<CloudHost, UpstreamError> {
         const STEP: &str = "start host";
         let call = self.agent.post(format!("http://{}/v1/hosts", self.peer));
         let answer = call
--- a/crates/upstream/src/directory.rs
+++ b/crates/upstream/src/directory.rs
@@ -18,7 +18,7 @@
 }
 
 /// Asks model engines about themselves.
-pub trait Engines: Send {
+pub trait EngineProbe: Send {
     /// Gives the time that is left to an engine, if it is taken away.
     ///
     /// # Errors
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -12,12 +12,12 @@
 use ureq::unversioned::transport::TcpConnector;
 
 use crate::limits::read_json;
-use crate::pulse::{ByNumber, Pulse, PulseConnector};
+use crate::pulse::{ByNumber, PulseConnector, WaitMonitor};
 pub use crate::stream::TokenStream;
 use crate::{Fate, UpstreamError};
 
 /// Header that carries the request id.
-pub const REQUEST_HEADER: &str = "X-Request-Id";
+pub const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 
 /// A request to an engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Chat {
+pub struct ChatRequest {
     /// The model.
     pub model: String,
     /// The conversation so far.
@@ -68,7 +68,7 @@
 
 /// What comes out of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum StreamEvent {
     /// The next token, as text.
     Token(String),
     /// The engine's counts.
@@ -79,7 +79,7 @@
 
 /// A load report; the time stamp is the engine's own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Milliseconds since 1970 on the engine's clock when it was measured.
     pub at_ms: u64,
     /// Milliseconds since it was measured, when it was sent.
@@ -126,7 +126,7 @@
 
     /// Makes a client for one request that asks the pulse, while it waits, whether to wait on.
     #[must_use]
-    pub fn watched(connect: Duration, pulse: Arc<dyn Pulse>) -> Self {
+    pub fn with_monitor(connect: Duration, pulse: Arc<dyn WaitMonitor>) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .max_idle_connections(0)
@@ -145,13 +145,13 @@
         &self,
         peer: SocketAddr,
         request: &RequestId,
-        chat: &Chat,
+        chat: &ChatRequest,
         deadline: Duration,
     ) -> Result<TokenStream, UpstreamError> {
         const STEP: &str = "start stream";
         let call = self.agent.post(format!("http://{peer}/v1/chat/completions"));
         let call = call
-            .header(REQUEST_HEADER, request.as_str())
+            .header(REQUEST_ID_HEADER, request.as_str())
             .header("Connection", "close")
             .config()
             .timeout_global(Some(deadline))
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// Fails when the engine can't be reached or sends something else.
-    pub fn load(&self, peer: SocketAddr, timeout: Duration) -> Result<Load, UpstreamError> {
+    pub fn load(&self, peer: SocketAddr, timeout: Duration) -> Result<LoadReport, UpstreamError> {
         self.get("read load", peer, "/load", timeout)
     }
 
--- a/crates/upstream/src/kv.rs
+++ b/crates/upstream/src/kv.rs
@@ -13,7 +13,7 @@
 /// What is to be exported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Export {
+pub enum ExportScope {
     /// Everything that a request has in the cache.
     Request(RequestId),
     /// What the cache holds of a prefix.
@@ -22,7 +22,7 @@
 
 /// Exported KV cache; only engines understand its content.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Exported {
+pub struct ExportedCache {
     /// Tokens that it covers.
     pub tokens: u64,
     /// Its size in bytes.
@@ -37,7 +37,12 @@
     ///
     /// # Errors
     /// Fails when the engine has nothing of it, dies on the way or takes too long.
-    pub fn export(&self, peer: SocketAddr, what: &Export, timeout: Duration) -> Result<Exported, UpstreamError> {
+    pub fn export(
+        &self,
+        peer: SocketAddr,
+        what: &ExportScope,
+        timeout: Duration,
+    ) -> Result<ExportedCache, UpstreamError> {
         self.post("export KV cache", peer, "/kv/export", what, timeout)
     }
 
@@ -45,7 +50,7 @@
     ///
     /// # Errors
     /// Fails when the engine serves another model, dies on the way or takes too long.
-    pub fn import(&self, peer: SocketAddr, what: &Exported, timeout: Duration) -> Result<(), UpstreamError> {
+    pub fn import(&self, peer: SocketAddr, what: &ExportedCache, timeout: Duration) -> Result<(), UpstreamError> {
         self.post::<_, Value>("import KV cache", peer, "/kv/import", what, timeout)
             .map(drop)
     }
--- a/crates/upstream/src/orders.rs
+++ b/crates/upstream/src/orders.rs
@@ -14,7 +14,7 @@
 /// What an engine is to do.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Action {
+pub enum EngineAction {
     /// Loads a model in place of the one it has.
     #[display("load model {model} version {version}")]
     LoadModel {
@@ -47,13 +47,13 @@
 
 /// An order; the token is the fencing token of the lease under which it is given.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct EngineOrder {
     /// Tells this order from others.
     pub id: String,
     /// Fencing token.
     pub token: u64,
     /// What to do.
-    pub action: Action,
+    pub action: EngineAction,
 }
 
 /// What orders have made of an engine.
@@ -70,7 +70,7 @@
     /// Its role.
     pub role: String,
     /// What is being loaded.
-    pub loading: Option<Action>,
+    pub loading: Option<EngineAction>,
     /// The order that was carried out last.
     pub last: Option<String>,
 }
@@ -78,12 +78,12 @@
 impl EngineState {
     /// Tells whether an action would change nothing.
     #[must_use]
-    pub fn has(&self, action: &Action) -> bool {
+    pub fn satisfies(&self, action: &EngineAction) -> bool {
         match action {
-            Action::LoadModel { model, version } => self.model == *model && self.version == *version,
-            Action::LoadAdapter { adapter, version } => self.adapters.get(adapter) == Some(version),
-            Action::DropAdapter { adapter } => !self.adapters.contains_key(adapter),
-            Action::SetRole { role } => self.role == *role,
+            EngineAction::LoadModel { model, version } => self.model == *model && self.version == *version,
+            EngineAction::LoadAdapter { adapter, version } => self.adapters.get(adapter) == Some(version),
+            EngineAction::DropAdapter { adapter } => !self.adapters.contains_key(adapter),
+            EngineAction::SetRole { role } => self.role == *role,
         }
     }
 }
@@ -93,7 +93,12 @@
     ///
     /// # Errors
     /// Fails when the engine refuses it or gives no answer.
-    pub fn order(&self, peer: SocketAddr, order: &Order, timeout: Duration) -> Result<EngineState, UpstreamError> {
+    pub fn order(
+        &self,
+        peer: SocketAddr,
+        order: &EngineOrder,
+        timeout: Duration,
+    ) -> Result<EngineState, UpstreamError> {
         self.post("give order", peer, "/orders", order, timeout)
     }
 
--- a/crates/upstream/src/pulse.rs
+++ b/crates/upstream/src/pulse.rs
@@ -15,14 +15,14 @@
 use ureq::unversioned::transport::{Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport};
 
 /// Longest time between two questions whether to wait on.
-pub const STEP: Duration = Duration::from_millis(100);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest time in which an upstream must take what is sent to it.
 const SEND: Duration = Duration::from_secs(5);
 /// Buffers of one connection, in bytes.
 const BUFFER: usize = 16 * 1024;
 
 /// The owner of a wait.
-pub trait Pulse: Debug + Send + Sync + 'static {
+pub trait WaitMonitor: Debug + Send + Sync + 'static {
     /// Tells whether to wait on; called at least every [`STEP`].
     ///
     /// # Errors
@@ -34,14 +34,14 @@
 #[derive(Debug)]
 pub(crate) struct PulseConnector {
     pub(crate) connect: Duration,
-    pub(crate) pulse: Arc<dyn Pulse>,
+    pub(crate) pulse: Arc<dyn WaitMonitor>,
 }
 
 /// One connection that follows a pulse.
 pub(crate) struct PulseTransport {
     stream: TcpStream,
     buffers: LazyBuffers,
-    pulse: Arc<dyn Pulse>,
+    pulse: Arc<dyn WaitMonitor>,
 }
 
 impl Connector<()> for PulseConnector {
@@ -52,7 +52,7 @@
         // Whatever goes wrong before the connection stands, no byte of the request can have left.
         let stream = TcpStream::connect_timeout(peer, self.connect).map_err(|_cause| Error::ConnectionFailed)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(STEP))?;
+        stream.set_read_timeout(Some(CHECK_INTERVAL))?;
         stream.set_write_timeout(Some(SEND))?;
         Ok(Some(PulseTransport {
             stream,
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -11,9 +11,9 @@
 use crate::pulse::ByNumber;
 
 /// Largest answer of a service, in bytes.
-pub const MAX_ANSWER: u64 = 8 * 1024 * 1024;
+pub const MAX_ANSWER_BYTES: u64 = 8 * 1024 * 1024;
 /// Header that carries the caller's idempotency key.
-pub const KEY_HEADER: &str = "Idempotency-Key";
+pub const IDEMPOTENCY_HEADER: &str = "Idempotency-Key";
 /// Headers of an answer that are passed back; all others belong to one connection or to the service's own hosts.
 const PASSED_BACK: [&str; 10] = [
     "Cache-Control",
@@ -30,7 +30,7 @@
 
 /// A call as it is passed on.
 #[derive(Clone, Copy, Debug)]
-pub struct Call<'a> {
+pub struct ServiceCall<'a> {
     /// HTTP method in capitals.
     pub method: &'a str,
     /// Path with query, beginning with a slash.
@@ -43,7 +43,7 @@
 
 /// A service's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ServiceAnswer {
     /// HTTP status.
     pub status: u16,
     /// Media type.
@@ -83,7 +83,12 @@
     ///
     /// # Errors
     /// Fails when the service can't be reached or gives no whole answer in time; the fate tells whether it may have run.
-    pub fn send(&self, peer: SocketAddr, call: &Call<'_>, timeout: Duration) -> Result<Answer, UpstreamError> {
+    pub fn send(
+        &self,
+        peer: SocketAddr,
+        call: &ServiceCall<'_>,
+        timeout: Duration,
+    ) -> Result<ServiceAnswer, UpstreamError> {
         const STEP: &str = "call service";
         let failed = |error: ureq::Error| UpstreamError::from_client(STEP, peer, &error);
         let mut request = Request::builder()
@@ -110,10 +115,10 @@
         let body = answer
             .body_mut()
             .with_config()
-            .limit(MAX_ANSWER)
+            .limit(MAX_ANSWER_BYTES)
             .read_to_vec()
             .map_err(failed)?;
-        Ok(Answer {
+        Ok(ServiceAnswer {
             status,
             media,
             headers,
--- a/crates/upstream/src/stream.rs
+++ b/crates/upstream/src/stream.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 
-use crate::engine::{Event, Usage};
+use crate::engine::{StreamEvent, Usage};
 use crate::{Fate, UpstreamError};
 
 /// Longest line of a stream, in bytes; a longer one is an error, so that a broken engine can't exhaust memory.
@@ -57,20 +57,20 @@
     ///
     /// # Errors
     /// Fails when the engine breaks off before the answer is whole, or sends something that is no event.
-    pub fn next_event(&mut self) -> Result<Event, UpstreamError> {
+    pub fn next_event(&mut self) -> Result<StreamEvent, UpstreamError> {
         loop {
             let line = self.line()?;
             let Some(data) = line.strip_prefix("data:").map(str::trim) else {
                 continue;
             };
             if data == "[DONE]" {
-                return Ok(Event::Done);
+                return Ok(StreamEvent::Done);
             }
             let chunk: Chunk = serde_json::from_str(data).map_err(|error| self.broken(error))?;
             let token = chunk.choices.into_iter().find_map(|choice| choice.delta.content);
             match (token, chunk.usage) {
-                (Some(token), _) if !token.is_empty() => return Ok(Event::Token(token)),
-                (_, Some(usage)) => return Ok(Event::Usage(usage)),
+                (Some(token), _) if !token.is_empty() => return Ok(StreamEvent::Token(token)),
+                (_, Some(usage)) => return Ok(StreamEvent::Usage(usage)),
                 _ => {}
             }
         }
--- a/crates/upstream/tests/engine_faults.rs
+++ b/crates/upstream/tests/engine_faults.rs
@@ -6,9 +6,9 @@
 use contract::RequestId;
 use standin::cli::EngineOptions;
 use standin::engine::{self, Faults, Running};
-use upstream::engine::{Chat, EngineClient, Event, Message, TokenStream};
-use upstream::kv::Export;
-use upstream::orders::{Action, Order};
+use upstream::engine::{ChatRequest, EngineClient, Message, StreamEvent, TokenStream};
+use upstream::kv::ExportScope;
+use upstream::orders::{EngineAction, EngineOrder};
 use upstream::{Fate, UpstreamError};
 
 const WAIT: Duration = Duration::from_secs(20);
@@ -18,8 +18,8 @@
     engine::start(&options).expect("engine")
 }
 
-fn chat(prompt: &str, max_tokens: u64) -> Chat {
-    Chat {
+fn chat(prompt: &str, max_tokens: u64) -> ChatRequest {
+    ChatRequest {
         model: "counter-1".to_owned(),
         messages: vec![Message {
             role: "user".to_owned(),
@@ -27,7 +27,7 @@
         }],
         max_tokens,
         stream: true,
-        ..Chat::default()
+        ..ChatRequest::default()
     }
 }
 
@@ -39,9 +39,9 @@
     let mut tokens = Vec::new();
     loop {
         match stream.next_event()? {
-            Event::Token(token) => tokens.push(token),
-            Event::Usage(_) => {}
-            Event::Done => return Ok(tokens),
+            StreamEvent::Token(token) => tokens.push(token),
+            StreamEvent::Usage(_) => {}
+            StreamEvent::Done => return Ok(tokens),
         }
     }
 }
@@ -111,7 +111,7 @@
         .expect("stream");
     let made = rest(&mut first).expect("whole");
     let blob = client
-        .export(from.address(), &Export::Request(id.clone()), WAIT)
+        .export(from.address(), &ExportScope::Request(id.clone()), WAIT)
         .expect("export");
     assert_eq!(blob.tokens, 128);
     client.import(to.address(), &blob, WAIT).expect("import");
@@ -140,7 +140,7 @@
     )
     .expect("whole");
     let blob = client
-        .export(from.address(), &Export::Request(id), WAIT)
+        .export(from.address(), &ExportScope::Request(id), WAIT)
         .expect("export");
     to.set_faults(Faults {
         break_import: true,
@@ -156,17 +156,17 @@
 fn lost_answer() {
     let engine = engine(&["--faults", r#"{"orders_lost":1}"#]);
     let client = EngineClient::new(WAIT);
-    let order = Order {
+    let order = EngineOrder {
         id: "o1".to_owned(),
         token: 7,
-        action: Action::SetRole {
+        action: EngineAction::SetRole {
             role: "decode".to_owned(),
         },
     };
     let error = client.order(engine.address(), &order, WAIT).expect_err("lost");
     assert_eq!(error.fate, Fate::Unknown);
     let state = client.state(engine.address(), WAIT).expect("state");
-    assert!(state.has(&order.action));
+    assert!(state.satisfies(&order.action));
     assert_eq!((state.token, state.last.as_deref()), (7, Some("o1")));
 }
 
@@ -174,10 +174,10 @@
 /// out, and the wrong role stays until somebody reads it back.
 #[test]
 fn old_order() {
-    let role = |id: &str, token, role: &str| Order {
+    let role = |id: &str, token, role: &str| EngineOrder {
         id: id.to_owned(),
         token,
-        action: Action::SetRole { role: role.to_owned() },
+        action: EngineAction::SetRole { role: role.to_owned() },
     };
     for (flags, expected) in [(vec!["--checks-fencing"], "decode"), (vec![], "prefill")] {
         let engine = engine(&flags);
--- a/crates/upstream/tests/outside_bytes.rs
+++ b/crates/upstream/tests/outside_bytes.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use quickcheck::{Gen, QuickCheck};
-use upstream::cloud::{CloudHost, Notice, Price};
-use upstream::engine::{CacheEvent, Event, Load, TokenStream};
-use upstream::kv::Exported;
+use upstream::cloud::{CloudHost, HostPrice, ReclaimNotice};
+use upstream::engine::{CacheEvent, LoadReport, StreamEvent, TokenStream};
+use upstream::kv::ExportedCache;
 use upstream::orders::EngineState;
 
 const PEER: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
@@ -28,9 +28,9 @@
     let mut tokens = 0;
     loop {
         match stream.next_event() {
-            Ok(Event::Token(_)) => tokens += 1,
-            Ok(Event::Usage(_)) => {}
-            Ok(Event::Done) => return (tokens, true),
+            Ok(StreamEvent::Token(_)) => tokens += 1,
+            Ok(StreamEvent::Usage(_)) => {}
+            Ok(StreamEvent::Done) => return (tokens, true),
             Err(_) => return (tokens, false),
         }
     }
@@ -65,12 +65,12 @@
 fn any_json() {
     fn parsed(bytes: Vec<u8>) -> bool {
         // Each either parses or fails; what matters is that none panics.
-        let _ = serde_json::from_slice::<Load>(&bytes);
+        let _ = serde_json::from_slice::<LoadReport>(&bytes);
         let _ = serde_json::from_slice::<Vec<CacheEvent>>(&bytes);
         let _ = serde_json::from_slice::<Vec<CloudHost>>(&bytes);
-        let _ = serde_json::from_slice::<Vec<Notice>>(&bytes);
-        let _ = serde_json::from_slice::<Vec<Price>>(&bytes);
-        let _ = serde_json::from_slice::<Exported>(&bytes);
+        let _ = serde_json::from_slice::<Vec<ReclaimNotice>>(&bytes);
+        let _ = serde_json::from_slice::<Vec<HostPrice>>(&bytes);
+        let _ = serde_json::from_slice::<ExportedCache>(&bytes);
         serde_json::from_slice::<EngineState>(&bytes).is_err()
     }
     check(parsed);
--- a/crates/wire/src/catalog.rs
+++ b/crates/wire/src/catalog.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Envelope;
-use crate::registry::{Beat, Beaten, Borrow, Borrowed};
+use crate::registry::{Borrow, BorrowReply, Heartbeat, HeartbeatReply};
 use crate::state::Unavailable;
 
 /// The calls about the catalog.
@@ -32,11 +32,11 @@
 
     /// Tells the leader that an entry host is there and what it has seen; the answer holds its parts of shared limits.
     #[method(name = "beat")]
-    async fn beat(&self, request: Envelope<Beat>) -> RpcResult<Envelope<Beaten>>;
+    async fn beat(&self, request: Envelope<Heartbeat>) -> RpcResult<Envelope<HeartbeatReply>>;
 
     /// Asks the leader for a part of a quota that is not split.
     #[method(name = "borrow")]
-    async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<Borrowed>>;
+    async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<BorrowReply>>;
 }
 
 /// Publishes a document and the catalog that it stands for.
@@ -153,7 +153,7 @@
 
 /// Consecutive bytes of a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct TransferPart {
     /// The transfer.
     pub transfer: Transfer,
     /// Bytes before the part.
@@ -169,7 +169,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Followed {
     /// Parts of transfers in the order in which they are applied.
-    pub parts: Vec<Part>,
+    pub parts: Vec<TransferPart>,
     /// The newest version that the node knows.
     pub newest: u64,
     /// Milliseconds since the node last knew that its catalog was the newest.
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -18,10 +18,10 @@
 };
 
 /// Largest inner message, in bytes.
-pub const MAX_MESSAGE: u32 = 16 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: u32 = 16 * 1024 * 1024;
 
 /// Longest that a node may hold a watch.
-pub const MAX_WAIT: Duration = Duration::from_secs(5);
+pub const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// How long a node is passed over after it let a call wait in vain.
 const SILENT: Duration = Duration::from_secs(5);
@@ -42,12 +42,12 @@
 
 /// The threads on which inner calls run.
 #[derive(Clone, Debug)]
-pub struct Calls {
+pub struct RpcRuntime {
     runtime: Arc<Runtime>,
     timeout: Duration,
 }
 
-impl Calls {
+impl RpcRuntime {
     /// Starts the threads.
     ///
     /// # Errors
@@ -80,8 +80,8 @@
     pub fn client(&self, peer: SocketAddr, extra: Duration) -> Result<HttpClient, CallError> {
         HttpClientBuilder::default()
             .request_timeout(self.timeout + extra)
-            .max_request_size(MAX_MESSAGE)
-            .max_response_size(MAX_MESSAGE)
+            .max_request_size(MAX_MESSAGE_BYTES)
+            .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("http://{peer}"))
             .map_err(|source| CallError {
                 step: "open",
@@ -114,7 +114,7 @@
 /// The nodes of the group and what is known of their leader.
 #[derive(Debug)]
 pub(crate) struct Group {
-    calls: Calls,
+    calls: RpcRuntime,
     me: NodeId,
     peers: Vec<SocketAddr>,
     clients: Vec<HttpClient>,
@@ -152,7 +152,7 @@
     ///
     /// # Errors
     /// Fails when an address cannot be used.
-    pub fn new(calls: &Calls, me: &NodeId, peers: &[SocketAddr]) -> Result<Self, CallError> {
+    pub fn new(calls: &RpcRuntime, me: &NodeId, peers: &[SocketAddr]) -> Result<Self, CallError> {
         let open = |extra| {
             peers
                 .iter()
@@ -164,7 +164,7 @@
             me: me.clone(),
             peers: peers.to_vec(),
             clients: open(Duration::ZERO)?,
-            watchers: open(MAX_WAIT)?,
+            watchers: open(MAX_WATCH_WAIT)?,
             leader: Mutex::new(0),
             silent: Mutex::new(vec![None; peers.len()]),
         };
@@ -242,7 +242,7 @@
 
     /// Gives the place of the node that this process watches first; the processes spread over all of them.
     #[must_use]
-    pub fn home(&self) -> usize {
+    pub fn preferred_node(&self) -> usize {
         let sum = self.group.me.as_str().bytes().fold(7_usize, |sum, byte| {
             sum.wrapping_mul(31).wrapping_add(usize::from(byte))
         });
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -10,14 +10,14 @@
 /// Largest datagram that is sent, in bytes; it fits one Ethernet frame.
 pub const MAX_DATAGRAM: usize = 1_400;
 /// Bytes that IPv4 and UDP add to each datagram.
-pub const HEADERS: usize = 28;
+pub const UDP_OVERHEAD_BYTES: usize = 28;
 
 /// Version of the encoding; a datagram of another version is dropped and counted.
 const VERSION: u8 = 2;
 
 /// What an entry host tells one of its peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct GossipDigest {
     /// The sending entry host.
     pub from: NodeId,
     /// Data centre of the sender.
@@ -33,7 +33,7 @@
     /// Entry hosts that the sender has in its settings, itself among them.
     pub hosts: u32,
     /// The receiver's newest digest that the sender has heard.
-    pub heard: Option<Heard>,
+    pub heard: Option<DigestAck>,
     /// Demand by customer.
     pub demand: Vec<Demand>,
     /// Load reports that the sender polled itself.
@@ -42,7 +42,7 @@
 
 /// A digest that was heard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct DigestAck {
     /// Incarnation of the one who sent it.
     pub incarnation: u64,
     /// Its sequence number.
@@ -105,7 +105,7 @@
     Codec(postcard::Error),
 }
 
-impl Digest {
+impl GossipDigest {
     /// Encodes the digest as one datagram.
     ///
     /// # Errors
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -14,11 +14,11 @@
 pub trait EntryRpc {
     /// Tells about hosts that leave or come.
     #[method(name = "hosts")]
-    async fn hosts(&self, signs: Envelope<Vec<HostSign>>) -> RpcResult<Envelope<()>>;
+    async fn hosts(&self, signs: Envelope<Vec<HostSignal>>) -> RpcResult<Envelope<()>>;
 
     /// Reads what was journalled of a request, from an offset in tokens.
     #[method(name = "journal")]
-    async fn journal(&self, ask: Envelope<JournalAsk>) -> RpcResult<Envelope<Option<Journal>>>;
+    async fn journal(&self, ask: Envelope<JournalRequest>) -> RpcResult<Envelope<Option<Journal>>>;
 
     /// Takes over a request from an entry host that is leaving.
     #[method(name = "adopt")]
@@ -44,7 +44,7 @@
 
 /// Something that tells about the life of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostSign {
+pub struct HostSignal {
     /// The host.
     pub host: HostId,
     /// Which host of that name.
@@ -79,7 +79,7 @@
 
 /// Asks for the journal of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JournalAsk {
+pub struct JournalRequest {
     /// The request.
     pub request: RequestId,
     /// The first token that is wanted.
--- a/crates/wire/src/registry.rs
+++ b/crates/wire/src/registry.rs
@@ -9,11 +9,11 @@
 
 /// A sign of life of an entry host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Incarnation of the process; a restarted one has another.
     pub run: u64,
     /// How much of the list of upstreams it has.
-    pub list: ListMark,
+    pub list: ListPosition,
     /// Most entries of the list that the answer may hold.
     pub max_listed: Option<u32>,
     /// Its data centre.
@@ -21,7 +21,7 @@
     /// Requests that began to run, by window of true time and client account; each total replaces the one before.
     pub began: BTreeMap<u64, BTreeMap<String, u64>>,
     /// What it has seen of upstreams since its last beat.
-    pub signs: Vec<Sign>,
+    pub signs: Vec<UpstreamObservation>,
     /// Units of each client account's part that came while the part was full, since the start of the process.
     pub spare: BTreeMap<String, u64>,
     /// Load by service, for orders of capacity.
@@ -39,22 +39,22 @@
 
 /// The answer to [`Beat`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Beaten {
+pub enum HeartbeatReply {
     /// What the entry host shares with the others.
-    News(Box<News>),
+    News(Box<LeaderUpdate>),
     /// The node does not lead.
     Unavailable(Unavailable),
 }
 
 /// What an entry host shares with the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct LeaderUpdate {
     /// Its parts of limits.
-    pub parts: Parts,
+    pub parts: QuotaShare,
     /// News of the list of upstreams.
-    pub list: ListNews,
+    pub list: ListUpdate,
     /// What others have seen of upstreams.
-    pub signs: Vec<Sign>,
+    pub signs: Vec<UpstreamObservation>,
     /// The newest version of the catalog.
     pub version: u64,
 }
@@ -64,7 +64,7 @@
 /// With many entry hosts each one meets an upstream too seldom to know its load; together they meet it several times a
 /// second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sign {
+pub struct UpstreamObservation {
     /// The upstream.
     pub id: String,
     /// Requests that run and wait there, with the age of the sight in milliseconds.
@@ -77,7 +77,7 @@
 
 /// A place in the changes of the list of upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ListMark {
+pub struct ListPosition {
     /// Number of the change; entries that changed together share it.
     pub number: u64,
     /// Entry of that change.
@@ -86,9 +86,9 @@
 
 /// What the leader knows of the list of upstreams that the entry host lacks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ListNews {
+pub struct ListUpdate {
     /// How much of the list the entry host has with this.
-    pub mark: ListMark,
+    pub mark: ListPosition,
     /// Milliseconds since the list was asked for; nothing where the leader has none.
     pub age_ms: Option<u64>,
     /// Whether what follows is the beginning of the whole list, in the place of what the entry host has.
@@ -103,7 +103,7 @@
 
 /// An entry host's parts of what all of them share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Parts {
+pub struct QuotaShare {
     /// Entry hosts that share.
     pub entries: u32,
     /// Part of each client account's quota that is its own, 0 to 1.
@@ -121,7 +121,7 @@
 
 /// The answer to [`Borrow`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Borrowed {
+pub enum BorrowReply {
     /// All units are lent.
     Lent,
     /// The quota has no room for them now.
--- a/crates/wire/tests/digest_codec.rs
+++ b/crates/wire/tests/digest_codec.rs
@@ -1,9 +1,9 @@
 //! Datagrams survive encoding, long digests are split without loss, and foreign bytes are refused without a panic.
 
 use quickcheck::{Gen, QuickCheck};
-use wire::digest::{Amounts, Demand, Digest, DigestError, LoadDigest, MAX_DATAGRAM};
+use wire::digest::{Amounts, Demand, DigestError, GossipDigest, LoadDigest, MAX_DATAGRAM};
 
-fn sample() -> Digest {
+fn sample() -> GossipDigest {
     let wanted = Amounts {
         requests: 350,
         tokens: 80,
@@ -15,24 +15,24 @@
         running: 2,
         lent: Amounts::default(),
     };
-    Digest {
+    GossipDigest {
         from: "entry-1".into(),
         sequence: 7,
         demand: vec![demand],
-        ..Digest::default()
+        ..GossipDigest::default()
     }
 }
 
 #[test]
 fn round_trip() {
     let bytes = sample().encode().unwrap();
-    assert_eq!(Digest::decode(&bytes).unwrap(), sample());
+    assert_eq!(GossipDigest::decode(&bytes).unwrap(), sample());
 }
 
 #[test]
 fn foreign_bytes() {
     fn holds(bytes: Vec<u8>) -> bool {
-        let _ = Digest::decode(&bytes);
+        let _ = GossipDigest::decode(&bytes);
         true
     }
     QuickCheck::new()
@@ -65,7 +65,7 @@
         };
         digest.loads = (0..u32::from(loads % 2_000)).map(load).collect();
         let parts = digest.clone().split().unwrap();
-        let parts: Vec<Digest> = parts.iter().map(|bytes| Digest::decode(bytes).unwrap()).collect();
+        let parts: Vec<GossipDigest> = parts.iter().map(|bytes| GossipDigest::decode(bytes).unwrap()).collect();
         let demand: Vec<Demand> = parts.iter().flat_map(|part| part.demand.clone()).collect();
         let loads: Vec<LoadDigest> = parts.iter().flat_map(|part| part.loads.clone()).collect();
         let same = parts
--- a/crates/wire/tests/find_leader.rs
+++ b/crates/wire/tests/find_leader.rs
@@ -9,11 +9,11 @@
 use jsonrpsee::RpcModule;
 use jsonrpsee::server::Server;
 use wire::Envelope;
-use wire::client::{Calls, StateClient};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Claim, Claimed, Unavailable};
 
 /// A node that gives the same answer to every claim; it lives as long as the test.
-fn node(calls: &Calls, answer: Claimed) -> SocketAddr {
+fn node(calls: &RpcRuntime, answer: Claimed) -> SocketAddr {
     let server = calls.wait(Server::builder().build("127.0.0.1:0")).unwrap();
     let address = server.local_addr().unwrap();
     let mut module = RpcModule::new(answer);
@@ -65,7 +65,7 @@
 /// deposit that comes in through this host is refused although nothing is wrong.
 #[test]
 fn cut_node_first() {
-    let calls = Calls::start(2, Duration::from_secs(5)).unwrap();
+    let calls = RpcRuntime::start(2, Duration::from_secs(5)).unwrap();
     let (cut, good) = (node(&calls, no_quorum()), node(&calls, Claimed::Granted));
     let leader = Some(good);
     let hint = node(&calls, Claimed::Unavailable(Unavailable::NotLeader { leader }));
@@ -79,7 +79,7 @@
 /// ones get the near node's word at once instead of waiting for the others again.
 #[test]
 fn silent_nodes() {
-    let calls = Calls::start(2, Duration::from_secs(1)).unwrap();
+    let calls = RpcRuntime::start(2, Duration::from_secs(1)).unwrap();
     let ((far, far_count), (other, other_count)) = (silence(), silence());
     let near = node(&calls, no_quorum());
     let client = StateClient::new(&calls, &"tester".into(), &[far, near, other]).unwrap();
