--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -26,7 +26,7 @@
 #[derive(derive_more::Debug)]
 pub struct ReclaimPoller {
     /// Questions to the thread that owns the state.
-    pub ring: Sender<Ask>,
+    pub requests: Sender<Ask>,
     /// Where reclaims go.
     pub registry: Arc<EntryRegistry>,
     /// The clock.
@@ -59,7 +59,7 @@
 
     fn leads(&self) -> Option<u64> {
         let (reply, answer) = oneshot::channel();
-        self.ring.try_send(Ask::Lead(reply)).ok()?;
+        self.requests.try_send(Ask::Lead(reply)).ok()?;
         let lead: Lead = answer.blocking_recv().ok()?;
         lead.since.map(|_| lead.term)
     }
