--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -147,7 +147,14 @@
     for model in models {
         let busy = held.iter().filter(|one| one.model == model).map(|one| one.busy).sum();
         let floor = floors.get(&model).copied().unwrap_or_default();
-        needs.insert(model.clone(), ModelNeed { model, busy, floor });
+        needs.insert(
+            model.clone(),
+            ModelNeed {
+                model,
+                busy,
+                guaranteed: floor,
+            },
+        );
     }
     needs.into_values().collect()
 }
--- a/crates/entry/src/fleet/index.rs
+++ b/crates/entry/src/fleet/index.rs
@@ -5,7 +5,7 @@
 
 use contract::{DataCenter, HostId, Revision, UpstreamId, UpstreamSpec};
 use parking_lot::Mutex;
-use policy::route::{GroupMember, Rates, Target, UpstreamGroup};
+use policy::route::{GroupMember, ServiceRates, Target, UpstreamGroup};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::member::Member;
@@ -26,7 +26,7 @@
 pub(super) struct Pool {
     pub(super) group: Arc<UpstreamGroup>,
     pub(super) rows: Arc<Vec<Row>>,
-    pub(super) rates: Arc<Mutex<Rates>>,
+    pub(super) rates: Arc<Mutex<ServiceRates>>,
 }
 
 /// One upstream.
@@ -34,7 +34,7 @@
 pub(super) struct Row {
     pub(super) spec: Arc<UpstreamSpec>,
     pub(super) member: Arc<Member>,
-    pub(super) rates: Arc<Mutex<Rates>>,
+    pub(super) rates: Arc<Mutex<ServiceRates>>,
 }
 
 /// Numbers that were given to upstreams.
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -141,7 +141,7 @@
         let homes = self.homes(&pool.group, ask.prefix);
         let proposed = self.propose(&pool.group, &homes, ask.prefix, turn);
         if let Some(session) = ask.prefix.session() {
-            pool.rates.lock().record_turn(session.begun > 0);
+            pool.rates.lock().record_turn(session.earlier_words > 0);
         }
         let rates = *pool.rates.lock();
         let found = choose(
@@ -160,13 +160,13 @@
             .map(|at| ProposedCandidate { at, reason })
             .collect();
         let mut open = self.candidates(pool, &all, &homes, ask, now);
-        open.retain(|candidate| candidate.barred.is_none());
+        open.retain(|candidate| candidate.exclusion.is_none());
         choose(&self.rules, &open, &need, &rates)
     }
 
     fn propose(&self, group: &UpstreamGroup, homes: &[usize], prefix: &Prefix, turn: u64) -> Vec<ProposedCandidate> {
         if self.rules.routing != Routing::Cost {
-            return group.window(turn);
+            return group.rotation(turn);
         }
         let with_prefix = !prefix.blocks().is_empty();
         let holders: Vec<u32> = if with_prefix && self.rules.with(Ablation::Affinity) {
@@ -200,7 +200,7 @@
     fn home_words(&self, row: &Row, prefix: &Prefix) -> Option<u64> {
         let begun = prefix
             .session()
-            .map(|session| session.begun)
+            .map(|session| session.earlier_words)
             .filter(|begun| *begun > 0)?;
         let index = self.index.load();
         let pool = index.pools.get(&Target::of(&row.spec))?;
@@ -218,13 +218,13 @@
     ) -> Vec<Candidate<'a>> {
         let numbers: Vec<u32> = proposed.iter().map(|p| pool.rows[p.at].member.number).collect();
         let held = if self.rules.with(Ablation::Affinity) {
-            self.history.lock().held(ask.prefix, &numbers)
+            self.history.lock().cached_words(ask.prefix, &numbers)
         } else {
             vec![0; numbers.len()]
         };
         let expiry = self.expiry();
         let waves = self.waves.read();
-        let begun = ask.prefix.session().map_or(0, |session| session.begun) as f64;
+        let begun = ask.prefix.session().map_or(0, |session| session.earlier_words) as f64;
         let rates = *pool.rates.lock();
         let kept = begun * rates.cached_share;
         let home = self.home(pool, homes);
@@ -244,11 +244,11 @@
                 price: spec.host.price,
                 slots: (f64::from(spec.slots) * rates.usable_share).ceil() as u32,
                 near: spec.host.data_center == self.place,
-                reclaims: waves.reclaims(&spec.host.zone, now),
+                reclaims_per_hour: waves.reclaims(&spec.host.zone, now),
                 load: state.load.predict(now, expiry, self.rules.with(Ablation::Corrections)),
                 cached: (held as f64 * trust).max(if home == Some(proposed.at) { kept } else { 0.0 }) as u64,
                 home: home.is_none_or(|at| at == proposed.at),
-                barred: state.barred(!self.hosts.takes_work(&spec.host), ask.tried.contains(&spec.id), now),
+                exclusion: state.barred(!self.hosts.takes_work(&spec.host), ask.tried.contains(&spec.id), now),
             }
         };
         proposed.iter().zip(held).map(candidate).collect()
@@ -336,7 +336,7 @@
         let size = |row: &Row, ease: f64| {
             let state = row.member.state.lock();
             let load = state.load.predict(now, expiry, true);
-            let own = f64::from(load.own);
+            let own = f64::from(load.own_requests);
             // Requests that still run where nothing new goes keep their places and take none elsewhere.
             if !self.hosts.takes_work(&row.spec.host) {
                 return own;
--- a/crates/entry/src/fleet/prompt.rs
+++ b/crates/entry/src/fleet/prompt.rs
@@ -29,7 +29,10 @@
     let answered = messages.iter().rposition(|message| message.role == ASSISTANT);
     let begun = answered.map_or(0, |last| messages[..=last].iter().flat_map(words).count() as u64);
     let key = hash.digest();
-    Some(Session { key, begun })
+    Some(Session {
+        key,
+        earlier_words: begun,
+    })
 }
 
 fn words(message: &Message) -> impl Iterator<Item = &str> {
--- a/crates/entry/src/fleet/visit.rs
+++ b/crates/entry/src/fleet/visit.rs
@@ -58,7 +58,7 @@
     pub fn first_token(&self, prefix: &Prefix, cached: u64, now: Tick) {
         let Some(row) = &self.row else { return };
         let mut history = self.fleet.history.lock();
-        let held = history.held(prefix, &[row.member.number]);
+        let held = history.cached_words(prefix, &[row.member.number]);
         history.store(prefix, row.member.number, now);
         drop(history);
         let seen = Seen {
@@ -70,7 +70,7 @@
         *self.seen.lock() = seen;
         row.rates
             .lock()
-            .first_token(seen.fresh, millis(now.since(self.started)));
+            .record_first_token(seen.fresh, millis(now.since(self.started)));
     }
 
     /// Notes a token, and the longest pause before it that was promised.
@@ -114,7 +114,7 @@
         let mut rates = row.rates.lock();
         // The wait in the engine is no part of what a request keeps a slot for.
         let held = match seen.first_at {
-            Some(first) => seen.fresh as f64 * rates.prefill_ms + millis(now.since(first)),
+            Some(first) => seen.fresh as f64 * rates.prefill_token_ms + millis(now.since(first)),
             None => millis(now.since(self.started)),
         };
         rates.record_hold(held);
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -87,7 +87,7 @@
     }
 
     fn take(&self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
-        let life = self.lives.lock().hear(host, incarnation, sign, now)?;
+        let life = self.lives.lock().apply_event(host, incarnation, sign, now)?;
         counter!("gentian_host_stages_total", "stage" => life.to_string()).increment(1);
         Some(life)
     }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -300,7 +300,7 @@
     /// Gives what may be saved up: the part of the burst and a part of the slack. Callers meet entry hosts by chance, so that
     /// each needs room for more than its share for a while.
     fn burst(&self, burst: f64, part: f64) -> f64 {
-        burst * part + self.place.quota_slack.split(self.entries())
+        burst * part + self.place.quota_slack.per_entry(self.entries())
     }
 
     fn part(&self) -> f64 {
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -169,7 +169,7 @@
             address: chosen.listed.address,
             prediction: predicted,
             load: candidate.map_or(0.0, |one| one.load),
-            prefill: candidate.map_or_else(PrefillWork::default, |one| one.reading(need.tokens())),
+            prefill: candidate.map_or_else(PrefillWork::default, |one| one.prefill(need.tokens())),
         })
     }
 
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -117,7 +117,7 @@
         let alone = self.before_ms(now) < LITTLE_MS && chosen.load < f64::from(self.listed.slots) * ALONE;
         let sent = SentRequest {
             prefill: chosen.prefill,
-            reading_ms: chosen.prediction.prefill_ms,
+            prefill_ms: chosen.prediction.prefill_ms,
             predicted_ms: chosen.prediction.ms,
             unqueued: alone && !parts.is_empty(),
         };
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -12,7 +12,7 @@
 use policy::Tick;
 use policy::load::{LoadEstimate, LoadReport};
 use policy::prefix::{Prefix, PrefixIndex};
-use policy::route::{Candidate, GroupMember, Rates, RequestNeed, RoutingRules, UpstreamGroup, choose};
+use policy::route::{Candidate, GroupMember, RequestNeed, RoutingRules, ServiceRates, UpstreamGroup, choose};
 
 const EXPIRY: Duration = Duration::from_secs(3);
 
@@ -71,11 +71,11 @@
         price: 90_000,
         slots: 16,
         near: fleet.group.members()[at].near,
-        reclaims: 0.05,
+        reclaims_per_hour: 0.05,
         load: fleet.loads[at].predict(Tick::from_millis(2_500), EXPIRY, true),
         cached,
         home: true,
-        barred: None,
+        exclusion: None,
     }
 }
 
@@ -88,7 +88,7 @@
         turn,
     );
     let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.members()[p.at].number).collect();
-    let held = fleet.history.held(prefix, &numbers);
+    let held = fleet.history.cached_words(prefix, &numbers);
     let rows = proposed.iter().zip(held);
     let candidates: Vec<Candidate<'_>> = rows.map(|(p, held)| candidate(fleet, p.at, held, p.reason)).collect();
     let need = RequestNeed {
@@ -96,7 +96,7 @@
         answer_tokens: 200,
         turn,
     };
-    let choice = choose(&RoutingRules::default(), &candidates, &need, &Rates::default())?;
+    let choice = choose(&RoutingRules::default(), &candidates, &need, &ServiceRates::default())?;
     Some(choice.chosen)
 }
 
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -15,7 +15,7 @@
     /// What its prompt asks of the upstream.
     pub prefill: PrefillWork,
     /// Milliseconds in which the prompt is read.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// Milliseconds until its answer was predicted to begin.
     pub predicted_ms: f64,
     /// Whether nothing was known to go before it, so that the time to its first event is that of its own prompt.
@@ -47,7 +47,7 @@
 impl Backlog {
     /// Notes a request; gives the number under which it waits.
     pub fn sent(&mut self, sent: SentRequest, now: Tick) -> u64 {
-        self.read_at = self.read_at.max(now) + Duration::from_secs_f64(sent.reading_ms / 1_000.0);
+        self.read_at = self.read_at.max(now) + Duration::from_secs_f64(sent.prefill_ms / 1_000.0);
         self.next += 1;
         self.waiting.insert(self.next, (now, sent));
         self.next
@@ -93,7 +93,7 @@
 
     /// Gives the milliseconds of work that goes before a new request: what is not read yet, or by how much requests are overdue.
     #[must_use]
-    pub fn ms(&self, now: Tick) -> f64 {
+    pub fn total_ms(&self, now: Tick) -> f64 {
         self.pending_ms(now).max(self.overdue_ms(now))
     }
 }
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/life.rs
@@ -147,7 +147,7 @@
 impl AnyHostState {
     /// Tells whether new work may go there.
     #[must_use]
-    pub const fn takes_work(&self) -> bool {
+    pub const fn accepts_work(&self) -> bool {
         matches!(self, Self::Serving(_))
     }
 
@@ -215,7 +215,7 @@
     /// Takes a sign in; returns the new stage where it changed.
     ///
     /// A sign about an earlier host of the same name is late and changes nothing.
-    pub fn hear(&mut self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
+    pub fn apply_event(&mut self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
         let known = self.hosts.get(host).copied();
         let before = match known {
             Some(life) if life.incarnation() > incarnation => return None,
@@ -248,7 +248,7 @@
     /// Tells whether new work may go to a host.
     #[must_use]
     pub fn takes_work(&self, host: &HostId, incarnation: u64) -> bool {
-        self.stage(host, incarnation).takes_work()
+        self.stage(host, incarnation).accepts_work()
     }
 
     /// Gives every host that signs have told about.
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -35,7 +35,7 @@
     /// Requests that run or wait there; absent without an unexpired report.
     pub reported: Option<f64>,
     /// Own requests there.
-    pub own: u32,
+    pub own_requests: u32,
     /// Age of the newest report, expired or not.
     pub age: Option<Duration>,
 }
@@ -89,7 +89,7 @@
         });
         PredictedLoad {
             reported,
-            own: self.running,
+            own_requests: self.running,
             age,
         }
     }
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -57,7 +57,7 @@
 impl Slack {
     /// Gives what one of so many entry hosts may save up beyond its part of the burst.
     #[must_use]
-    pub fn split(&self, entries: u32) -> f64 {
+    pub fn per_entry(&self, entries: u32) -> f64 {
         self.units * SLACK_SPLIT / f64::from(entries.max(1))
     }
 
@@ -94,7 +94,7 @@
         self.known.retain(|_, heard| now.since(*heard) < REMEMBERED);
         self.spares.retain(|node, _| self.known.contains_key(node));
         self.known.insert(node.clone(), now);
-        let entries = self.count(now);
+        let entries = self.entry_count(now);
         (entries > 0).then(|| EntryShare {
             entries,
             fraction: EVEN / f64::from(entries),
@@ -103,7 +103,7 @@
 
     /// Gives the number of those who share; zero while it is not known.
     #[must_use]
-    pub fn count(&self, now: Tick) -> u32 {
+    pub fn entry_count(&self, now: Tick) -> u32 {
         let heard = self.known.len() as u32;
         let passed = now.since(self.since);
         if passed < REMEMBERED && self.before > 0 {
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -93,7 +93,7 @@
 impl Candidate {
     /// Gives what a prompt of so many tokens asks of it.
     #[must_use]
-    pub fn reading(&self, tokens: u64) -> PrefillWork {
+    pub fn prefill(&self, tokens: u64) -> PrefillWork {
         PrefillWork {
             cached: self.cached,
             fresh: tokens.saturating_sub(self.cached),
@@ -144,7 +144,7 @@
     } else {
         ((filled - CROWDED) / (1.0 - CROWDED)).max(0.0)
     };
-    let reading_ms = option.rates.reading_ms(option.reading(tokens));
+    let reading_ms = option.rates.reading_ms(option.prefill(tokens));
     // Until one of the slots is free; a crowded upstream may be full when the request comes.
     let slot_ms = option.rates.run_ms / slots;
     let ms = reading_ms * (1.0 + crowd)
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -38,7 +38,7 @@
     /// Requests that run or wait now.
     pub busy: f64,
     /// Requests that its contracts may have at once at any time; on-demand hosts carry these.
-    pub floor: u32,
+    pub guaranteed: u32,
 }
 
 /// A host that is held; those that leave or are drained aren't.
@@ -200,7 +200,7 @@
     }
 
     fn floor(&self) -> u32 {
-        self.hosts_for(f64::from(self.need.floor))
+        self.hosts_for(f64::from(self.need.guaranteed))
     }
 
     /// Gives the hosts that must be there also without any one zone.
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -33,7 +33,7 @@
     /// Identifies it: the same for each of its turns and at every entry host.
     pub key: u64,
     /// Words at the start of the prompt that an earlier turn had at an engine; zero for the first turn.
-    pub begun: u64,
+    pub earlier_words: u64,
 }
 
 impl Prefix {
@@ -205,7 +205,7 @@
 
     /// Gives the words at the start of a prompt that each of some upstreams is believed to hold, in their order.
     #[must_use]
-    pub fn held(&self, prefix: &Prefix, upstreams: &[u32]) -> Vec<u64> {
+    pub fn cached_words(&self, prefix: &Prefix, upstreams: &[u32]) -> Vec<u64> {
         let known: Vec<&Place> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
         let words = upstreams.iter().map(|number| depth(&known, *number) * BLOCK as u64);
         words.collect()
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -38,7 +38,7 @@
 
     /// Tells whether a reclaim was told of lately.
     #[must_use]
-    pub fn knows(&self, group: &ReclaimGroup, now: Tick) -> bool {
+    pub fn contains(&self, group: &ReclaimGroup, now: Tick) -> bool {
         self.told.get(group).is_some_and(|told| told.is_ahead(now))
     }
 
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -79,7 +79,7 @@
     }
 
     /// Notes the version that a host holds.
-    pub fn note(&mut self, host: &NodeId, version: u64, now: Tick) {
+    pub fn record_version(&mut self, host: &NodeId, version: u64, now: Tick) {
         self.hosts.insert(host.clone(), (version, now));
     }
 
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -33,9 +33,9 @@
 
 /// What was measured of one model or service.
 #[derive(Clone, Copy, Debug)]
-pub struct Rates {
+pub struct ServiceRates {
     /// Milliseconds that one prompt token takes to prefill.
-    pub prefill_ms: f64,
+    pub prefill_token_ms: f64,
     /// Milliseconds between two tokens.
     pub decode_ms: f64,
     /// Milliseconds for which a request keeps its slot.
@@ -52,10 +52,10 @@
     pub usable_share: f64,
 }
 
-impl Default for Rates {
+impl Default for ServiceRates {
     fn default() -> Self {
         Self {
-            prefill_ms: 0.25,
+            prefill_token_ms: 0.25,
             decode_ms: 20.0,
             hold_ms: 1_000.0,
             own_prefill_ms: 50.0,
@@ -67,7 +67,7 @@
     }
 }
 
-impl Rates {
+impl ServiceRates {
     /// Takes in how long a request kept its slot.
     pub fn record_hold(&mut self, ms: f64) {
         self.hold_ms += WEIGHT * (ms - self.hold_ms);
@@ -79,20 +79,20 @@
     /// long before the slots are full, and every request that is let in makes all of them later. One would notice many
     /// answers, nearly all of them late. So the share of the slots that is used falls while waits are longer than the
     /// prefill itself, and rises while they are short.
-    pub fn first_token(&mut self, fresh: u64, ms: f64) {
+    pub fn record_first_token(&mut self, fresh: u64, ms: f64) {
         if fresh >= PREFILL_TOKENS {
             let sample = ms / fresh as f64;
-            let faster = sample < self.prefill_ms;
+            let faster = sample < self.prefill_token_ms;
             let step = if faster { PREFILL_STEPS.0 } else { PREFILL_STEPS.1 };
             // The first one is taken as it is: a wrong constant would take a hundred requests to forget.
-            self.prefill_ms = if self.first_token_ms == 0.0 {
+            self.prefill_token_ms = if self.first_token_ms == 0.0 {
                 sample
             } else {
-                self.prefill_ms * step
+                self.prefill_token_ms * step
             };
         }
         self.first_token_ms += WEIGHT * (ms - self.first_token_ms);
-        let own = fresh as f64 * self.prefill_ms;
+        let own = fresh as f64 * self.prefill_token_ms;
         self.own_prefill_ms += WEIGHT * (own - self.own_prefill_ms);
         self.judge(ms - own <= own.max(EASY_MS));
     }
@@ -154,18 +154,18 @@
     pub(super) fn of(
         candidate: &Candidate<'_>,
         need: &RequestNeed,
-        rates: &Rates,
+        rates: &ServiceRates,
         rules: &RoutingRules,
         beside: f64,
     ) -> Self {
         let slots = f64::from(candidate.slots.max(1));
         // An expired report tells nothing; a cautious constant stands in, so that neither an upstream that fell silent
         // while idle draws all requests nor one that fell silent while busy is never asked again.
-        let unknown = || slots * UNKNOWN_LOAD + f64::from(candidate.load.own);
+        let unknown = || slots * UNKNOWN_LOAD + f64::from(candidate.load.own_requests);
         let load = candidate.load.reported.unwrap_or_else(unknown);
         let queued = (load + 1.0 - slots).max(0.0);
         let fresh = need.prompt_tokens.saturating_sub(candidate.cached) as f64;
-        let prefill = fresh * rates.prefill_ms;
+        let prefill = fresh * rates.prefill_token_ms;
         let answer = need.answer_tokens as f64 * rates.decode_ms;
         let hold = if need.answer_tokens == 0 {
             rates.hold_ms
@@ -174,11 +174,11 @@
         };
         let count = |part, value: f64| if rules.with(part) { value } else { 0.0 };
         let reclaims = match candidate.class {
-            MachineClass::Reclaimable => candidate.reclaims,
+            MachineClass::Reclaimable => candidate.reclaims_per_hour,
             MachineClass::OnDemand => 0.0,
         };
         // A reclaim halfway costs the prefill again, and half of the answer's time if its cache can't be moved.
-        let redo = need.prompt_tokens as f64 * rates.prefill_ms + answer / 2.0;
+        let redo = need.prompt_tokens as f64 * rates.prefill_token_ms + answer / 2.0;
         let chance = (reclaims * hold / MS_PER_HOUR).min(1.0);
         let rent = candidate.price as f64 * hold / MS_PER_HOUR / slots;
         // Engines prefill one prompt after the other: what is there already and still in prefill goes first.
@@ -195,7 +195,7 @@
             stray: if candidate.home {
                 0.0
             } else {
-                rates.follow_share * need.prompt_tokens as f64 * rates.prefill_ms * (1.0 + beside)
+                rates.follow_share * need.prompt_tokens as f64 * rates.prefill_token_ms * (1.0 + beside)
             },
             price: count(Ablation::Price, rent * MS_PER_MICRODOLLAR),
             risk: count(Ablation::Risk, chance * redo),
--- a/crates/policy/src/route/group.rs
+++ b/crates/policy/src/route/group.rs
@@ -188,7 +188,7 @@
 
     /// Gives the next members in turn, for the baselines; the one at position `turn % CANDIDATES` is the next itself.
     #[must_use]
-    pub fn window(&self, turn: u64) -> Vec<ProposedCandidate> {
+    pub fn rotation(&self, turn: u64) -> Vec<ProposedCandidate> {
         let count = self.places.len();
         let base = if count > CANDIDATES {
             turn as usize - turn as usize % CANDIDATES
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -10,7 +10,7 @@
 use derive_more::{Display, Error, FromStr};
 use serde::{Deserialize, Serialize};
 
-pub use cost::{Cost, Rates};
+pub use cost::{Cost, ServiceRates};
 pub use group::{CANDIDATES, GroupMember, HOMES, ProposedCandidate, Reason, Target, UpstreamGroup};
 pub use record::{Choice, Exclusion, NotChosen, ScoredCandidate};
 
@@ -128,7 +128,7 @@
     /// Whether it stands in the own data centre.
     pub near: bool,
     /// Reclaims an hour that its zone is expected to see.
-    pub reclaims: f64,
+    pub reclaims_per_hour: f64,
     /// Its predicted load.
     pub load: crate::load::PredictedLoad,
     /// Words of the prompt that are likely to be cached there.
@@ -136,7 +136,7 @@
     /// Whether the request's conversation has its home there; also true of all where there is no conversation.
     pub home: bool,
     /// Why it may not be chosen, if it may not.
-    pub barred: Option<Exclusion>,
+    pub exclusion: Option<Exclusion>,
 }
 
 /// What the request needs.
@@ -154,7 +154,12 @@
 ///
 /// Returns `None` when every candidate is barred.
 #[must_use]
-pub fn choose(rules: &RoutingRules, candidates: &[Candidate<'_>], need: &RequestNeed, rates: &Rates) -> Option<Choice> {
+pub fn choose(
+    rules: &RoutingRules,
+    candidates: &[Candidate<'_>],
+    need: &RequestNeed,
+    rates: &ServiceRates,
+) -> Option<Choice> {
     let loads = candidates.iter().filter_map(|candidate| candidate.load.reported);
     let beside = loads.sum::<f64>() / candidates.len().max(1) as f64;
     let costs: Vec<Cost> = candidates
@@ -163,7 +168,7 @@
         .collect();
     let first = need.turn as usize % candidates.len().max(1);
     let order = (first..candidates.len()).chain(0..first);
-    let open = order.filter(|at| candidates[*at].barred.is_none());
+    let open = order.filter(|at| candidates[*at].exclusion.is_none());
     let rank = |at: &usize| match rules.routing {
         Routing::Cost => costs[*at].total(),
         Routing::LeastLoaded => costs[*at].load,
@@ -172,7 +177,7 @@
     // The first of equals wins, and which is first turns with every choice.
     let chosen = open.min_by(|a, b| rank(a).total_cmp(&rank(b)))?;
     let best = rank(&chosen);
-    let lost = |at: usize| match candidates[at].barred {
+    let lost = |at: usize| match candidates[at].exclusion {
         _ if at == chosen => None,
         Some(why) => Some(NotChosen::Barred(why)),
         None => Some(NotChosen::Behind { by: rank(&at) - best }),
@@ -180,7 +185,7 @@
     let weighed = candidates.iter().enumerate().map(|(at, candidate)| ScoredCandidate {
         upstream: candidate.id.clone(),
         reason: candidate.reason,
-        cost_ms: candidate.barred.is_none().then(|| costs[at].total()),
+        cost_ms: candidate.exclusion.is_none().then(|| costs[at].total()),
         parts: costs[at],
         cached: candidate.cached,
         report_age_ms: candidate.load.age.map(|age| age.as_millis() as u64),
--- a/crates/policy/tests/capacity_plan.rs
+++ b/crates/policy/tests/capacity_plan.rs
@@ -35,7 +35,7 @@
     vec![ModelNeed {
         model: "m".into(),
         busy,
-        floor,
+        guaranteed: floor,
     }]
 }
 
--- a/crates/policy/tests/early_reclaim.rs
+++ b/crates/policy/tests/early_reclaim.rs
@@ -51,8 +51,8 @@
     let mut list = [listed("b", "z", true), listed("e", "z", false)];
     reclaims.apply(&mut list, Tick::from_millis(1_500));
     assert_eq!(list[0].left, Some(Duration::from_millis(500)));
-    assert!(!list[1].leaving && reclaims.knows(&group, Tick::from_millis(1_500)));
+    assert!(!list[1].leaving && reclaims.contains(&group, Tick::from_millis(1_500)));
     let mut list = [listed("n", "z", true)];
     reclaims.apply(&mut list, Tick::from_millis(6_000));
-    assert!(!list[0].leaving && !reclaims.knows(&group, Tick::from_millis(6_000)));
+    assert!(!list[0].leaving && !reclaims.contains(&group, Tick::from_millis(6_000)));
 }
--- a/crates/policy/tests/host_life.rs
+++ b/crates/policy/tests/host_life.rs
@@ -62,7 +62,7 @@
         let mut ended = Vec::new();
         for heard in all {
             now = now + Duration::from_millis(heard.after_ms);
-            lives.hear(&name(heard.host), heard.incarnation, heard.sign, now);
+            lives.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
             if tells_end(heard.sign) {
                 ended.push((heard.host, heard.incarnation));
             }
@@ -82,9 +82,9 @@
         let (mut once, mut twice) = (HostStates::default(), HostStates::default());
         for heard in &all {
             let now = Tick::default();
-            once.hear(&name(heard.host), heard.incarnation, heard.sign, now);
-            twice.hear(&name(heard.host), heard.incarnation, heard.sign, now);
-            twice.hear(&name(heard.host), heard.incarnation, heard.sign, now);
+            once.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
+            twice.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
+            twice.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
         }
         (0..3).all(|host| (0..3).all(|which| once.stage(&name(host), which) == twice.stage(&name(host), which)))
     }
@@ -104,7 +104,7 @@
                 .max()
         };
         for heard in &all {
-            lives.hear(&name(heard.host), heard.incarnation, heard.sign, Tick::default());
+            lives.apply_event(&name(heard.host), heard.incarnation, heard.sign, Tick::default());
         }
         (0..3).all(|host| lives.takes_work(&name(host), last(host).map_or(0, |last| last + 1)))
     }
@@ -118,7 +118,7 @@
     let host = name(0);
     for left in [30_000, 5_000, 20_000] {
         let left = Some(Duration::from_millis(left));
-        lives.hear(&host, 0, HostEvent::Leaves { left }, now);
+        lives.apply_event(&host, 0, HostEvent::Leaves { left }, now);
     }
     let AnyHostState::Leaving(life) = lives.stage(&host, 0) else {
         panic!("not leaving");
@@ -131,8 +131,8 @@
 fn refused_host() {
     let mut lives = HostStates::default();
     let host = name(0);
-    lives.hear(&host, 4, HostEvent::Refused, Tick::default());
+    lives.apply_event(&host, 4, HostEvent::Refused, Tick::default());
     assert!(!lives.takes_work(&host, 4));
-    lives.hear(&host, 4, HostEvent::Answered, Tick::default());
+    lives.apply_event(&host, 4, HostEvent::Answered, Tick::default());
     assert!(lives.takes_work(&host, 4));
 }
--- a/crates/policy/tests/prefix_history.rs
+++ b/crates/policy/tests/prefix_history.rs
@@ -22,8 +22,8 @@
     let held = history.holders(&prefix(&text));
     assert_eq!(held.len(), 1);
     assert_eq!((held[0].upstream, held[0].words), (7, 96));
-    assert_eq!(history.held(&prefix(&text), &[6, 7]), [0, 96]);
-    assert_eq!(history.held(&prefix(&words(100, 3)), &[7]), [0]);
+    assert_eq!(history.cached_words(&prefix(&text), &[6, 7]), [0, 96]);
+    assert_eq!(history.cached_words(&prefix(&words(100, 3)), &[7]), [0]);
 }
 
 /// Hundreds of engines hold the same instructions at the start of a prompt, more than are remembered for one block.
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -44,7 +44,7 @@
     let reading = PrefillWork { cached: 0, fresh };
     SentRequest {
         prefill: reading,
-        reading_ms: RATES.reading_ms(reading),
+        prefill_ms: RATES.reading_ms(reading),
         predicted_ms,
         unqueued: true,
     }
@@ -164,10 +164,10 @@
     let mut backlog = Backlog::default();
     backlog.sent(sent(50_000, 1_600.0), now);
     let mut two = [candidate(1, 0.0), candidate(0, 0.0)];
-    two[0].backlog_ms = backlog.ms(Tick::from_millis(1_050));
+    two[0].backlog_ms = backlog.total_ms(Tick::from_millis(1_050));
     assert!(two[0].backlog_ms > 1_400.0);
     assert_eq!(chosen(&two, 500), 0);
-    assert!(backlog.ms(Tick::from_millis(2_500)) < 200.0);
+    assert!(backlog.total_ms(Tick::from_millis(2_500)) < 200.0);
 }
 
 /// Another entry host has sent the long prompt, so that this one can't count it. Its own small request there waits longer
@@ -176,10 +176,10 @@
 fn longer_than_predicted() {
     let mut backlog = Backlog::default();
     let number = backlog.sent(sent(300, 5.0), Tick::from_millis(1_000));
-    assert!(backlog.ms(Tick::from_millis(1_400)) > 350.0);
+    assert!(backlog.total_ms(Tick::from_millis(1_400)) > 350.0);
     let begun = backlog.first_event(number, Tick::from_millis(1_400)).unwrap();
     assert!((begun.elapsed_ms - 400.0).abs() < 1.0);
-    assert!(backlog.ms(Tick::from_millis(1_400)) < 1.0);
+    assert!(backlog.total_ms(Tick::from_millis(1_400)) < 1.0);
 }
 
 #[test]
--- a/crates/policy/tests/quota_parts.rs
+++ b/crates/policy/tests/quota_parts.rs
@@ -91,7 +91,7 @@
         let (part, own) = (EVEN / f64::from(count), &mut self.hosts[at]);
         own.set(
             self.quota.per_s * part,
-            self.quota.burst * part + self.slack.split(count),
+            self.quota.burst * part + self.slack.per_entry(count),
             now,
         );
         let spare = BTreeMap::from([("a".to_owned(), own.overflow() as u64)]);
--- a/crates/policy/tests/rollout_lag.rs
+++ b/crates/policy/tests/rollout_lag.rs
@@ -16,8 +16,8 @@
     let mut rollout = Rollout::default();
     rollout.publish(14, Tick::from_millis(0));
     rollout.publish(17, Tick::from_millis(500));
-    rollout.note(&host("a"), 17, Tick::from_millis(1_400));
-    rollout.note(&host("b"), 9, Tick::from_millis(1_400));
+    rollout.record_version(&host("a"), 17, Tick::from_millis(1_400));
+    rollout.record_version(&host("b"), 9, Tick::from_millis(1_400));
     assert_eq!(rollout.hosts_behind(Tick::from_millis(1_500)), 1);
     let late = rollout.report(Tick::from_millis(1_500));
     let expected = Progress::Late {
@@ -35,7 +35,7 @@
         None,
         "late hosts are told once a second"
     );
-    rollout.note(&host("b"), 17, Tick::from_millis(1_700));
+    rollout.record_version(&host("b"), 17, Tick::from_millis(1_700));
     let complete = rollout.report(Tick::from_millis(1_700));
     let expected = Progress::Complete {
         version: 17,
@@ -52,8 +52,8 @@
     let mut rollout = Rollout::default();
     rollout.publish(1, Tick::from_millis(0));
     rollout.publish(2, Tick::from_millis(0));
-    rollout.note(&host("stopped"), 1, Tick::from_millis(0));
-    rollout.note(&host("a"), 2, Tick::from_millis(3_000));
+    rollout.record_version(&host("stopped"), 1, Tick::from_millis(0));
+    rollout.record_version(&host("a"), 2, Tick::from_millis(3_000));
     assert!(matches!(
         rollout.report(Tick::from_millis(3_000)),
         Some(Progress::Complete { hosts: 1, .. })
@@ -65,10 +65,10 @@
 fn inherited_version() {
     let mut rollout = Rollout::default();
     rollout.publish(4, Tick::from_millis(0));
-    rollout.note(&host("a"), 4, Tick::from_millis(10));
+    rollout.record_version(&host("a"), 4, Tick::from_millis(10));
     assert_eq!(rollout.report(Tick::from_millis(10)), None);
     rollout.publish(5, Tick::from_millis(20));
-    rollout.note(&host("a"), 5, Tick::from_millis(60));
+    rollout.record_version(&host("a"), 5, Tick::from_millis(60));
     let took = Duration::from_millis(40);
     assert!(
         matches!(rollout.report(Tick::from_millis(60)), Some(Progress::Complete { took: told, .. }) if told == took)
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -6,7 +6,7 @@
 use policy::Tick;
 use policy::load::{LoadEstimate, LoadReport, PredictedLoad};
 use policy::route::{
-    Ablation, CANDIDATES, Candidate, GroupMember, NotChosen, Rates, Reason, RequestNeed, Routing, RoutingRules,
+    Ablation, CANDIDATES, Candidate, GroupMember, NotChosen, Reason, RequestNeed, Routing, RoutingRules, ServiceRates,
     UpstreamGroup, choose,
 };
 use quickcheck::{Gen, QuickCheck};
@@ -19,15 +19,15 @@
         price: 90_000,
         slots: 16,
         near: true,
-        reclaims: 0.05,
+        reclaims_per_hour: 0.05,
         load: PredictedLoad {
             reported: Some(load),
-            own: 0,
+            own_requests: 0,
             age: Some(Duration::from_millis(100)),
         },
         cached,
         home: true,
-        barred: None,
+        exclusion: None,
     }
 }
 
@@ -54,7 +54,7 @@
 fn session_stays() {
     let (home, other) = (UpstreamId::from("home"), UpstreamId::from("other"));
     let rules = RoutingRules::default();
-    let rates = Rates::default();
+    let rates = ServiceRates::default();
     let busy = [candidate(&home, 12.0, 1_984), candidate(&other, 0.0, 0)];
     assert_eq!(choose(&rules, &busy, &need(), &rates).unwrap().chosen, home);
     let full = [candidate(&home, 60.0, 1_984), candidate(&other, 0.0, 0)];
@@ -70,12 +70,12 @@
 fn wave_avoided() {
     let (zone, calm) = (UpstreamId::from("zone"), UpstreamId::from("calm"));
     let mut candidates = [candidate(&zone, 0.0, 1_984), candidate(&calm, 0.0, 1_000)];
-    candidates[0].reclaims = 60.0;
+    candidates[0].reclaims_per_hour = 60.0;
     let long = RequestNeed {
         answer_tokens: 1_000,
         ..need()
     };
-    let rates = Rates::default();
+    let rates = ServiceRates::default();
     assert_eq!(
         choose(&RoutingRules::default(), &candidates, &long, &rates)
             .unwrap()
@@ -108,7 +108,7 @@
     let (silent, known) = (UpstreamId::from("silent"), UpstreamId::from("known"));
     let mut candidates = [candidate(&silent, 0.0, 0), candidate(&known, 2.0, 0)];
     candidates[0].load = expired;
-    let choice = choose(&RoutingRules::default(), &candidates, &need(), &Rates::default()).unwrap();
+    let choice = choose(&RoutingRules::default(), &candidates, &need(), &ServiceRates::default()).unwrap();
     assert_eq!(choice.chosen, known);
     assert!(choice.weighed[0].expired);
 }
@@ -190,9 +190,15 @@
         ..RoutingRules::default()
     };
     for turn in 0..90 {
-        let window = group.window(turn);
+        let window = group.rotation(turn);
         let candidates: Vec<Candidate<'_>> = window.iter().map(|p| candidate(&ids[p.at], 0.0, 0)).collect();
-        let choice = choose(&rules, &candidates, &RequestNeed { turn, ..need() }, &Rates::default()).unwrap();
+        let choice = choose(
+            &rules,
+            &candidates,
+            &RequestNeed { turn, ..need() },
+            &ServiceRates::default(),
+        )
+        .unwrap();
         assert_eq!(choice.chosen, ids[turn as usize % 30], "turn {turn}");
     }
 }
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -3,7 +3,7 @@
 use contract::{MachineClass, UpstreamId};
 use policy::load::PredictedLoad;
 use policy::route::{
-    Ablation, Candidate, Choice, GroupMember, Rates, Reason, RequestNeed, RoutingRules, UpstreamGroup, choose,
+    Ablation, Candidate, Choice, GroupMember, Reason, RequestNeed, RoutingRules, ServiceRates, UpstreamGroup, choose,
 };
 use quickcheck::{Gen, QuickCheck};
 
@@ -25,14 +25,14 @@
         price: 0,
         slots: 4,
         near: true,
-        reclaims: 0.0,
+        reclaims_per_hour: 0.0,
         load: PredictedLoad {
             reported: Some(loads[at]),
             ..PredictedLoad::default()
         },
         cached: if at == home { 900 } else { 0 },
         home: at == home,
-        barred: None,
+        exclusion: None,
     };
     let candidates: Vec<Candidate<'_>> = (0..loads.len()).map(candidate).collect();
     let need = RequestNeed {
@@ -40,7 +40,7 @@
         answer_tokens: 50,
         turn: 1,
     };
-    choose(rules, &candidates, &need, &Rates::default()).unwrap()
+    choose(rules, &candidates, &need, &ServiceRates::default()).unwrap()
 }
 
 /// Entry hosts in different data centres number their upstreams in another order and hold others for near. If they
--- a/crates/policy/tests/slot_ease.rs
+++ b/crates/policy/tests/slot_ease.rs
@@ -1,21 +1,21 @@
 //! The share of the slots that is used follows how answers fare, and prefill is told from waits.
 
-use policy::route::Rates;
+use policy::route::ServiceRates;
 use quickcheck::{Gen, QuickCheck};
 
 /// An engine prefills one prompt after the other. Let in by slots alone, requests wait in it for their first token until
 /// all of them are late. The share of the slots that is used must fall, and come back once answers are on time.
 #[test]
 fn falls_and_returns() {
-    let mut rates = Rates::default();
+    let mut rates = ServiceRates::default();
     for _ in 0..200 {
-        rates.first_token(400, 5_000.0);
-        rates.first_token(400, 4_000.0);
-        rates.first_token(400, 600.0);
+        rates.record_first_token(400, 5_000.0);
+        rates.record_first_token(400, 4_000.0);
+        rates.record_first_token(400, 600.0);
     }
     assert!(rates.usable_share < 0.3, "{}", rates.usable_share);
     for _ in 0..200 {
-        rates.first_token(400, 600.0);
+        rates.record_first_token(400, 600.0);
     }
     assert!(rates.usable_share > 0.99, "{}", rates.usable_share);
 }
@@ -24,7 +24,7 @@
 /// the answer is late however whole it is.
 #[test]
 fn pauses_count() {
-    let mut rates = Rates::default();
+    let mut rates = ServiceRates::default();
     rates.record_pauses(0, 0);
     assert!((rates.usable_share - 1.0).abs() < f64::EPSILON);
     for _ in 0..100 {
@@ -40,7 +40,7 @@
 #[test]
 fn prefill_found() {
     fn holds(waits: Vec<u16>) -> bool {
-        let mut rates = Rates::default();
+        let mut rates = ServiceRates::default();
         let waits: Vec<f64> = waits.iter().map(|wait| f64::from(wait % 4_000)).chain([0.0]).collect();
         for round in 0..2_000 {
             // Three in ten find nothing before them.
@@ -49,9 +49,9 @@
             } else {
                 waits[round % waits.len()]
             };
-            rates.first_token(400, 400.0 * 1.5 + wait);
+            rates.record_first_token(400, 400.0 * 1.5 + wait);
         }
-        (1.2..=2.0).contains(&rates.prefill_ms)
+        (1.2..=2.0).contains(&rates.prefill_token_ms)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 91))
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -115,7 +115,7 @@
     pub fn record_version(&self, from: &NodeId, held: u64, newest: u64, now: Tick) -> Option<Progress> {
         let mut inner = self.inner.lock();
         inner.rollout.publish(newest, now);
-        inner.rollout.note(from, held, now);
+        inner.rollout.record_version(from, held, now);
         gauge!("gentian_state_hosts_behind_count").set(inner.rollout.hosts_behind(now) as f64);
         inner.rollout.report(now)
     }
@@ -148,7 +148,7 @@
     /// Gives the number of those who share if it has changed since it was last asked for.
     pub fn changed_count(&self, now: Tick) -> Option<u32> {
         let mut inner = self.inner.lock();
-        let count = inner.sharers.as_ref()?.count(now);
+        let count = inner.sharers.as_ref()?.entry_count(now);
         let changed = count > 0 && count != inner.counted;
         if changed {
             inner.counted = count;
