--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -145,7 +145,7 @@
                 wanted: read(&row.wanted),
                 running: f64::from(row.running),
             };
-            meter.share.hear(peer, told, now);
+            meter.share.record_demand(peer, told, now);
             if let Some(asked) = asked {
                 meter.share.borrow(peer, read(&row.lent), asked);
             }
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -217,7 +217,7 @@
     fn over_quota(&self, over: &OverQuota, account: Option<&str>, asked: &RequestInfo, keep: bool) -> NoService {
         let wait = Duration::from_secs_f64(over.wait_s.clamp(QUOTA_WAIT_S.0, QUOTA_WAIT_S.1));
         info!(self.gate.logger, "over quota"; "request" => &asked.id, "account" => account,
-            "saved" => over.saved as i64, "rate" => over.rate as i64,
+            "saved" => over.balance as i64, "rate" => over.rate as i64,
             "tokens" => asked.tokens.map(|tokens| tokens.prompt + tokens.max_output), "entries" => self.gate.entries());
         let refusal = Refusal::new(429, "not run: over the account's quota").retry_in(wait);
         self.refused(refusal, &asked.id, keep)
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -340,7 +340,7 @@
         let now = self.clock.now();
         let mut repeats = self.repeats.borrow_mut();
         let repeats = repeats.entry(service.clone()).or_default();
-        repeats.request(now, &self.place.retries);
+        repeats.record_request(now, &self.place.retries);
     }
 
     /// Takes a repeated send from the service's budget, if one is left.
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -46,7 +46,7 @@
     /// Takes news of a list that was asked for at a time; the answer came after another.
     pub fn take(&mut self, news: ListUpdate, asked: Tick, took: Duration) {
         if (news.put.len() + news.gone.len()) as u32 >= self.most() / 2 {
-            self.paging.arrived(took);
+            self.paging.record_arrival(took);
         }
         if news.whole {
             self.arriving = Some(Entries::new());
@@ -69,7 +69,7 @@
 
     /// Notes that a beat got no answer in time.
     pub fn lose_page(&mut self) {
-        self.paging.lost();
+        self.paging.record_loss();
     }
 
     /// Tells whether the copy is equal to the leader's list.
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -109,7 +109,7 @@
         let bytes = news.parts.iter().map(|part| part.bytes.len()).sum();
         // The time of a question that waited for news says nothing about the link.
         if self.is_fetching() && bytes >= self.paging.bytes() as usize / 2 {
-            self.paging.arrived(took);
+            self.paging.record_arrival(took);
         }
         for part in news.parts {
             let taken = self.take_part(part);
@@ -123,7 +123,7 @@
 
     /// Notes that a question got no answer in time.
     pub fn lose_page(&mut self) {
-        self.paging.lost();
+        self.paging.record_loss();
     }
 
     fn take_part(&mut self, part: TransferPart) -> Result<(), MirrorError> {
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -229,7 +229,7 @@
         let tried = [self.from.id.clone()];
         let chosen = request.choose(gate, &tried).ok()?;
         // A copy takes a slot there at once.
-        if !chosen.prediction.free || !gate.may_repeat(&request.service) {
+        if !chosen.prediction.has_slot || !gate.may_repeat(&request.service) {
             return None;
         }
         // The copy brings everything that was read.
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -143,7 +143,7 @@
         let mut pace = self.pace.borrow_mut();
         let (reading, rates) = (begun.sent.prefill, pace.rates());
         self.relative
-            .learn(begun.elapsed_ms, rates.base_ms + rates.reading_ms(reading));
+            .learn(begun.elapsed_ms, rates.base_ms + rates.prefill_ms(reading));
         pace.learn(reading, begun.elapsed_ms, self.relative.factor());
     }
 
--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -65,7 +65,7 @@
                 wanted,
                 running: wanted.running,
             };
-            share.hear(peer, told, now);
+            share.record_demand(peer, told, now);
         }
         let part = owned_part(&LIMITS, hosts, 0);
         let mut peer = 0;
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -78,7 +78,7 @@
     }
 
     /// Takes in what a peer tells.
-    pub fn hear(&mut self, peer: u32, told: PeerDemand, now: Tick) {
+    pub fn record_demand(&mut self, peer: u32, told: PeerDemand, now: Tick) {
         self.peers.insert(peer, (now, told));
     }
 
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -73,7 +73,7 @@
 impl EngineRates {
     /// Gives the milliseconds in which an engine reads the rest of a prompt.
     #[must_use]
-    pub fn reading_ms(&self, reading: PrefillWork) -> f64 {
+    pub fn prefill_ms(&self, reading: PrefillWork) -> f64 {
         reading.fresh as f64 * self.token_ms + reading.pairs() * self.attention_ms
     }
 
--- a/crates/policy/src/paging.rs
+++ b/crates/policy/src/paging.rs
@@ -35,7 +35,7 @@
     }
 
     /// Notes that a full page arrived after a time.
-    pub fn arrived(&mut self, took: Duration) {
+    pub fn record_arrival(&mut self, took: Duration) {
         if took <= QUICK {
             self.bytes = MOST.min(self.bytes * 2);
         } else if took >= SLOW {
@@ -44,7 +44,7 @@
     }
 
     /// Notes that a page did not arrive in time.
-    pub fn lost(&mut self) {
+    pub fn record_loss(&mut self) {
         self.shrink();
     }
 
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -115,7 +115,7 @@
     /// Milliseconds that weigh against it besides: requests that run there get no tokens while a long prompt is read.
     pub stall_ms: f64,
     /// Whether it takes the request without queueing it.
-    pub free: bool,
+    pub has_slot: bool,
 }
 
 /// What is asked of an upstream.
@@ -144,7 +144,7 @@
     } else {
         ((filled - CROWDED) / (1.0 - CROWDED)).max(0.0)
     };
-    let reading_ms = option.rates.reading_ms(option.prefill(tokens));
+    let reading_ms = option.rates.prefill_ms(option.prefill(tokens));
     // Until one of the slots is free; a crowded upstream may be full when the request comes.
     let slot_ms = option.rates.run_ms / slots;
     let ms = reading_ms * (1.0 + crowd)
@@ -158,7 +158,7 @@
         prefill_ms: reading_ms,
         backlog_ms: option.backlog_ms,
         stall_ms: held_up * option.load * HARM,
-        free: queued == 0.0,
+        has_slot: queued == 0.0,
     }
 }
 
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -29,7 +29,7 @@
     /// Seconds until there is room for it.
     pub wait_s: f64,
     /// Units that are saved up; below zero what a large request before has taken too much.
-    pub saved: f64,
+    pub balance: f64,
     /// Units a second.
     pub rate: f64,
 }
@@ -69,7 +69,7 @@
             let wait_s = (needed - self.units) / self.rate.max(f64::MIN_POSITIVE);
             return Err(OverQuota {
                 wait_s,
-                saved: self.units,
+                balance: self.units,
                 rate: self.rate,
             });
         }
@@ -89,7 +89,7 @@
         }
         Err(OverQuota {
             wait_s: (units.min(self.burst) - self.units) / self.rate.max(f64::MIN_POSITIVE),
-            saved: self.units,
+            balance: self.units,
             rate: self.rate,
         })
     }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -32,7 +32,7 @@
 
 impl ReportedReclaims {
     /// Notes a reclaim that engines told of.
-    pub fn note(&mut self, group: ReclaimGroup, ends: Tick, now: Tick) {
+    pub fn record(&mut self, group: ReclaimGroup, ends: Tick, now: Tick) {
         self.told.entry(group).or_insert(Told { at: now, ends });
     }
 
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -32,7 +32,7 @@
 
 impl RetryWindow {
     /// Notes a request that a caller sent for the service.
-    pub fn request(&mut self, now: Tick, bounds: &RetryBounds) {
+    pub fn record_request(&mut self, now: Tick, bounds: &RetryBounds) {
         forget(&mut self.requests, bounds.window, now);
         self.requests.push_back(now);
     }
--- a/crates/policy/tests/early_reclaim.rs
+++ b/crates/policy/tests/early_reclaim.rs
@@ -47,7 +47,7 @@
 fn newcomers_stay() {
     let mut reclaims = ReportedReclaims::default();
     let group = (ServiceName::from("m"), Zone::from("z"));
-    reclaims.note(group.clone(), Tick::from_millis(2_000), Tick::from_millis(1_000));
+    reclaims.record(group.clone(), Tick::from_millis(2_000), Tick::from_millis(1_000));
     let mut list = [listed("b", "z", true), listed("e", "z", false)];
     reclaims.apply(&mut list, Tick::from_millis(1_500));
     assert_eq!(list[0].left, Some(Duration::from_millis(500)));
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -216,7 +216,7 @@
             return;
         }
         self.heard[from] = Some(newest);
-        self.share.hear(from as u32, message.told, now);
+        self.share.record_demand(from as u32, message.told, now);
         if let Some((incarnation, sequence)) = message.heard
             && incarnation == self.incarnation
         {
--- a/crates/policy/tests/learnt_pace.rs
+++ b/crates/policy/tests/learnt_pace.rs
@@ -33,7 +33,7 @@
 }
 
 fn seen(rates: &EngineRates, reading: PrefillWork, rng: &mut StdRng) -> f64 {
-    (rates.base_ms + rates.reading_ms(reading)) * rng.random_range(0.95..1.1)
+    (rates.base_ms + rates.prefill_ms(reading)) * rng.random_range(0.95..1.1)
 }
 
 /// Gives by which factor what is learnt differs from what a prompt takes, at most, over prompts of common sizes.
@@ -41,7 +41,7 @@
     let sizes = [(0, 1_500), (0, 8_000), (12_000, 4_000), (0, 25_000)];
     let ratio = |(cached, fresh)| {
         let reading = PrefillWork { cached, fresh };
-        (learnt.reading_ms(reading) / real.reading_ms(reading)).ln().abs()
+        (learnt.prefill_ms(reading) / real.prefill_ms(reading)).ln().abs()
     };
     sizes.into_iter().map(ratio).fold(0.0, f64::max).exp()
 }
@@ -83,7 +83,7 @@
         for (cached, fresh, ms) in answers {
             let reading = PrefillWork { cached: u64::from(cached), fresh: u64::from(fresh) };
             pace.learn(reading, f64::from(ms), own.factor());
-            own.learn(f64::from(ms), pace.rates().reading_ms(reading));
+            own.learn(f64::from(ms), pace.rates().prefill_ms(reading));
         }
         let EngineRates { base_ms, token_ms, attention_ms: pairs_ms, .. } = pace.rates();
         [base_ms, token_ms, pairs_ms, own.factor()].iter().all(|rate| rate.is_finite() && *rate > 0.0)
--- a/crates/policy/tests/node_choice.rs
+++ b/crates/policy/tests/node_choice.rs
@@ -53,16 +53,16 @@
 fn smaller_pages() {
     let mut paging = PageSize::default();
     let first = paging.bytes();
-    paging.lost();
+    paging.record_loss();
     assert!(paging.bytes() <= first / 2);
     for _ in 0..40 {
-        paging.lost();
+        paging.record_loss();
     }
     let least = paging.bytes();
     assert!(
         (1..=2_048).contains(&least),
         "{least} bytes would not pass 20 kbit/s in time"
     );
-    paging.arrived(Duration::from_millis(20));
+    paging.record_arrival(Duration::from_millis(20));
     assert!(paging.bytes() > least);
 }
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -37,14 +37,14 @@
 }
 
 fn reading_ms(cached: u64, fresh: u64) -> f64 {
-    RATES.reading_ms(PrefillWork { cached, fresh })
+    RATES.prefill_ms(PrefillWork { cached, fresh })
 }
 
 fn sent(fresh: u64, predicted_ms: f64) -> SentRequest {
     let reading = PrefillWork { cached: 0, fresh };
     SentRequest {
         prefill: reading,
-        prefill_ms: RATES.reading_ms(reading),
+        prefill_ms: RATES.prefill_ms(reading),
         predicted_ms,
         unqueued: true,
     }
--- a/crates/policy/tests/repeat_budget.rs
+++ b/crates/policy/tests/repeat_budget.rs
@@ -21,7 +21,7 @@
     let mut repeats: Vec<u64> = Vec::new();
     for ms in (0..40_000).step_by(10) {
         let host = &mut hosts[ms as usize / 10 % HOSTS];
-        host.request(Tick::from_millis(ms), &BOUNDS);
+        host.record_request(Tick::from_millis(ms), &BOUNDS);
         if host.take(Tick::from_millis(ms), &BOUNDS, HOSTS as u32) {
             repeats.push(ms);
         }
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -130,7 +130,7 @@
     /// Notes a reclaim that engines told of in a term; the list names their group as leaving at once.
     pub fn record_reclaim(&self, term: u64, group: ReclaimGroup, ends: Tick, now: Tick) {
         let mut inner = self.inner.lock();
-        inner.reclaims.note(group, ends, now);
+        inner.reclaims.record(group, ends, now);
         if let Some((list, asked)) = inner.list.list() {
             let mut list = list.to_vec();
             inner.reclaims.apply(&mut list, asked);
