--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -1,4 +1,4 @@
-//! What an upstream still has to read, as far as an entry host can tell.
+//! Estimate of the prefill work that is still queued at an upstream, as seen from one entry host.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,46 +6,47 @@
 use crate::Tick;
 use crate::pace::PrefillWork;
 
-/// Longest that a request without a first event is taken for a sign of a backlog; one that waits longer has got lost.
+/// Longest wait for a first event that counts as a sign of a backlog; a request that waits longer is taken for lost.
 const LONGEST_WAIT: Duration = Duration::from_secs(3);
 
-/// A request that was sent, with what was expected of it.
+/// A request that was sent to an upstream, with the predictions made for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SentRequest {
-    /// What its prompt asks of the upstream.
+    /// Prefill work of its prompt.
     pub prefill: PrefillWork,
-    /// Milliseconds in which the prompt is read.
+    /// Predicted time to prefill its prompt, in milliseconds.
     pub prefill_ms: f64,
-    /// Milliseconds until its answer was predicted to begin.
+    /// Predicted time to its first event, in milliseconds.
     pub predicted_ms: f64,
-    /// Whether nothing was known to go before it, so that the time to its first event is that of its own prompt.
+    /// Whether no other work was known to be queued before it, so that its time to first event measures its own prompt
+    /// only.
     pub unqueued: bool,
 }
 
-/// A request that got its first event.
+/// A request whose first event has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstEvent {
-    /// What was expected.
+    /// The request as it was sent.
     pub sent: SentRequest,
-    /// Milliseconds since it was sent.
+    /// Time from sending to the first event, in milliseconds.
     pub elapsed_ms: f64,
 }
 
-/// The prompts that were sent to an upstream and may not be read yet.
+/// Prompts sent to one upstream whose prefill may not be finished.
 ///
-/// Prompts are read one after the other. One of fifty thousand tokens takes most of a second, and whatever is sent to the
-/// same upstream meanwhile is late, although the count of its requests is low.
+/// An engine prefills one prompt after the other. A prompt of 50,000 tokens takes most of a second, and whatever is
+/// sent to the same upstream meanwhile is late, although its number of running requests is low.
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
-    /// When the prompts that were sent will have been read.
+    /// When all prompts sent so far are predicted to be prefilled.
     read_at: Tick,
-    /// Requests without a first event, and when they were sent.
+    /// Requests without a first event, by number, with the time at which they were sent.
     waiting: HashMap<u64, (Tick, SentRequest)>,
     next: u64,
 }
 
 impl Backlog {
-    /// Notes a request; gives the number under which it waits.
+    /// Records a sent request and returns the number to pass to [`Backlog::first_event`] or [`Backlog::ended`].
     pub fn sent(&mut self, sent: SentRequest, now: Tick) -> u64 {
         self.read_at = self.read_at.max(now) + Duration::from_secs_f64(sent.prefill_ms / 1_000.0);
         self.next += 1;
@@ -53,7 +54,8 @@
         self.next
     }
 
-    /// Notes that a request got its first event; gives what was expected of it and what came, the first time.
+    /// Records the first event of a request; returns `None` if the request is unknown or has already had its first
+    /// event.
     pub fn first_event(&mut self, number: u64, now: Tick) -> Option<FirstEvent> {
         let (at, sent) = self.waiting.remove(&number)?;
         let seen_ms = now.since(at).as_secs_f64() * 1_000.0;
@@ -63,25 +65,26 @@
         })
     }
 
-    /// Notes that a request ended without one.
+    /// Records that a request ended without a first event.
     pub fn ended(&mut self, number: u64) {
         self.waiting.remove(&number);
     }
 
-    /// Gives the milliseconds of own prompts that are not read yet.
+    /// Returns the predicted time until this host's own prompts are prefilled, in milliseconds.
     #[must_use]
     pub fn pending_ms(&self, now: Tick) -> f64 {
         self.read_at.since(now).as_secs_f64() * 1_000.0
     }
 
-    /// Gives when the request was sent that has waited longest for its first event.
+    /// Returns the time at which the longest waiting request was sent; `None` if all have had their first event.
     #[must_use]
     pub fn oldest(&self) -> Option<Tick> {
         self.waiting.values().map(|(at, _)| *at).min()
     }
 
-    /// Gives by how many milliseconds requests wait longer than was predicted: others have sent prompts there, or it is slow or
-    /// silent.
+    /// Returns the largest overrun of a predicted time to first event, in milliseconds.
+    ///
+    /// An overrun means that other entry hosts have sent prompts there, or that the upstream is slow or hangs.
     #[must_use]
     pub fn overdue_ms(&self, now: Tick) -> f64 {
         let longer = |(at, sent): &(Tick, SentRequest)| {
@@ -91,7 +94,8 @@
         self.waiting.values().filter_map(longer).fold(0.0, f64::max)
     }
 
-    /// Gives the milliseconds of work that goes before a new request: what is not read yet, or by how much requests are overdue.
+    /// Returns the predicted delay of a new request, in milliseconds: the larger of the pending prefill and the
+    /// overrun.
     #[must_use]
     pub fn total_ms(&self, now: Tick) -> f64 {
         self.pending_ms(now).max(self.overdue_ms(now))
--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -4,12 +4,12 @@
 
 use crate::Tick;
 
-/// Failures in a row after which the breaker opens.
+/// Consecutive failures that open the breaker.
 pub const FAILURES: u32 = 3;
-/// Shortest and longest time for which it stays open.
+/// Shortest and longest time that the breaker stays open.
 pub const PAUSE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(30));
 
-/// Keeps requests away from an upstream that fails, and lets single probes through.
+/// Blocks requests to a failing upstream and lets single probes through.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Breaker {
     state: State,
@@ -17,11 +17,11 @@
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// Requests pass; so many failed in a row.
+    /// Requests pass; `failures` is the number of consecutive failures.
     Closed { failures: u32 },
-    /// No request passes until the time; it has opened so many times in a row.
+    /// No request passes before `until`; `times` is the number of reopenings in a row.
     Open { until: Tick, times: u32 },
-    /// One probe is under way; if nothing is heard of it until the time, another may go.
+    /// One probe is in flight; another may follow at `until` if the first has no outcome by then.
     Probing { until: Tick, times: u32 },
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Breaker {
-    /// Tells whether a request may go there now.
+    /// Returns whether a request may be sent now.
     #[must_use]
     pub fn allows(&self, now: Tick) -> bool {
         match self.state {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Gives the time at which the next probe may go; absent while the breaker is closed.
+    /// Returns the time of the next probe; `None` while the breaker is closed.
     #[must_use]
     pub const fn probe_at(&self) -> Option<Tick> {
         match self.state {
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Takes the right to send one request, if there is one.
+    /// Claims the right to send one request; returns whether it was granted.
     ///
-    /// Asking and taking are one step. If they were two, every thread that asks while the probe is due would send one,
-    /// and an upstream that struggles to its feet would be hit by as many requests as there are threads.
+    /// Check and claim are a single step: with two, every thread that checks while a probe is due would send one, and a
+    /// recovering upstream would get as many requests as there are threads.
     pub fn claim(&mut self, now: Tick) -> bool {
         let allowed = self.allows(now);
         if allowed && let State::Open { times, .. } | State::Probing { times, .. } = self.state {
@@ -63,15 +63,15 @@
         allowed
     }
 
-    /// Notes an answer.
+    /// Records a successful answer, which closes the breaker.
     pub fn succeeded(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure.
+    /// Records a failure.
     ///
-    /// Requests that were under way when the breaker opened fail too; they change nothing, so that a hundred of them
-    /// don't lengthen the pause a hundred times.
+    /// Requests in flight when the breaker opens fail as well. They are ignored, so that a hundred such failures do not
+    /// lengthen the pause a hundred times.
     pub fn failed(&mut self, now: Tick) {
         self.state = match self.state {
             State::Closed { failures } if failures + 1 < FAILURES => State::Closed { failures: failures + 1 },
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,11 +1,11 @@
-//! A budget for retries: a share of recent successes, so that retries cannot amplify an outage.
+//! A retry budget: a share of recent successes, so that retries cannot amplify an outage.
 
-/// Retries that are saved up at most; older successes than those that pay for them no longer count.
+/// Most retries that can be saved up; successes older than those that pay for them no longer count.
 pub const MOST: f64 = 10.0;
-/// Parts of one retry; whole numbers, so that ten tenths pay for one retry and not for a little less.
+/// Units of one retry. Integers avoid rounding: ten successes at a tenth each pay for exactly one retry.
 const PARTS: u32 = 1_000;
 
-/// Counts how many retries may still be made.
+/// The retries that may still be made.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     share: u32,
@@ -13,7 +13,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget in which each success pays for a share of a retry, counted in thousandths.
+    /// Creates a full budget in which each success pays for `share` of a retry, rounded to thousandths.
     #[must_use]
     pub fn new(share: f64) -> Self {
         Self {
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Notes a first attempt that succeeded.
+    /// Records a first attempt that succeeded.
     pub fn succeeded(&mut self) {
         self.saved = self.saved.saturating_add(self.share).min(MOST as u32 * PARTS);
     }
 
-    /// Takes a retry from the budget, if one is left.
+    /// Takes one retry from the budget; returns whether one was left.
     pub fn take(&mut self) -> bool {
         let left = self.saved >= PARTS;
         if left {
--- a/crates/policy/src/cache.rs
+++ b/crates/policy/src/cache.rs
@@ -1,47 +1,47 @@
-//! Cache events of one engine: late, doubled and with gaps.
+//! KV cache events of one engine, which may arrive late, twice or with gaps.
 
 use std::collections::BTreeMap;
 
-/// Something that an engine tells of one block.
+/// A change of one block in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Position among all events of the engine; it grows by one.
+    /// Sequence number among all events of the engine, in steps of one.
     pub sequence: u64,
     /// Hash of the prefix that ends with the block.
     pub block: u64,
-    /// Stored when true, evicted when false.
+    /// `true` if the block was stored, `false` if it was evicted.
     pub stored: bool,
 }
 
-/// What a batch of events means.
+/// The outcome of applying a batch of events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// The events that are new, oldest first, at most one a block.
+    /// New events, oldest first, at most one for each block.
     pub fresh: Vec<CacheEvent>,
-    /// Events that were lost before or between them.
+    /// Number of missing events before or between the new ones.
     pub lost: u64,
-    /// The engine counts from the start again: its cache is empty but for what the fresh events say.
+    /// Whether the engine restarted its sequence: its cache is empty except for the blocks in `fresh`.
     pub restarted: bool,
 }
 
-/// How far the events of one engine were read.
+/// Read position in the events of one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventCursor {
     seen: u64,
 }
 
 impl EventCursor {
-    /// Gives the position after which to ask for events.
+    /// Returns the sequence number after which to request events.
     ///
-    /// The newest known event is asked for once more: if it doesn't come, the engine was restarted and counts anew.
-    /// Without the overlap a restarted engine would look like one to which nothing happens, and its cache would be
-    /// believed in for ever.
+    /// The newest known event is requested again. If the answer lacks it, the engine was restarted and counts from the
+    /// start. Without this overlap, a restarted engine would look like an idle one and its old cache contents would be
+    /// assumed for ever.
     #[must_use]
     pub const fn after(&self) -> u64 {
         self.seen.saturating_sub(1)
     }
 
-    /// Sorts out what is new in an answer to a question after [`EventCursor::after`].
+    /// Extracts the new events from the answer to a request after [`EventCursor::after`].
     pub fn apply(&mut self, answer: &[CacheEvent]) -> Applied {
         let newest = answer.iter().map(|event| event.sequence).max().unwrap_or_default();
         let restarted = newest < self.seen;
@@ -52,7 +52,7 @@
         let mut fresh: BTreeMap<u64, CacheEvent> = new.map(|event| (event.sequence, *event)).collect();
         let missing = newest.saturating_sub(self.seen) - fresh.len() as u64;
         self.seen = self.seen.max(newest);
-        // Only the last word on a block counts.
+        // Only the latest event of a block counts.
         let last: BTreeMap<u64, u64> = fresh.values().map(|event| (event.block, event.sequence)).collect();
         fresh.retain(|sequence, event| last.get(&event.block) == Some(sequence));
         Applied {
@@ -63,18 +63,19 @@
     }
 }
 
-/// How far the belief in an engine's cached blocks is to be trusted, from 1 down to a little.
+/// Confidence in the assumed cache contents of an engine: at most 1 and never 0.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheTrust(f64);
 
-/// What a gap in which everything was lost takes from the trust.
+/// Share of the trust that is lost with a gap in which all events are missing.
 ///
-/// Most lost events tell of other prompts that were stored, so that a gap alone says little; the engine's own counts say
-/// more, and would be drowned if each gap weighed heavily.
+/// Most missing events store blocks of other prompts, so a gap alone says little. The engine's own counts are a better
+/// signal, and a large weight of each gap would drown them out.
 const GAP_WEIGHT: f64 = 0.05;
-/// Weight of one count of an engine against all earlier ones.
+/// Weight of the newest cache hit count in the moving average.
 const COUNT_WEIGHT: f64 = 0.2;
-/// The least trust; a little is kept, so that an engine can show by its counts that it has earned more.
+/// Lower bound of the trust, above zero so that prompts still reach the engine and its hit counts can raise the trust
+/// again.
 const LEAST: f64 = 0.1;
 
 impl Default for CacheTrust {
@@ -84,19 +85,21 @@
 }
 
 impl CacheTrust {
-    /// Gives the share of the believed words that are likely to be there.
+    /// Returns the share of the words assumed to be cached that are likely to be there.
     #[must_use]
     pub const fn share(self) -> f64 {
         self.0
     }
 
-    /// Takes in that events were lost, each of which may have been an eviction.
+    /// Lowers the trust for `lost` missing events, each of which may have been an eviction, beside `fresh` received
+    /// ones.
     pub fn record_lost(&mut self, lost: u64, fresh: usize) {
         let share = lost as f64 / (lost + fresh as u64).max(1) as f64;
         self.0 = (self.0 * (1.0 - share * GAP_WEIGHT)).max(LEAST);
     }
 
-    /// Takes in an engine's own count of the cached words of a prompt against what was believed.
+    /// Adjusts the trust by the cached words that an engine counted in a prompt, against the words assumed to be
+    /// cached.
     pub fn record_count(&mut self, believed: u64, cached: u64) {
         if believed > 0 {
             let share = (cached as f64 / believed as f64).min(1.0);
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queueing between customers, earliest latest-start first within one.
+//! Weighted fair queueing between customers; within a customer the request with the earliest start deadline goes first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,32 +10,32 @@
 /// A request that waits for admission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
-    /// Distinguishes it from other tickets.
+    /// Unique among all tickets.
     pub id: u64,
-    /// The customer in whose name it is made.
+    /// The customer that the request is charged to.
     pub customer: CustomerId,
-    /// The customer's weight.
+    /// The customer's weight in the queue; zero counts as one.
     pub weight: u32,
     /// Expected work, in tokens.
     pub tokens: f64,
-    /// Latest start with which it can still be on time.
+    /// Latest start at which the request still meets its target.
     pub latest_start: Tick,
-    /// Order of shedding: higher numbers go first.
+    /// Order in which a full queue drops requests of the customer; higher values are dropped first.
     pub shed_order: u8,
 }
 
-/// Why a request was refused; it was not run.
+/// Why a request was refused. A refused request was not run.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The queue holds as many requests as it may.
+    /// The queue is full, and no other request may be dropped for this one.
     #[display("the queue is full")]
     QueueFull,
-    /// It can't be on time.
+    /// The request cannot meet its target any more.
     #[display("it can no longer be on time")]
     TooLate,
 }
 
-/// A bounded queue that shares capacity by weight.
+/// A bounded queue that divides capacity between customers by weight.
 #[derive(Debug)]
 pub struct FairQueue {
     bound: usize,
@@ -44,13 +44,13 @@
     lines: BTreeMap<CustomerId, Line>,
 }
 
-/// One customer's waiting requests.
+/// The waiting requests of one customer.
 #[derive(Debug, Default)]
 struct Line {
-    /// Virtual time at which the next request starts.
+    /// Virtual start time of the next request.
     start: f64,
     share: f64,
-    /// Waiting work in tokens.
+    /// Waiting work, in tokens.
     work: f64,
     order: BTreeSet<(Tick, u64)>,
     sheds: BTreeSet<(u8, Tick, u64)>,
@@ -58,7 +58,7 @@
 }
 
 impl FairQueue {
-    /// Makes a queue that holds at most `bound` requests.
+    /// Creates a queue of at most `bound` requests.
     #[must_use]
     pub const fn new(bound: usize) -> Self {
         Self {
@@ -69,30 +69,31 @@
         }
     }
 
-    /// Gives the number of waiting requests.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.length
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Changes the bound; requests beyond a smaller one stay.
+    /// Changes the bound; requests already queued beyond a smaller bound stay.
     pub const fn set_bound(&mut self, bound: usize) {
         self.bound = bound;
     }
 
-    /// Queues a request; a full queue makes room by shedding another, which is returned.
+    /// Queues a request. If the queue is full, another request is dropped for it and returned.
     ///
-    /// The victim is of the customer that waits with the most work for its share, so that a customer that floods the
-    /// queue pays for it alone. Of that customer it is the request that its contract sheds first.
+    /// The dropped request belongs to the customer with the most waiting work for its weight, so that a customer that
+    /// floods the queue only harms itself. Among that customer's requests it is the one with the highest
+    /// [`Ticket::shed_order`].
     ///
     /// # Errors
-    /// Refuses the request when it is too late already or is the victim itself.
+    /// Refuses a request whose start deadline has passed, or that would itself be the one to drop.
     pub fn push(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, RefusalReason> {
         if ticket.latest_start < now {
             return Err(RefusalReason::TooLate);
@@ -105,7 +106,8 @@
         let virtual_time = self.virtual_time;
         let line = self.lines.entry(ticket.customer.clone()).or_default();
         if line.tickets.is_empty() {
-            // An idle customer starts at the present, so that it can't save up a burst that starves the others.
+            // A customer that was idle starts at the current virtual time; otherwise it could save up a burst that
+            // starves others.
             line.start = line.start.max(virtual_time);
         }
         line.add(ticket);
@@ -113,7 +115,7 @@
         Ok(shed)
     }
 
-    /// Takes the request that is next by share and, within the customer, by latest start.
+    /// Removes and returns the next request: by virtual start time, and within the customer by start deadline.
     pub fn pop(&mut self) -> Option<Ticket> {
         let waiting = self.lines.values_mut().filter(|line| !line.tickets.is_empty());
         let line = waiting.min_by(|a, b| a.start.total_cmp(&b.start))?;
@@ -126,7 +128,7 @@
         Some(ticket)
     }
 
-    /// Gives the tokens that are served before a request if it is queued now.
+    /// Returns the work, in tokens, that would be served before the request if it was queued now.
     #[must_use]
     pub fn work_ahead(&self, ticket: &Ticket) -> f64 {
         let own = self.lines.get(&ticket.customer);
@@ -138,7 +140,7 @@
         before + served.sum::<f64>()
     }
 
-    /// Takes out every request that can no longer be on time.
+    /// Removes and returns the requests whose start deadline has passed.
     pub fn expire(&mut self, now: Tick) -> Vec<Ticket> {
         let mut late = Vec::new();
         for line in self.lines.values_mut() {
@@ -152,14 +154,14 @@
         late
     }
 
-    /// Takes out one request whose caller has gone away.
+    /// Removes a waiting request, for example because its caller disconnected.
     pub fn remove(&mut self, customer: &CustomerId, id: u64) -> Option<Ticket> {
         let ticket = self.lines.get_mut(customer)?.take(id)?;
         self.length -= 1;
         Some(ticket)
     }
 
-    /// Takes out the victim of a full queue, unless it is the new request itself.
+    /// Removes the request to drop from a full queue; `None` if that is the new request itself.
     fn shed_for(&mut self, ticket: &Ticket) -> Option<Ticket> {
         let share = f64::from(ticket.weight.max(1));
         let weight = |(customer, line): &(&CustomerId, &mut Line)| {
@@ -178,7 +180,7 @@
                 return None;
             }
         } else if ticket.tokens / share > line.work / line.share {
-            // A single request that alone outweighs all that any other customer has waiting.
+            // This request alone exceeds the waiting work of every other customer.
             return None;
         }
         let (_, _, id) = *line.sheds.last()?;
@@ -187,7 +189,7 @@
         Some(victim)
     }
 
-    /// Drops customers that wait for nothing and have no more than their share behind them.
+    /// Forgets customers without waiting requests that have used no more than their share.
     fn forget_idle(&mut self) {
         let virtual_time = self.virtual_time;
         self.lines
@@ -208,7 +210,7 @@
         let ticket = self.tickets.remove(&id)?;
         self.order.remove(&(ticket.latest_start, id));
         self.sheds.remove(&(ticket.shed_order, ticket.latest_start, id));
-        // Rounding errors must not pile up while the line is never empty.
+        // The sum is reset whenever it can be: rounding errors would add up otherwise.
         self.work = if self.tickets.is_empty() {
             0.0
         } else {
@@ -217,7 +219,7 @@
         Some(ticket)
     }
 
-    /// Gives the customer's own work that goes before a request.
+    /// Returns the customer's own work, in tokens, that would be served before the request.
     fn before(&self, ticket: &Ticket) -> f64 {
         let earlier = self.order.range(..(ticket.latest_start, ticket.id));
         earlier
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,72 +1,75 @@
-//! How many upstreams of a service are ordered in each data centre, by count and kind.
+//! Number of upstreams to order for a service in each data centre, on-demand and reclaimable.
 //!
-//! Reclaimable upstreams are cheap and are taken away a data centre at a time, so there are more of them than the load
-//! needs, spread evenly. A small number of on-demand upstreams is never taken away. While reclaimable ones are not to be
-//! had, on-demand ones stand in as far as the load needs it.
+//! Reclaimable upstreams are cheap and are reclaimed a data centre at a time, so more of them are ordered than the load
+//! needs, spread evenly. A few on-demand upstreams remain as a floor. While reclaimable ones are unavailable, on-demand
+//! ones replace them as far as the load needs it.
 
 use std::collections::BTreeMap;
 
 use contract::{Scaling, Zone};
 
-/// Requests that one upstream runs at once while first events are on time. Measured on the users' sheets: at sixteen
-/// running requests an engine reads prompts half of the time.
+/// Concurrent requests at which one upstream still sends first events on time: at sixteen, an engine prefills half of
+/// the time.
 const PER_UPSTREAM: f64 = 16.0;
-/// Part of its time that an upstream may spend on reading prompts. Prompts are read one after the other and hold up the
-/// tokens of all others; beyond a half, first events wait behind several prompts.
+/// Share of its time that an upstream may spend on prefill. Prompts are prefilled one after the other and delay the
+/// tokens of all other requests; beyond a half, first events wait for several prompts.
 const READING: f64 = 0.45;
-/// Part of an upstream's slots that may be filled; requests come in bunches, and one that finds no slot waits for a whole run.
+/// Share of an upstream's slots to plan for. Requests arrive in bursts, and one that finds no free slot waits for a
+/// whole run.
 const FILLED: f64 = 0.5;
-/// Factor and number of upstreams by which running requests may raise the need beyond what prompts ask for.
+/// Factor on the upstreams needed for prefill, and number added to it, up to which running requests may raise the need.
 const BACKLOG: (f64, f64) = (1.5, 3.0);
-/// Fewest upstreams that the load is taken to need: with fewer, one that fails takes a third of the service along.
+/// Least need that is planned for: with fewer upstreams, one that fails takes a third of the service's capacity with
+/// it.
 const FEWEST: u32 = 3;
-/// Reclaimable upstreams for each that is needed, so that two of four data centres may be lost at once.
+/// Reclaimable upstreams for each needed one: two of four data centres may be lost at once.
 const SPARE: f64 = 2.0;
-/// Part of the needed upstreams that is always on-demand, so that the loss of all others leaves a thin service until
-/// on-demand ones have started.
+/// Share of the needed upstreams that is always on-demand, so that some service remains after the loss of all others
+/// until new on-demand ones have started.
 const FLOOR: f64 = 0.25;
 
-/// Part of the needed upstreams that is kept on-demand on top in a wave of reclaims. Load grew by a fifth within a wave, and
-/// upstreams that had been given up were ordered anew: for four seconds a fifth of all answers was late.
+/// Share of the needed upstreams that is kept on-demand in addition during a wave of reclaims. Load grew by a fifth
+/// within a wave; upstreams given up before had to be ordered again, and a fifth of all answers was late for four
+/// seconds.
 const KEPT: f64 = 0.25;
 
-/// What there is in one data centre.
+/// Upstreams available in one data centre.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneSupply {
-    /// On-demand upstreams that are ready, or ordered and starting.
+    /// On-demand upstreams that are ready or starting.
     pub on_demand: u32,
-    /// Reclaimable ones that are ready.
+    /// Reclaimable upstreams that are ready.
     pub reclaimable: u32,
-    /// Whether reclaimable ones were refused lately, so that a wave of reclaims is likely under way.
+    /// Whether an order of reclaimable upstreams was refused lately, which hints at a wave of reclaims.
     pub scarce: bool,
-    /// Whether its reclaimable ones were called back a moment ago, within the time in which an upstream starts.
+    /// Whether its reclaimable upstreams were reclaimed within the last start time of an upstream.
     pub reclaimed: bool,
-    /// Whether they were refused just now, so that asking again is of no use yet.
+    /// Whether an order of reclaimable upstreams was refused so recently that another would be refused too.
     pub backing_off: bool,
 }
 
-/// What there shall be in one data centre.
+/// Target number of upstreams in one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneTarget {
     /// On-demand upstreams.
     pub on_demand: u32,
-    /// Reclaimable ones.
+    /// Reclaimable upstreams.
     pub reclaimable: u32,
 }
 
-/// Gives the upstreams that are needed for so many requests at once, whose prompts keep so many busy with reading.
+/// Returns the number of upstreams needed for `running` concurrent requests whose prefill keeps `busy` upstreams busy.
 ///
-/// The count of requests alone says too little: with long prompts an upstream is full while few run there.
+/// The number of requests alone is not enough: with long prompts an upstream is at its limit with few requests.
 #[must_use]
 pub fn upstreams_needed(running: f64, busy: f64, slots: u32) -> f64 {
     let reading = busy / READING;
-    // Under too much load requests pile up. Upstreams that are ordered for the pile start when it is gone.
+    // Under overload requests queue up, and upstreams ordered for that queue would start after it has drained.
     let piled = BACKLOG.0 * reading + BACKLOG.1;
     let each = PER_UPSTREAM.min(f64::from(slots.max(2)) * FILLED);
     reading.max((running / each).min(piled))
 }
 
-/// Plans the upstreams of a service of which so many are needed.
+/// Plans the upstreams of a service that needs `needed` of them.
 #[must_use]
 pub fn plan(present: &BTreeMap<Zone, ZoneSupply>, scaling: &Scaling, needed: f64) -> BTreeMap<Zone, ZoneTarget> {
     let zones = by_price(present, scaling);
@@ -86,8 +89,8 @@
     let sure = if dry { usable - soon_lost(present) } else { usable };
     let missing = needed.saturating_sub(sure).max(floor);
     let held: u32 = present.values().map(|there| there.on_demand).sum();
-    // What is there already is kept first: an upstream that is drained and ordered anew elsewhere loses its cache.
-    // In a wave some more are kept than the load of the moment asks for: what is given up takes seconds to come back.
+    // Existing upstreams are kept first: one that is replaced elsewhere loses its cache. During a wave of reclaims more
+    // are kept than the current load needs, since a replacement takes seconds to start.
     let spare = if dry { f64::from(needed) * KEPT } else { 0.0 };
     let keep = held.min(missing + spare.ceil() as u32);
     place(&mut wanted, keep, &zones, |zone, there| {
@@ -107,11 +110,11 @@
     wanted
 }
 
-/// Gives the reclaimable upstreams that a wave of reclaims may take before on-demand ones that are ordered now have started: as
-/// many data centres as were called back in the last such time, the fullest ones.
+/// Returns the number of reclaimable upstreams that may be lost before on-demand ones ordered now have started. As many
+/// data centres are assumed to be lost as were reclaimed within the last start time, at least one, the fullest first.
 ///
-/// What is ordered when one goes starts seconds too late for the next. Where data centres go three seconds after one another
-/// and an upstream starts in four, the next two are gone by then.
+/// An upstream ordered at one loss starts too late for the next: where data centres are lost three seconds apart and an
+/// upstream starts in four, two more are gone by then.
 fn soon_lost(present: &BTreeMap<Zone, ZoneSupply>) -> u32 {
     let mut counts: Vec<u32> = present.values().map(|there| there.reclaimable).collect();
     counts.sort_unstable_by(|a, b| b.cmp(a));
@@ -142,8 +145,8 @@
     }
 }
 
-/// Gives up no reclaimable upstream while others can't be had: a lower load for a moment would cost what can't be replaced.
-/// Where they can't be had, their places are left for on-demand ones.
+/// Keeps all reclaimable upstreams while no more can be ordered: those given up in a short lull could not be replaced.
+/// A data centre that refuses orders gets no more than it has, which leaves room for on-demand upstreams.
 fn keep_reclaimable(wanted: &mut BTreeMap<Zone, ZoneTarget>, present: &BTreeMap<Zone, ZoneSupply>) {
     for (zone, there) in wanted {
         let Some(held) = present.get(zone) else {
@@ -157,7 +160,8 @@
     }
 }
 
-/// Adds on-demand upstreams, the cheapest data centre with room first and one after the other.
+/// Adds on-demand upstreams one by one to the data centre that has fewest and still has room; of equals, to the
+/// cheapest.
 fn place(
     wanted: &mut BTreeMap<Zone, ZoneTarget>,
     count: u32,
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -1,8 +1,9 @@
-//! Whether the home of a prompt holds its shared parts, although this entry host has not sent them there.
+//! Probability that the home of a prompt has cached its shared parts, although this entry host has not sent them there.
 //!
-//! All entry hosts agree on one upstream for each shared part, its home. With eighty of them each has sent one in eighty of
-//! the prompts that share it, so that what it remembers says little. How often it sends such prompts itself tells how often
-//! the others do, and with the time for which the upstream has been there, how likely one of them has had the part read.
+//! All entry hosts agree on one upstream for each shared part, its home. With eighty entry hosts, each sends one in
+//! eighty of the prompts that share a part, so its own history says little. Its own rate of such prompts estimates that
+//! of the others. With the uptime of the upstream, this gives the probability that one of them has already had the part
+//! prefilled there.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,15 +11,15 @@
 use crate::Tick;
 use crate::place::Candidate;
 
-/// Time after which what was counted weighs half, so that a change of what callers ask for shows within a minute.
+/// Interval after which the counts are halved, so that a change of the traffic shows within a minute.
 const HALVED: Duration = Duration::from_secs(30);
-/// Shared parts that are counted; beyond it those that are used least are taken for average.
+/// Most shared parts that are counted; any beyond that count as average.
 const MAX_PARTS: usize = 8_192;
 
-/// How often this entry host sends prompts by their innermost shared part.
+/// Prompts sent by this entry host, counted by their innermost shared part.
 #[derive(Clone, Debug, Default)]
 pub struct PartUsage {
-    /// When the first was sent, moved on as counts are halved.
+    /// Time of the first prompt, moved forward whenever the counts are halved.
     since: Option<Tick>,
     halved: Tick,
     all: f64,
@@ -26,7 +27,7 @@
 }
 
 impl PartUsage {
-    /// Notes a prompt by the key of its innermost shared part.
+    /// Counts a prompt by the key of its innermost shared part.
     pub fn record(&mut self, key: u64, now: Tick) {
         if self.since.is_none() {
             self.since = Some(now);
@@ -54,9 +55,10 @@
         });
     }
 
-    /// Gives how often this entry host sends prompts of a part, a second.
+    /// Returns the rate, per second, at which this entry host sends prompts with a part.
     ///
-    /// A part that was seen once or never is taken for one of average use; with more sights its own count tells.
+    /// One average sighting is added to the count, so that unknown and rare parts get about the average rate and
+    /// frequent parts their own.
     fn per_s(&self, key: u64, now: Tick) -> f64 {
         let Some(since) = self.since.filter(|_| self.all > 0.0) else {
             return 0.0;
@@ -67,25 +69,26 @@
         (count + 1.0) / (span + one_each).max(f64::EPSILON)
     }
 
-    /// Gives the probability that one of so many other entry hosts has had a part read in a time.
+    /// Returns the probability that one of `others` entry hosts has sent a prompt with the part within `uptime`.
     #[must_use]
     pub fn cached_by_others(&self, key: u64, others: u32, there: Duration, now: Tick) -> f64 {
         let uses = self.per_s(key, now) * f64::from(others) * there.as_secs_f64();
         -(-uses).exp_m1()
     }
 
-    /// Gives for how long prompts have been sent.
+    /// Returns the time for which prompts have been counted.
     #[must_use]
     pub fn observed_span(&self, now: Tick) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.since(since))
     }
 }
 
-/// Takes the home of a prompt to hold its shared parts, so many tokens, as far as that is likely.
+/// Raises the cached tokens of the home to the `shared` tokens of the prompt's shared parts, times the probability
+/// `likely` that they are cached there.
 ///
-/// If only own prompts counted, all entry hosts would leave a home that is busy for a moment, read the parts at many upstreams,
-/// and make these busy. If homes counted as holding everything at all times, prompts of forty thousand tokens would be sent to
-/// one that has just started as if there was nothing to read, and the next ones behind them.
+/// With own prompts only, all entry hosts would leave a home that is busy for a moment, prefill the parts at many
+/// upstreams and overload those. With everything assumed cached, prompts of 40,000 tokens would go to a home that has
+/// just started as if there was nothing to prefill, and the next prompts would queue behind them.
 pub fn assume_home_cached(options: &mut [Candidate], shared: u64, likely: impl Fn(&Candidate) -> f64) {
     if let Some(home) = options.iter_mut().max_by_key(|option| option.weight) {
         let believed = (shared as f64 * likely(home)) as u64;
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -1,4 +1,4 @@
-//! Admission to everything that serves one model or service.
+//! Admission of requests to the upstreams of one model or service.
 
 use std::time::Duration;
 
@@ -7,41 +7,41 @@
 use crate::Tick;
 use crate::fair::{FairQueue, RefusalReason, Ticket};
 
-/// Weight of one finished request against all earlier ones.
+/// Weight of the newest finished request in the moving averages.
 const WEIGHT: f64 = 0.05;
-/// Finished requests before the measured rate is believed.
+/// Finished requests before the averages are used.
 const FIRST: u32 = 10;
-/// Shortest and longest time after which a refused caller is asked to come back.
+/// Shortest and longest time after which a refused caller is told to retry.
 const RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_mins(1));
-/// Time after which a caller is asked to come back when nothing is up that could serve it.
+/// Time after which a caller is told to retry while no upstream is available.
 pub const NOTHING_UP: Duration = Duration::from_secs(5);
 
-/// A request that was not admitted; it was not run.
+/// A request that was not admitted and not run.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("{why}, come back in {retry_after:?}")]
 pub struct Rejection {
-    /// Why.
+    /// Why the request was refused.
     pub why: RefusalReason,
-    /// Time after which it is worth asking again.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// Admission to everything that serves one model or service.
+/// Admission queue of one model or service: bounds the running requests and keeps the waiting ones in fair order.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     queue: FairQueue,
     capacity: usize,
     running: usize,
     rate: ServiceRate,
-    /// Until when the slots are taken by callers who were asked to come back.
+    /// Time until which the slots are promised to callers that were told to retry.
     promised: Tick,
-    /// Time from a request's start to its first token.
+    /// Expected time from the start of a request to its first token.
     first: Duration,
-    /// Whether the answer is due as a whole at the latest start, as with services, and not just begun.
+    /// Whether the whole answer is due by the start deadline, as for plain services, and not just its beginning.
     whole: bool,
 }
 
-/// How long requests keep their slots.
+/// Moving averages of the slot time and the tokens of finished requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceRate {
     finished: u32,
@@ -50,22 +50,22 @@
 }
 
 impl ServiceRate {
-    /// Takes in a finished request.
+    /// Adds a finished request that kept its slot for `held`.
     pub fn finished(&mut self, tokens: f64, held: Duration) {
         self.finished = self.finished.saturating_add(1);
-        // The first ones count alike, so that a strange first one is soon forgotten.
+        // The first requests have equal weight, so that an outlier among them is soon outweighed.
         let weight = WEIGHT.max(1.0 / f64::from(self.finished));
         self.hold_s += weight * (held.as_secs_f64() - self.hold_s);
         self.tokens += weight * (tokens - self.tokens);
     }
 
-    /// Gives the mean time for which a slot is kept; absent until enough was measured.
+    /// Returns the mean time that a request keeps its slot, in seconds; `None` until enough requests have finished.
     #[must_use]
     pub fn mean_hold(&self) -> Option<f64> {
         (self.finished >= FIRST).then_some(self.hold_s)
     }
 
-    /// Gives the seconds of one slot that a token takes; absent until enough was measured.
+    /// Returns the mean slot time of one token, in seconds; `None` until enough requests have finished.
     #[must_use]
     pub fn per_token(&self) -> Option<f64> {
         (self.finished >= FIRST).then(|| self.hold_s / self.tokens.max(1e-9))
@@ -73,7 +73,8 @@
 }
 
 impl AdmissionQueue {
-    /// Makes a lane with room for some running and some waiting requests.
+    /// Creates a queue for `capacity` running and `waiting` waiting requests. With `whole`, an answer must be complete
+    /// by its deadline.
     #[must_use]
     pub fn new(capacity: usize, waiting: usize, whole: bool) -> Self {
         Self {
@@ -87,46 +88,47 @@
         }
     }
 
-    /// Changes what may run at once.
+    /// Changes the number of requests that may run at once; requests that run already are not stopped.
     pub const fn resize(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Changes the time that a request is expected to take from its start to its first token.
+    /// Changes the expected time from the start of a request to its first token.
     pub const fn set_first_token(&mut self, first: Duration) {
         self.first = first;
     }
 
-    /// Changes what may wait.
+    /// Changes the number of requests that may wait; those that wait already stay.
     pub const fn set_waiting(&mut self, waiting: usize) {
         self.queue.set_bound(waiting);
     }
 
-    /// Gives what may run at once.
+    /// Returns the number of requests that may run at once.
     #[must_use]
     pub const fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Gives the number of running requests.
+    /// Returns the number of running requests.
     #[must_use]
     pub const fn running(&self) -> usize {
         self.running
     }
 
-    /// Gives the number of waiting requests.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub const fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Gives what was measured of finished requests.
+    /// Returns the averages over finished requests.
     #[must_use]
     pub const fn rate(&self) -> &ServiceRate {
         &self.rate
     }
 
-    /// Predicts how long a request would wait if it came now.
+    /// Predicts how long a request would wait if it arrived now, at most an hour; zero until enough requests have
+    /// finished.
     #[must_use]
     pub fn wait(&self, ticket: &Ticket) -> Duration {
         let (Some(hold), Some(per_token)) = (self.rate.mean_hold(), self.rate.per_token()) else {
@@ -136,16 +138,16 @@
             return Duration::ZERO;
         }
         let slots = self.capacity.max(1) as f64;
-        // On average the first slot comes free after one hold divided by the slots.
+        // On average, a slot becomes free every mean hold time divided by the number of slots.
         let seconds = (hold + self.queue.work_ahead(ticket) * per_token) / slots;
         Duration::from_secs_f64(seconds.min(3_600.0))
     }
 
-    /// Queues a request; another that had to make room for it is returned.
+    /// Queues a request; returns another one that was dropped for it.
     ///
     /// # Errors
-    /// Refuses at once what is predicted to be late, what finds the queue full, and all while nothing is up. A refusal
-    /// tells when it is worth coming back.
+    /// Refuses a request that is predicted to be late, one that finds the queue full, and all while there is no
+    /// capacity. The rejection says when to retry.
     pub fn offer(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, Rejection> {
         if self.capacity == 0 {
             return Err(Rejection {
@@ -154,8 +156,8 @@
             });
         }
         let mut ticket = ticket;
-        // It must start so early that its first token is on time. At most half of the time is kept for that: were it all,
-        // nothing would be let in any more after a slow spell, and no faster one could be measured.
+        // The deadline must leave time for the first token. At most half of the remaining time is reserved for that:
+        // otherwise a slow period would block all requests, and no faster one could be measured.
         ticket.latest_start = ticket.latest_start - self.first.min(ticket.latest_start.since(now) / 2);
         let wait = self.wait(&ticket);
         let run = if self.whole {
@@ -174,7 +176,7 @@
         pushed.map_err(|why| self.reject(why, tokens, wait.saturating_sub(left), now))
     }
 
-    /// Lets the next request run, if there is a slot.
+    /// Starts the next request if a slot is free.
     pub fn admit_next(&mut self) -> Option<Ticket> {
         if self.running >= self.capacity {
             return None;
@@ -184,21 +186,21 @@
         Some(ticket)
     }
 
-    /// Takes out one waiting request.
+    /// Removes a waiting request.
     pub fn remove(&mut self, ticket: &Ticket) -> Option<Ticket> {
         self.queue.remove(&ticket.customer, ticket.id)
     }
 
-    /// Notes that a request ended which had been let run.
+    /// Records the end of a request that was admitted.
     pub fn finished(&mut self, tokens: f64, held: Duration) {
         self.running = self.running.saturating_sub(1);
         self.rate.finished(tokens, held);
     }
 
-    /// Gives what a refused request is told, which could be on time if it came so much later.
+    /// Builds the rejection of a request that would be on time if it arrived later by `late`.
     ///
-    /// Callers who were told the same time would all come back at once and be refused again, most of them. So each is
-    /// given a time after that of the one before, by as long as its work will keep the slots busy.
+    /// Callers told the same time would all return at once, and most of them would be refused again. So each rejection
+    /// names a time after the previous one, by the time that the previous caller's work will occupy the slots.
     pub fn reject(&mut self, why: RefusalReason, tokens: f64, late: Duration, now: Tick) -> Rejection {
         let work = tokens * self.rate.per_token().unwrap_or_default() / self.capacity.max(1) as f64;
         let at = self.promised.max(now + late.max(self.next_slot())).min(now + RETRY.1);
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Gives the time in which one running request ends on average.
+    /// Returns the mean time until one of the running requests ends.
     #[must_use]
     pub fn next_slot(&self) -> Duration {
         let hold = self.rate.mean_hold().unwrap_or_default();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pure decisions: admission, limits, routing, retries and the life cycle of hosts.
+//! Decision logic without I/O: admission, rate limits, routing, retries, capacity plans and the life cycle of hosts.
 //!
-//! Nothing here does I/O or reads a clock; the time comes in as a [`Tick`], so that every decision can be tested and
-//! replayed.
+//! Nothing in this crate reads a clock: callers pass the current time as a [`Tick`], so that every decision can be
+//! tested and replayed.
 
 pub mod backlog;
 pub mod breaker;
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/life.rs
@@ -1,6 +1,6 @@
-//! The life cycle of a host: starting, serving, doubted, leaving, gone.
+//! The life cycle of a host: starting, serving, suspected, leaving, gone.
 //!
-//! Each stage is a type of its own, so that a host that left cannot serve again; one that comes back under the same
+//! Each stage is a type of its own, so that a host that has left cannot serve again. One that comes back under the same
 //! name is a new incarnation.
 
 use std::collections::HashMap;
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Serving;
 
-/// The host refused a connection and may be gone; nobody has announced it.
+/// The host refused a connection and may be gone, without any notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspected;
 
-/// The host finishes what it has.
+/// The host finishes its work and gets no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leaving {
-    /// When it will be gone, if announced.
+    /// When the host will be gone; absent if the notice did not say.
     pub gone_at: Option<Tick>,
 }
 
@@ -34,35 +34,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone;
 
-/// A host at one stage of its life.
+/// A host at the stage `S` of its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostState<S> {
     incarnation: u64,
     stage: S,
 }
 
-/// A host at any stage of its life.
+/// A host at any stage of its life cycle.
 #[derive(Clone, Copy, Debug, Display, From, PartialEq, Eq)]
 pub enum AnyHostState {
-    /// Starting.
+    /// Ordered, not serving yet.
     #[display("starting")]
     Starting(HostState<Starting>),
-    /// Serving.
+    /// Takes work.
     #[display("serving")]
     Serving(HostState<Serving>),
-    /// Doubted.
+    /// Refused a connection and has not answered since.
     #[display("doubted")]
     Suspected(HostState<Suspected>),
-    /// Leaving.
+    /// Is reclaimed or drained.
     #[display("leaving")]
     Leaving(HostState<Leaving>),
-    /// Gone.
+    /// Has ended.
     #[display("gone")]
     Gone(HostState<Gone>),
 }
 
 impl HostState<Starting> {
-    /// Begins the life of a host.
+    /// Starts the life cycle of an incarnation.
     #[must_use]
     pub const fn new(incarnation: u64) -> Self {
         Self {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The host answers.
+    /// Moves to serving, once the host answers.
     #[must_use]
     pub const fn serve(self) -> HostState<Serving> {
         HostState {
@@ -82,7 +82,7 @@
 }
 
 impl HostState<Serving> {
-    /// The host will be taken away.
+    /// Moves to leaving; the host will be gone after `left`, if known.
     #[must_use]
     pub fn leave(self, now: Tick, left: Option<Duration>) -> HostState<Leaving> {
         HostState {
@@ -95,7 +95,7 @@
 }
 
 impl HostState<Serving> {
-    /// The host refused a connection.
+    /// Moves to suspected, because the host refused a connection.
     #[must_use]
     pub const fn doubt(self) -> HostState<Suspected> {
         HostState {
@@ -106,7 +106,7 @@
 }
 
 impl HostState<Suspected> {
-    /// The host answers again.
+    /// Moves back to serving, because the host answers again.
     #[must_use]
     pub const fn trust(self) -> HostState<Serving> {
         HostState {
@@ -117,7 +117,7 @@
 }
 
 impl HostState<Leaving> {
-    /// Takes over an announcement that is earlier than the known one.
+    /// Applies another notice; the earliest known end counts.
     #[must_use]
     pub fn hurry(mut self, now: Tick, left: Option<Duration>) -> Self {
         let announced = left.map(|left| now + left);
@@ -128,13 +128,13 @@
         self
     }
 
-    /// Gives the time when it will be gone, if announced.
+    /// Returns the time at which the host will be gone; `None` if no notice said.
     #[must_use]
     pub const fn gone_at(&self) -> Option<Tick> {
         self.stage.gone_at
     }
 
-    /// The host is gone.
+    /// Moves to gone.
     #[must_use]
     pub const fn end(self) -> HostState<Gone> {
         HostState {
@@ -145,13 +145,13 @@
 }
 
 impl AnyHostState {
-    /// Tells whether new work may go there.
+    /// Returns whether new work may be sent to the host.
     #[must_use]
     pub const fn accepts_work(&self) -> bool {
         matches!(self, Self::Serving(_))
     }
 
-    /// Gives the incarnation.
+    /// Returns the incarnation, which grows with each host of the same name.
     #[must_use]
     pub const fn incarnation(&self) -> u64 {
         match self {
@@ -163,10 +163,11 @@
         }
     }
 
-    /// Gives the life after a sign.
+    /// Returns the state after an event.
     ///
-    /// Signs come late, twice and in any order, so a stage never goes back to an earlier one: a list that still shows a
-    /// host as serving would otherwise undo its notice, and callers' work would go to a host that is about to be gone.
+    /// Events arrive late, twice and in any order, so the stage never goes back except from suspected to serving.
+    /// Otherwise an outdated list that still shows the host as serving would undo its reclaim notice, and requests
+    /// would be sent to a host that is about to end.
     #[must_use]
     pub fn after(self, sign: HostEvent, now: Tick) -> Self {
         match (self, sign) {
@@ -189,32 +190,32 @@
     }
 }
 
-/// Something that tells about the life of a host.
+/// An observation about a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostEvent {
-    /// It will be taken away or is drained.
+    /// The host will be reclaimed or is drained.
     Leaves {
-        /// Time until it is gone, if announced.
+        /// Time until the host is gone; absent if the notice did not say.
         left: Option<Duration>,
     },
-    /// It is gone.
+    /// The host is gone.
     Gone,
-    /// It refused a connection.
+    /// The host refused a connection.
     Refused,
-    /// It answered.
+    /// The host answered.
     Answered,
 }
 
-/// The lives of all hosts that signs have told about; a host that no sign has told about serves.
+/// The states of all hosts that had an event. Any other host counts as serving.
 #[derive(Debug, Default)]
 pub struct HostStates {
     hosts: HashMap<HostId, AnyHostState>,
 }
 
 impl HostStates {
-    /// Takes a sign in; returns the new stage where it changed.
+    /// Applies an event and returns the new state if it changed.
     ///
-    /// A sign about an earlier host of the same name is late and changes nothing.
+    /// An event of an earlier incarnation is outdated and ignored.
     pub fn apply_event(&mut self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
         let known = self.hosts.get(host).copied();
         let before = match known {
@@ -223,19 +224,19 @@
             _ => HostState::new(incarnation).serve().into(),
         };
         let after = before.after(sign, now);
-        // Hosts that just serve need no row, which keeps the table as small as the trouble.
+        // Hosts that simply serve get no entry, which keeps the table small.
         if known.is_some() || after != before {
             self.hosts.insert(host.clone(), after);
         }
         (after != before).then_some(after)
     }
 
-    /// Gives the stage of a host.
+    /// Returns the state of an incarnation of a host.
     #[must_use]
     pub fn stage(&self, host: &HostId, incarnation: u64) -> AnyHostState {
         match self.hosts.get(host) {
             Some(life) if life.incarnation() == incarnation => *life,
-            // A newer host of that name is known, so this one is gone.
+            // A newer incarnation is known, so this one is gone.
             Some(life) if life.incarnation() > incarnation => HostState::new(incarnation)
                 .serve()
                 .leave(Tick::default(), None)
@@ -245,18 +246,19 @@
         }
     }
 
-    /// Tells whether new work may go to a host.
+    /// Returns whether new work may be sent to an incarnation of a host.
     #[must_use]
     pub fn takes_work(&self, host: &HostId, incarnation: u64) -> bool {
         self.stage(host, incarnation).accepts_work()
     }
 
-    /// Gives every host that signs have told about.
+    /// Iterates over the hosts that had an event.
     pub fn iter(&self) -> impl Iterator<Item = (&HostId, &AnyHostState)> {
         self.hosts.iter()
     }
 
-    /// Forgets hosts, so that the table doesn't grow with every host that ever was.
+    /// Drops the hosts for which `keep` returns false; without this the table would grow with every host that ever
+    /// existed.
     pub fn retain(&mut self, keep: impl Fn(&HostId, &AnyHostState) -> bool) {
         self.hosts.retain(|host, life| keep(host, life));
     }
--- a/crates/policy/src/limits/bucket.rs
+++ b/crates/policy/src/limits/bucket.rs
@@ -1,10 +1,10 @@
-//! A token bucket.
+//! A token bucket with a variable rate, for one limit at one entry host.
 
 use std::time::Duration;
 
 use crate::Tick;
 
-/// Time over which a bucket can save up unused allowance.
+/// Time for which a bucket saves up unused allowance.
 pub const BURST: Duration = Duration::from_secs(1);
 
 /// A token bucket whose rate may change at any time.
@@ -16,7 +16,7 @@
 }
 
 impl Bucket {
-    /// Makes a full bucket for a rate a second.
+    /// Creates a full bucket; `rate` is per second.
     #[must_use]
     pub fn new(rate: f64, now: Tick) -> Self {
         Self {
@@ -26,19 +26,19 @@
         }
     }
 
-    /// Changes the rate; what is saved up beyond the new burst is lost.
+    /// Changes the rate; saved allowance beyond the new burst is lost.
     pub fn set_rate(&mut self, rate: f64, now: Tick) {
         self.fill(now);
         self.rate = rate;
         self.level = self.level.min(burst(rate));
     }
 
-    /// Takes an amount if there is any allowance left.
+    /// Takes an amount if enough allowance is left.
     ///
-    /// The level may fall below zero by one request, so that a request larger than the burst is not refused for ever.
+    /// One request may take the level below zero, so that a request larger than the burst is not refused for ever.
     ///
     /// # Errors
-    /// Returns the time after which it is worth asking again.
+    /// Returns the time after which to retry.
     pub fn take(&mut self, amount: f64, now: Tick) -> Result<(), Duration> {
         self.fill(now);
         let needed = amount.min(burst(self.rate));
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// Gives back an amount that was taken and not used, or takes what was used beyond it when negative.
+    /// Returns an unused amount to the bucket; a negative amount takes what was used beyond the estimate.
     pub fn correct(&mut self, amount: f64) {
         self.level = (self.level + amount).min(burst(self.rate));
     }
--- a/crates/policy/src/limits/loans.rs
+++ b/crates/policy/src/limits/loans.rs
@@ -1,35 +1,35 @@
-//! Loans of one measure of a limit between entry hosts.
+//! Loans of one resource of a limit between entry hosts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::Tick;
 
-/// How long a borrower may use a loan, from the time at which it sent the demand that the loan answers.
+/// Time for which a borrower may use a loan, counted from when it sent the demand that the loan answers.
 pub const LEASE: Duration = Duration::from_secs(4);
-/// How much longer the lender waits, for clocks that run at different speeds (5 in 100).
+/// Additional time for which the lender waits, since clocks may run at different speeds (up to 5 in 100).
 pub const DRIFT: Duration = Duration::from_millis(200);
 /// Share of its part that a host never lends.
 ///
-/// It serves the first requests of returning callers until loans come back, and it is all that a restarted host may
-/// use until everything that its predecessor may have lent has ended.
+/// It serves the first requests of returning callers until loans end. It is also all that a restarted host may use
+/// until every loan that its predecessor may have granted has ended.
 pub const RESERVE: f64 = 0.1;
-/// What a lender keeps for itself when there is too little for all, relative to its present demand.
+/// What a host keeps of its own part before it lends, relative to its current demand.
 const KEPT: f64 = 1.05;
-/// What a borrower is given when there is enough, relative to its present demand.
+/// What a host asks for, relative to its current demand.
 const WANTED: f64 = 1.25;
 
-/// One measure of a limit at one host.
+/// A host's part of one resource of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
-    /// What the host owns.
+    /// What the host owns, in units of the resource.
     pub owned: f64,
-    /// What it never lends.
+    /// What it never lends, in units of the resource.
     pub reserve: f64,
 }
 
 impl Part {
-    /// Makes a part of a rate.
+    /// Creates the part of a rate, which can be divided at will.
     #[must_use]
     pub const fn rate(owned: f64) -> Self {
         Self {
@@ -38,30 +38,30 @@
         }
     }
 
-    /// Makes a part of a count of whole things; a single one can be lent, and of more than one some stay.
+    /// Creates the part of a count of indivisible units. A single unit can be lent; of more, some are always kept.
     #[must_use]
     pub fn count(owned: f64) -> Self {
         let reserve = if owned < 2.0 { 0.0 } else { (owned * RESERVE).ceil() };
         Self { owned, reserve }
     }
 
-    /// Gives what a host keeps.
+    /// Returns what a host with this demand keeps.
     fn kept(self, wanted: f64) -> f64 {
         (wanted * KEPT).clamp(self.reserve, self.owned)
     }
 
-    /// Gives what a host can lend.
+    /// Returns what a host with this demand can lend.
     fn spare(self, wanted: f64) -> f64 {
         self.owned - self.kept(wanted)
     }
 
-    /// Gives what a host needs beyond its part.
+    /// Returns what a host with this demand needs beyond its own part.
     fn lack(self, wanted: f64) -> f64 {
         (wanted * WANTED - self.owned).max(0.0)
     }
 }
 
-/// What one host has lent and borrowed of one measure.
+/// What one host has lent and borrowed of one resource.
 #[derive(Clone, Debug)]
 pub struct Loans {
     settled: Tick,
@@ -75,11 +75,11 @@
     amount: f64,
 }
 
-/// Works out what a host would lend to each of its peers, given what it and they want; all own equal parts.
+/// Computes what a host lends to each of its peers, given its own demand and theirs; all hosts own equal parts.
 ///
-/// Every host can spare what it doesn't keep; those that want more than their part are given in proportion to what
-/// they lack. Each lender gives the share that makes all lenders together just meet the lack. When views differ, more
-/// or less is lent than is useful, but never more than the lender has.
+/// Every host can lend what it does not keep. Hosts that need more than their part receive in proportion to what they
+/// lack. Each lender gives the share with which all lenders together just meet the lack. When the views of the hosts
+/// differ, more or less than needed is lent, but never more than the lender has.
 #[must_use]
 pub fn plan(part: Part, own: f64, peers: &[f64]) -> Vec<f64> {
     let spares: f64 = part.spare(own) + peers.iter().map(|wanted| part.spare(*wanted)).sum::<f64>();
@@ -94,8 +94,8 @@
 impl Loans {
     /// Starts with nothing lent or borrowed, as far as this process knows.
     ///
-    /// A host that has peers waits until everything has ended that an earlier process of its name may have lent; one
-    /// that is alone cannot have lent anything.
+    /// A host with peers lends nothing until every loan that an earlier process of the host may have granted has ended.
+    /// A host that is alone cannot have granted any.
     #[must_use]
     pub fn new(alone: bool, now: Tick) -> Self {
         let wait = if alone { Duration::ZERO } else { LEASE + DRIFT };
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Lends to a peer and gives the amount, which may be less than what is wished.
+    /// Grants a loan to a peer and returns its amount, which may be less than `wish`.
     ///
-    /// What was lent to others stays theirs until its lease has ended; only what is neither kept nor lent is lent anew.
+    /// Running loans to others stay in force until their leases end; only what is neither kept nor lent can be granted.
     pub fn grant(&mut self, peer: u32, wish: f64, part: Part, own: f64, now: Tick) -> f64 {
         if !self.is_settled(now) {
             return 0.0;
@@ -121,7 +121,7 @@
         if amount > 0.0 {
             let until = now + LEASE + DRIFT;
             let grants = self.lent.entry(peer).or_default();
-            // Only the largest of the loans that still run counts.
+            // Of the running loans to a peer, only the largest counts.
             while grants.back().is_some_and(|grant| grant.amount <= amount) {
                 grants.pop_back();
             }
@@ -130,7 +130,7 @@
         amount
     }
 
-    /// Gives what a peer may be using of what was lent to it.
+    /// Returns what a peer may be using of its loans.
     #[must_use]
     pub fn lent_to(&self, peer: u32, now: Tick) -> f64 {
         let running = |grants: &VecDeque<Grant>| {
@@ -143,16 +143,16 @@
         self.lent.get(&peer).map_or(0.0, running)
     }
 
-    /// Takes over a loan that answers a demand which was sent at the given time.
+    /// Records a loan from a peer in answer to a demand sent at `asked`.
     ///
-    /// The lease counts from then and not from the arrival: the lender cannot have granted it earlier, so that it ends
-    /// here before it ends there, however long the answer was under way.
+    /// The lease is counted from `asked` and not from the arrival. The lender cannot have granted the loan earlier, so
+    /// it ends here before it ends there, however long the answer took.
     pub fn borrow(&mut self, peer: u32, amount: f64, asked: Tick) {
         let until = asked + LEASE;
         self.borrowed.insert(peer, Grant { until, amount });
     }
 
-    /// Gives what may be used now.
+    /// Returns what may be used now: the own part without loans to others, and what is borrowed.
     #[must_use]
     pub fn usable(&self, part: Part, now: Tick) -> f64 {
         let lent = if self.is_settled(now) {
@@ -165,7 +165,7 @@
         (part.owned - lent).max(0.0) + borrowed
     }
 
-    /// Tells whether everything that an earlier process of this host may have lent has ended.
+    /// Returns whether all loans of earlier processes of this host have ended.
     fn is_settled(&self, now: Tick) -> bool {
         now >= self.settled
     }
@@ -182,6 +182,6 @@
 }
 
 fn most(grants: &VecDeque<Grant>) -> f64 {
-    // They are in falling order.
+    // The amounts are in descending order.
     grants.front().map_or(0.0, |grant| grant.amount)
 }
--- a/crates/policy/src/limits/meter.rs
+++ b/crates/policy/src/limits/meter.rs
@@ -1,11 +1,11 @@
-//! Demand a second, averaged over the last second or so.
+//! Demand per second, as an exponential moving average.
 
 use crate::Tick;
 
 /// Time constant of the average, in seconds.
 const SECONDS: f64 = 1.0;
 
-/// Measures how much a second is asked for.
+/// Measures the demand per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandMeter {
     rate: f64,
@@ -13,13 +13,13 @@
 }
 
 impl DemandMeter {
-    /// Notes that an amount was asked for.
+    /// Records a demand of `amount`, granted or not.
     pub fn add(&mut self, amount: f64, now: Tick) {
         self.rate = self.rate(now) + amount / SECONDS;
         self.at = self.at.max(now);
     }
 
-    /// Gives the amount a second.
+    /// Returns the demand per second.
     #[must_use]
     pub fn rate(&self, now: Tick) -> f64 {
         self.rate * (-now.since(self.at).as_secs_f64() / SECONDS).exp()
--- a/crates/policy/src/limits/mod.rs
+++ b/crates/policy/src/limits/mod.rs
@@ -1,8 +1,8 @@
 //! A customer's limits over all entry hosts.
 //!
-//! Each host owns an equal part of a limit and lends what it doesn't need to hosts that need more, for the time of a
-//! short lease. A host never uses what it has lent before the lease has surely ended, so that the parts in use never
-//! add up to more than the limit, whatever is lost, late, cut off or restarted. See docs/design/limits.md.
+//! Each host owns an equal part of a limit and lends what it does not need to hosts that need more, for a short lease.
+//! A host does not use what it has lent before the lease has certainly ended. So the parts in use never exceed the
+//! limit, whatever is lent, late, cut off or restarted. See docs/design/limits.md.
 
 mod bucket;
 mod loans;
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -1,4 +1,4 @@
-//! One customer's limits at one entry host.
+//! A customer's limits at one entry host.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use super::loans::{LEASE, Loans, Part, plan};
 use crate::Tick;
 
-/// Amounts of a customer's three limits.
+/// Amounts of the three resources that a customer's limits bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitAmounts {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens: f64,
-    /// Requests that run at the same time.
+    /// Concurrent requests.
     pub running: f64,
 }
 
@@ -29,16 +29,16 @@
 }
 
 impl LimitAmounts {
-    /// Gives the amounts in the order of the fields.
+    /// Returns the amounts in the order of the fields.
     #[must_use]
     pub const fn to_array(&self) -> [f64; 3] {
         [self.requests, self.tokens, self.running]
     }
 }
 
-/// Gives the part of the limits that the host at a rank among all entry hosts owns.
+/// Returns the part of the limits that the host with `rank` among all entry hosts owns.
 ///
-/// Running requests are whole: the hosts of the first ranks own one more where they can't be divided.
+/// Concurrent requests are indivisible: if they do not divide evenly, the hosts with the lowest ranks own one more.
 #[must_use]
 pub fn owned_part(limits: &Limits, hosts: u32, rank: u32) -> LimitAmounts {
     let hosts = hosts.max(1);
@@ -51,16 +51,16 @@
     }
 }
 
-/// What a peer told of a customer.
+/// The state of a customer at another entry host, as that host reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerDemand {
-    /// What its callers ask for.
+    /// Demand of its callers.
     pub wanted: LimitAmounts,
     /// Requests that run there now.
     pub running: f64,
 }
 
-/// One customer's limits at one entry host.
+/// A customer's limits at one entry host.
 #[derive(Clone, Debug)]
 pub struct CustomerShare {
     loans: [Loans; 3],
@@ -68,7 +68,7 @@
 }
 
 impl CustomerShare {
-    /// Starts with nothing lent or borrowed; the host may be alone, without any peers in its settings.
+    /// Starts with nothing lent or borrowed. `alone` means that the settings name no peers.
     #[must_use]
     pub fn new(alone: bool, now: Tick) -> Self {
         Self {
@@ -77,22 +77,22 @@
         }
     }
 
-    /// Takes in what a peer tells.
+    /// Records the state that a peer reported.
     pub fn record_demand(&mut self, peer: u32, told: PeerDemand, now: Tick) {
         self.peers.insert(peer, (now, told));
     }
 
-    /// Takes over what a peer lends in answer to a demand that was sent at the given time.
+    /// Records the loans of a peer in answer to a demand sent at `asked`.
     pub fn borrow(&mut self, peer: u32, lent: LimitAmounts, asked: Tick) {
         for (loans, amount) in self.loans.iter_mut().zip(lent.to_array()) {
             loans.borrow(peer, amount, asked);
         }
     }
 
-    /// Lends to a peer what it lacks and this host doesn't need.
+    /// Grants a peer what it lacks and this host does not need.
     ///
-    /// Peers that were not heard for the time of a lease get nothing and count for nothing: they are dead or cut off
-    /// and could not take a loan.
+    /// Peers not heard for the length of a lease receive nothing and are not counted: they are down or cut off, and
+    /// could not use a loan.
     pub fn grant(&mut self, peer: u32, part: LimitAmounts, own: LimitAmounts, now: Tick) -> LimitAmounts {
         self.peers.retain(|_, (at, _)| now.since(*at) < LEASE);
         let Some(place) = self.peers.keys().position(|other| *other == peer) else {
@@ -108,8 +108,8 @@
             let (part, own) = (parts_of(part)[measure], own.to_array()[measure]);
             let mut wish = plan(part, own, &wanted)[place];
             if measure == RUNNING {
-                // Slots that are in use can't come back before the requests end. Lending them on, or using them here,
-                // would run more requests than the limit allows.
+                // Slots in use stay taken until the requests end. Lending them to others, or using them here, would run
+                // more requests than the limit allows.
                 let in_use = (told.running - part.owned).max(0.0);
                 wish = wish.max(in_use.min(self.loans[measure].lent_to(peer, now))).round();
             }
@@ -120,7 +120,7 @@
         granted
     }
 
-    /// Gives what may be used now.
+    /// Returns what may be used now.
     #[must_use]
     pub fn usable(&self, part: LimitAmounts, now: Tick) -> LimitAmounts {
         let parts = parts_of(part);
@@ -129,7 +129,7 @@
     }
 }
 
-/// Position of the running requests among the measures.
+/// Index of the concurrent requests among the resources.
 const RUNNING: usize = 2;
 
 fn parts_of(amounts: LimitAmounts) -> [Part; 3] {
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -1,27 +1,27 @@
-//! The load of one upstream: its last report, corrected by what was sent and answered since.
+//! Load estimate of one upstream: its latest report, corrected by the requests sent and ended since.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::Tick;
 
-/// Own dispatches and completions that are remembered; with more, the oldest no longer correct a report.
+/// Most recorded dispatches and completions; with more in flight, the oldest no longer correct a report.
 const MAX_MOVES: usize = 512;
 
-/// A load report.
+/// A load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Time at which the upstream measured it, on the own clock.
+    /// When the upstream measured it, by this host's clock.
     pub measured_at: Tick,
-    /// Requests that ran.
+    /// Running requests.
     pub running: u32,
-    /// Requests that waited.
+    /// Waiting requests.
     pub waiting: u32,
     /// Used share of the KV cache, 0 to 1.
     pub kv_used: f32,
 }
 
-/// What is known of the load of one upstream.
+/// Estimates the load of one upstream from its reports and this entry host's own requests.
 #[derive(Clone, Debug, Default)]
 pub struct LoadEstimate {
     report: Option<LoadReport>,
@@ -29,31 +29,31 @@
     moves: VecDeque<(Tick, i8)>,
 }
 
-/// The predicted load with what it rests on.
+/// A predicted load with the data behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PredictedLoad {
-    /// Requests that run or wait there; absent without an unexpired report.
+    /// Requests that run or wait at the upstream; absent without an unexpired report.
     pub reported: Option<f64>,
-    /// Own requests there.
+    /// Requests of this entry host at the upstream.
     pub own_requests: u32,
-    /// Age of the newest report, expired or not.
+    /// Age of the latest report, expired or not; absent if there was none.
     pub age: Option<Duration>,
 }
 
 impl LoadEstimate {
-    /// Notes a request that is sent.
+    /// Records a request sent to the upstream.
     pub fn sent(&mut self, now: Tick) {
         self.running += 1;
         self.note(now, 1);
     }
 
-    /// Notes a request that ended.
+    /// Records the end of a request.
     pub fn ended(&mut self, now: Tick) {
         self.running = self.running.saturating_sub(1);
         self.note(now, -1);
     }
 
-    /// Takes a report over unless a newer one is known; tells whether it did.
+    /// Applies a report unless a newer one is known; returns whether it was applied.
     pub fn update(&mut self, report: LoadReport) -> bool {
         let newer = self.report.is_none_or(|before| before.measured_at < report.measured_at);
         if newer {
@@ -63,17 +63,17 @@
         newer
     }
 
-    /// Gives the newest report.
+    /// Returns the latest report, expired or not.
     #[must_use]
     pub const fn newest(&self) -> Option<LoadReport> {
         self.report
     }
 
-    /// Predicts the load.
+    /// Predicts the load; reports older than `expiry` do not count.
     ///
-    /// The report speaks of the time at which the upstream measured it, not of that at which it came. Own requests
-    /// sent or ended after that are added and taken off; without this every entry host sends all it has to whichever
-    /// upstream was idle at the last report, and one sees bursts that wander from upstream to upstream.
+    /// A report describes the upstream at the time of measurement, not at its arrival. With `corrected`, own requests
+    /// sent or ended after the measurement are added or subtracted. Without the correction, every entry host sends all
+    /// requests to the upstream that was idle in the last report, and bursts move from upstream to upstream.
     #[must_use]
     pub fn predict(&self, now: Tick, expiry: Duration, corrected: bool) -> PredictedLoad {
         let age = self.report.map(|report| now.since(report.measured_at));
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -1,66 +1,68 @@
-//! How fast engines read prompts, learnt from the answers that they give.
+//! Prefill speed of engines, estimated from the times to first event.
 //!
-//! Nobody tells an entry host the speed of an engine, and it differs by a factor of ten between models and machines. Where it
-//! is taken for twice what it is, prompts are sent behind one another until all of them are late, and half of the engines that
-//! the load needs are ordered.
+//! Engines do not announce their speed, and it differs by a factor of ten between models and machines. If it is assumed
+//! twice too high, prompts queue up behind each other until all are late, and only half of the engines needed are
+//! ordered.
 
-/// Milliseconds that a request keeps a slot until something has been learnt: a plain call, and little of a stream, so that a
-/// service that nobody knows is not taken for full.
+/// Slot time of a request before any has ended, in milliseconds. It is that of a plain call, and short for a stream, so
+/// that an unknown service does not look full.
 const START_RUN_MS: f64 = 100.0;
-/// Part by which one answer moves the time that requests keep a slot: an average over some thirty.
+/// Weight of the newest slot time in the moving average, which spans about thirty answers.
 const RUN_SHARE: f64 = 0.03;
-/// Rates until something has been learnt: those of a slow engine. Too low a speed costs some engines for a few seconds, too high
-/// a one makes everything late.
+/// Initial rates, those of a slow engine. Too low a speed costs a few extra engines for some seconds; too high a speed
+/// makes all answers late.
 const START: EngineRates = EngineRates {
     base_ms: 15.0,
     token_ms: 0.025,
     attention_ms: 0.3,
     run_ms: START_RUN_MS,
 };
-/// Least and most of each rate, as factors on the start; beyond them lie no engines but faults.
+/// Bounds of each rate as factors on the initial one; no working engine lies beyond them.
 const RANGE: (f64, f64) = (1.0 / 64.0, 64.0);
-/// Part of the answers that begin sooner than learnt. Requests that meet prompts which this entry host doesn't know of are
-/// late by any amount, and make up more than the half of a busy hour; the quickest tenth shows what the engine takes itself, and
-/// some of these only found more in its cache than was known.
+/// Quantile of the times to first event that the estimate follows. Requests queued behind prompts of other entry hosts
+/// are late by any amount, and in a busy hour they are more than half. The fastest tenth shows the engine's own time,
+/// though some of these only found more of their prompt cached than expected.
 const QUANTILE: f64 = 0.2;
-/// Least and most by which one answer moves a rate: the most to leave a wrong start within seconds, the least to average over
-/// some thirty answers.
+/// Smallest and largest step of one answer. The largest corrects a wrong start within seconds; the smallest averages
+/// over about thirty answers.
 const STEP: (f64, f64) = (0.015, 0.3);
-/// Factors on the step after an answer that errs to the same side as the one before, and after one that does not.
+/// Factors on the step after an error in the same direction as the one before, and after one in the other direction.
 const QUICKER: f64 = 1.5;
 const SLOWER: f64 = 0.6;
-/// Part by which an upstream's own speed returns to that of its kin with each answer, so that both can't drift apart.
+/// Share by which an upstream's relative speed returns to 1 with each answer; otherwise it and the service's rates
+/// could drift apart in opposite directions.
 const RETURN: f64 = 0.02;
-/// Least and most of an upstream's time as a factor on that of its kin.
+/// Bounds of an upstream's time as a factor on that of its service.
 const OWN_RANGE: (f64, f64) = (0.25, 16.0);
 
-/// What a prompt asks of an engine that holds its beginning.
+/// Prefill work of a prompt at an engine that has cached its beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefillWork {
-    /// Tokens that are cached.
+    /// Prompt tokens that are cached.
     pub cached: u64,
-    /// Tokens that are to be read.
+    /// Prompt tokens that are not cached.
     pub fresh: u64,
 }
 
 impl PrefillWork {
-    /// Gives the pairs of tokens that look at each other, in millions: each token that is read looks at all before it.
+    /// Returns the token pairs to compute attention for, in millions: each prefilled token attends to all tokens before
+    /// it.
     fn pairs(&self) -> f64 {
         let (cached, fresh) = (self.cached as f64, self.fresh as f64);
         fresh * (cached + fresh / 2.0) / 1e6
     }
 }
 
-/// Milliseconds that an engine takes.
+/// Times of an engine, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineRates {
-    /// For the first event of a prompt without a token.
+    /// Time to first event of an empty prompt.
     pub base_ms: f64,
-    /// For a token of a prompt.
+    /// Time for each prefilled token, without attention.
     pub token_ms: f64,
-    /// For a million pairs of tokens.
+    /// Time for a million pairs of tokens in attention.
     pub attention_ms: f64,
-    /// For a whole request, from when it is sent to the end of its answer.
+    /// Time from sending a request to the end of its answer.
     pub run_ms: f64,
 }
 
@@ -71,13 +73,13 @@
 }
 
 impl EngineRates {
-    /// Gives the milliseconds in which an engine reads the rest of a prompt.
+    /// Returns the predicted time of the prefill, in milliseconds.
     #[must_use]
     pub fn prefill_ms(&self, reading: PrefillWork) -> f64 {
         reading.fresh as f64 * self.token_ms + reading.pairs() * self.attention_ms
     }
 
-    /// Gives the rates of an engine that takes so many times as long.
+    /// Returns the rates of an engine that takes `factor` times as long.
     #[must_use]
     pub fn scaled(&self, factor: f64) -> Self {
         Self {
@@ -89,7 +91,7 @@
     }
 }
 
-/// A step that grows while answers err to one side, and shrinks where they err to both.
+/// A step size that grows while errors have the same direction and shrinks when the direction alternates.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     size: f64,
@@ -106,10 +108,10 @@
 }
 
 impl Step {
-    /// Gives by how much to move, as a logarithm, after an answer that took longer than expected or not.
+    /// Returns the change to apply, as a logarithm, after an answer that took longer than expected or not.
     ///
-    /// Only the side counts, not the distance, so that an answer which took a hundred times as long moves no more than one
-    /// which took a little longer.
+    /// Only the direction of the error counts, not its size: an answer that took a hundred times as long changes the
+    /// estimate no more than one that took slightly longer.
     fn take(&mut self, longer: bool) -> f64 {
         if let Some(rising) = self.rising.replace(longer) {
             let factor = if rising == longer { QUICKER } else { SLOWER };
@@ -120,7 +122,7 @@
     }
 }
 
-/// The rates of a service's engines.
+/// Estimated rates of a service's engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SpeedEstimate {
     rates: EngineRates,
@@ -128,14 +130,14 @@
 }
 
 impl SpeedEstimate {
-    /// Gives what has been learnt.
+    /// Returns the current estimate.
     #[must_use]
     pub const fn rates(&self) -> EngineRates {
         self.rates
     }
 
-    /// Learns from an answer that began after so many milliseconds at an engine of such a relative time, with nothing known to
-    /// go before it.
+    /// Updates the rates with the time to first event of a request that was not queued, at an engine with the relative
+    /// time `own`.
     pub fn learn(&mut self, reading: PrefillWork, seen_ms: f64, own: f64) {
         let parts = [
             self.rates.base_ms,
@@ -144,7 +146,7 @@
         ];
         let expected: f64 = parts.iter().sum();
         let by = self.step.take(seen_ms > expected * own);
-        // Each rate answers for the part of the time that it accounts for.
+        // Each rate is changed in proportion to its part of the expected time.
         let moved = |rate: f64, part: f64, start: f64| {
             let next = rate * (by * part / expected).exp();
             next.clamp(start * RANGE.0, start * RANGE.1)
@@ -157,14 +159,14 @@
         };
     }
 
-    /// Learns how long a request kept its slot.
+    /// Updates the slot time with that of a request that ended after `ms` milliseconds.
     pub fn learn_run(&mut self, ms: f64) {
         let run_ms = self.rates.run_ms + RUN_SHARE * (ms - self.rates.run_ms);
         self.rates.run_ms = run_ms.max(f64::MIN_POSITIVE);
     }
 }
 
-/// The time that one upstream takes, relative to its kin.
+/// The time that one upstream takes, relative to that of its service.
 #[derive(Clone, Copy, Debug)]
 pub struct RelativeSpeed {
     factor: f64,
@@ -184,13 +186,13 @@
 }
 
 impl RelativeSpeed {
-    /// Gives the factor on the time of its kin.
+    /// Returns the factor on the service's times; above 1 for a slower upstream.
     #[must_use]
     pub const fn factor(&self) -> f64 {
         self.factor
     }
 
-    /// Learns from an answer that began after so many milliseconds, where its kin would have taken so many.
+    /// Updates the factor with an answer that began after `seen_ms`, where the service's rates predict `kin_ms`.
     pub fn learn(&mut self, seen_ms: f64, kin_ms: f64) {
         let by = self.step.take(seen_ms > kin_ms * self.factor);
         let factor = self.factor.powf(1.0 - RETURN) * by.exp();
--- a/crates/policy/src/paging.rs
+++ b/crates/policy/src/paging.rs
@@ -1,21 +1,22 @@
-//! How much of a transfer is asked for at once, so that each answer arrives before it is given up.
+//! Page size of a transfer, chosen so that each page arrives before its timeout.
 //!
-//! A page that is lost on a slow link is asked for again in smaller ones; what has arrived before stays.
+//! A page that is lost on a slow link is requested again in smaller pages; what has arrived already is kept.
 
 use std::time::Duration;
 
-/// Bytes that are asked for first.
+/// Bytes of the first page.
 const FIRST: u32 = 32 * 1024;
-/// Fewest bytes that are asked for.
+/// Fewest bytes of a page.
 const LEAST: u32 = 1024;
-/// Most bytes that are asked for.
+/// Most bytes of a page.
 const MOST: u32 = 256 * 1024;
-/// Time within which a page is small enough for larger ones to follow.
+/// Longest transfer time of a page after which the next one is larger.
 const QUICK: Duration = Duration::from_millis(100);
-/// Time from which a page is too large: a little more load on the link and it would be lost.
+/// Shortest transfer time of a page after which the next one is smaller: with slightly more load on the link it would
+/// miss its timeout.
 const SLOW: Duration = Duration::from_millis(400);
 
-/// The size of the next page.
+/// The size of the next page of a transfer.
 #[derive(Clone, Copy, Debug)]
 pub struct PageSize {
     bytes: u32,
@@ -28,13 +29,13 @@
 }
 
 impl PageSize {
-    /// Gives the bytes to ask for.
+    /// Returns the number of bytes to request.
     #[must_use]
     pub const fn bytes(&self) -> u32 {
         self.bytes
     }
 
-    /// Notes that a full page arrived after a time.
+    /// Records that a full page arrived after `took`.
     pub fn record_arrival(&mut self, took: Duration) {
         if took <= QUICK {
             self.bytes = MOST.min(self.bytes * 2);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Notes that a page did not arrive in time.
+    /// Records that a page did not arrive before its timeout.
     pub fn record_loss(&mut self) {
         self.shrink();
     }
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -1,12 +1,14 @@
-//! How entry hosts that come and go share limits that hold over all of them.
+//! Division of the accounts' quotas among a changing set of entry hosts.
 //!
-//! A part of each limit is split evenly over all entry hosts that were heard of lately; an entry host that is cut off goes
-//! on with that floor, so that the sum stays within the limit whoever is cut off. The rest is lent out by the leader of the
-//! state group to whoever has no room for a request: requests of an account meet entry hosts by chance, and a split of
-//! everything would refuse some at one host while another has room. What a full part gains goes back to the leader's pool.
+//! A fixed share of each quota is divided evenly among all entry hosts that sent a heartbeat lately. An entry host that
+//! is cut off goes on with its even share, so the sum stays within the quota whichever host is cut off. The leader of
+//! the state group lends the rest to hosts that have no room for a request: requests of an account reach entry hosts at
+//! random, and with an even division of everything one host would refuse some while another has room. Units that
+//! overflow a host's full bucket return to the leader's pool.
 //!
-//! With eighty entry hosts a part holds fewer tokens than one long prompt asks for. If it kept what it can't use, three
-//! fifths of the quota would be there for short prompts only: on a calm day 157 tries of accounts within theirs were refused, 1 since.
+//! With eighty entry hosts, an even share holds fewer tokens than one long prompt needs. Without the return of the
+//! overflow, three fifths of the quota would be usable by short prompts only, and callers within their quota would be
+//! refused.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,68 +18,68 @@
 use crate::Tick;
 use crate::quota::Bucket;
 
-/// Part of every limit that is split evenly. Accounts use about half of their quota on ordinary days; with this a data
-/// centre that is cut off from the leader goes on serving what it usually does.
+/// Share of every quota that is divided evenly. Accounts use about half of their quota on ordinary days, so a data
+/// centre that is cut off from the leader can go on serving its usual load.
 pub const EVEN: f64 = 0.6;
-/// Part of the slack beyond a quota that is split evenly as room to save up.
+/// Share of the slack that is divided evenly and added to the entry hosts' bursts.
 pub const SLACK_SPLIT: f64 = 0.1;
-/// Part of it that the leader saves up for bunches of long prompts.
+/// Share of the slack that is added to the burst of the leader's pool, for bursts of long prompts.
 pub const SLACK_POOLED: f64 = 0.25;
-/// Part of it that the leader lends anew in each window. The rest of the slack is for entry hosts that restart or are counted
-/// late, and for one prompt that is longer than what is saved up.
+/// Share of the slack that the leader may lend in each window. What remains covers entry hosts that restart or are
+/// counted late, and one prompt that is larger than the burst.
 pub const SLACK_LENT: f64 = 0.4;
-/// How long an entry host that fell silent still counts: longer than a cut lasts on an ordinary day, since it goes on
-/// using its floor meanwhile.
+/// Time without heartbeat after which an entry host no longer counts: longer than an ordinary network cut, since a host
+/// that is cut off goes on using its even share.
 const REMEMBERED: Duration = Duration::from_secs(30);
-/// How long a leader listens that was not left a count of those who share: several beats, so that it has heard of every
-/// entry host.
+/// Time for which a leader that does not know the previous count of entry hosts only listens: several heartbeats, so
+/// that it has heard every host.
 const LISTENING: Duration = Duration::from_secs(1);
 
-/// What a leader knows of those who share, and what it can lend.
+/// The leader's view of the entry hosts, and its pools of lendable units.
 #[derive(Debug)]
 pub struct QuotaAllocator {
     since: Tick,
-    /// Those who shared under the leader before.
+    /// Number of entry hosts under the previous leader; zero if unknown.
     before: u32,
     known: BTreeMap<NodeId, Tick>,
     pools: BTreeMap<String, Bucket>,
-    /// Incarnation of each entry host, and what it had to spare by account since its start.
+    /// Incarnation of each entry host, and its total overflow by account since its start.
     spares: BTreeMap<NodeId, (u64, BTreeMap<String, u64>)>,
 }
 
-/// Units that may pass beyond each quota.
+/// Units by which the use of a quota may exceed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Slack {
-    /// In one window, over all entry hosts.
+    /// Units in one window, over all entry hosts.
     pub units: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
 impl Slack {
-    /// Gives what one of so many entry hosts may save up beyond its part of the burst.
+    /// Returns the units that each of `entries` entry hosts may add to its burst.
     #[must_use]
     pub fn per_entry(&self, entries: u32) -> f64 {
         self.units * SLACK_SPLIT / f64::from(entries.max(1))
     }
 
-    /// Gives the units a second that the leader may lend beyond the quota's rate.
+    /// Returns the units per second that the leader may lend beyond the quota's rate.
     fn rate(&self) -> f64 {
         self.units * SLACK_LENT / self.window.as_secs_f64().max(1.0)
     }
 }
 
-/// The part of one entry host.
+/// The even share of one entry host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EntryShare {
-    /// Entry hosts that share.
+    /// Number of entry hosts that share.
     pub entries: u32,
-    /// Part of every limit that is its own.
+    /// Share of each quota that the entry host owns, 0 to 1.
     pub fraction: f64,
 }
 
 impl QuotaAllocator {
-    /// Begins to listen; so many shared under the leader before, or none is known.
+    /// Starts listening for entry hosts; `before` is their number under the previous leader, zero if unknown.
     #[must_use]
     pub const fn new(before: u32, since: Tick) -> Self {
         Self {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Notes a beat and gives the entry host's part; nothing while it is not known yet who shares.
+    /// Records a heartbeat and returns the host's even share; `None` while the number of entry hosts is not known.
     pub fn record_heartbeat(&mut self, node: &NodeId, now: Tick) -> Option<EntryShare> {
         self.known.retain(|_, heard| now.since(*heard) < REMEMBERED);
         self.spares.retain(|node, _| self.known.contains_key(node));
@@ -101,7 +103,7 @@
         })
     }
 
-    /// Gives the number of those who share; zero while it is not known.
+    /// Returns the number of entry hosts; zero while it is not known.
     #[must_use]
     pub fn entry_count(&self, now: Tick) -> u32 {
         let heard = self.known.len() as u32;
@@ -112,8 +114,8 @@
         if passed < LISTENING { 0 } else { heard }
     }
 
-    /// Takes over the quotas in force. A pool that is new begins with little: a former leader may just have lent what was
-    /// in it.
+    /// Applies the quotas in force. A new pool starts with little, since a previous leader may just have lent its
+    /// contents.
     pub fn set_quotas(&mut self, quotas: &[(String, Quota)], slack: &Slack, now: Tick) {
         self.pools
             .retain(|account, _| quotas.iter().any(|(name, _)| name == account));
@@ -126,9 +128,10 @@
         }
     }
 
-    /// Takes back what an entry host had to spare since it told so last; `totals` count from its start.
+    /// Adds an entry host's overflow since its last report to the pools; `totals` count from the start of the
+    /// incarnation `run`.
     ///
-    /// The first totals that are heard from an incarnation only begin the count: a former leader may have taken them back.
+    /// The first totals of an incarnation only set the baseline, since a previous leader may have collected them.
     pub fn collect_overflow(&mut self, node: &NodeId, run: u64, totals: BTreeMap<String, u64>) {
         let before = self.spares.get(node).filter(|(known, _)| *known == run);
         if let Some((_, before)) = before {
@@ -142,7 +145,7 @@
         self.spares.insert(node.clone(), (run, totals));
     }
 
-    /// Lends units of an account's quota.
+    /// Lends units of an account's quota; returns whether the pool had as many.
     pub fn lend(&mut self, account: &str, units: f64, now: Tick) -> bool {
         let pool = self.pools.get_mut(account);
         pool.is_some_and(|pool| pool.take(units, now).is_ok())
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, by predicted time: the wait there and the prompt tokens that are not cached.
+//! Choice of the upstream for a request by predicted time: queueing plus prefill of the uncached prompt tokens.
 
 use std::cmp::Ordering;
 use std::collections::{HashMap, VecDeque};
@@ -7,34 +7,34 @@
 use crate::Tick;
 use crate::pace::{EngineRates, PrefillWork};
 
-/// Part of the longest pause of an answer in time for which an engine may read without making tokens: one event holds the
-/// tokens of several steps, and these come on top.
+/// Share of the longest allowed pause that a prefill may take: an event carries the tokens of several steps, and their
+/// time is added to the pause.
 const PAUSE: f64 = 0.67;
-/// Milliseconds of the caller's own wait that one millisecond beyond it weighs for each request that runs there. Replayed with
-/// 65 engines, plans that pause too long fall from 16 to 8 in 100 and questions from 13 to 5, while plans that begin late rise
-/// from 6.8 to 7.7; with half as much they are 9, 7 and 6.7.
+/// Cost of a millisecond by which a prefill exceeds the allowed pause, for each running request, in milliseconds of the
+/// new request's own wait. With a larger value more long prompts start late; with a smaller one more running answers
+/// pause for too long.
 const HARM: f64 = 0.25;
-/// Part of the slots up to which an engine counts as not crowded. Beyond it a prompt may find no slot. With a half, hosts that
-/// read the same old reports left busy homes together and met elsewhere: of the consultations and plans of ninety and a
-/// hundred and twelve engines 79 and 63 in 100 began in time, with three quarters 82 and 67.
+/// Share of the slots up to which an upstream counts as not crowded. With a larger value, prompts may find no free
+/// slot. With a smaller one, entry hosts that read the same outdated reports leave busy homes together and overload the
+/// same other upstreams.
 const CROWDED: f64 = 0.75;
-/// Milliseconds that another data centre is taken to be farther; it breaks ties and saves traffic between them.
+/// Extra cost of another data centre, in milliseconds. It breaks ties and saves traffic between data centres.
 const DISTANCE_MS: f64 = 2.0;
-/// How long a part of a prompt is believed to stay cached after its last use.
+/// Time after its last use for which a prompt part is assumed to be cached.
 const CACHED: Duration = Duration::from_mins(1);
-/// Parts of prompts that are remembered for one upstream; more than its cache holds at common sizes.
+/// Most prompt parts recorded for one upstream; more than its cache holds at common sizes.
 const MAX_PARTS: usize = 4_096;
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifies it together with all parts before it.
+    /// Identifies the part together with all parts before it.
     pub key: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// The parts of prompts that an upstream is believed to hold.
+/// The prompt parts that an upstream is assumed to have cached.
 #[derive(Clone, Debug, Default)]
 pub struct CachedParts {
     used: HashMap<u64, Tick>,
@@ -42,7 +42,7 @@
 }
 
 impl CachedParts {
-    /// Notes that the upstream has read a prompt.
+    /// Records the parts of a prompt that the upstream has prefilled.
     pub fn store(&mut self, parts: &[PromptPart], now: Tick) {
         for part in parts {
             self.used.insert(part.key, now);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Gives the tokens at the beginning of a prompt that the upstream holds.
+    /// Returns the number of tokens in the longest cached sequence of leading parts.
     #[must_use]
     pub fn tokens(&self, parts: &[PromptPart], now: Tick) -> u64 {
         let held = |part: &&PromptPart| self.used.get(&part.key).is_some_and(|at| now.since(*at) < CACHED);
@@ -69,29 +69,29 @@
     }
 }
 
-/// An upstream that may take the request.
+/// An upstream that may serve the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Its number among the upstreams.
+    /// Index among the upstreams.
     pub at: usize,
-    /// Requests that run or wait there.
+    /// Running and waiting requests.
     pub load: f64,
-    /// Requests that run at once.
+    /// Most requests that run at once.
     pub slots: f64,
-    /// Prompt tokens that are cached there.
+    /// Prompt tokens that are assumed to be cached.
     pub cached: u64,
-    /// Weight of the rendezvous hash of prompt and upstream, on which all entry hosts agree.
+    /// Rendezvous hash of prompt and upstream, equal at all entry hosts; the highest marks the home.
     pub weight: u64,
-    /// Whether it stands in the own data centre.
+    /// Whether the upstream is in the data centre of this host.
     pub near: bool,
-    /// Milliseconds of work that goes before, as far as known: prompts that were sent there and are not read yet.
+    /// Known work queued before the request, in milliseconds: prompts sent there and not prefilled yet.
     pub backlog_ms: f64,
-    /// What it takes to read a prompt.
+    /// Estimated times of the engine.
     pub rates: EngineRates,
 }
 
 impl Candidate {
-    /// Gives what a prompt of so many tokens asks of it.
+    /// Returns the prefill work of a prompt of `tokens` tokens at this upstream.
     #[must_use]
     pub fn prefill(&self, tokens: u64) -> PrefillWork {
         PrefillWork {
@@ -101,33 +101,34 @@
     }
 }
 
-/// What is predicted for one upstream.
+/// The prediction for one upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// The upstream's number.
+    /// Index of the upstream.
     pub at: usize,
-    /// Milliseconds until the answer begins.
+    /// Time to first event, in milliseconds.
     pub ms: f64,
-    /// Milliseconds of them in which the prompt is read.
+    /// Part of the time that is prefill of the prompt, in milliseconds.
     pub prefill_ms: f64,
-    /// Milliseconds of them for what goes before.
+    /// Part of the time that is work queued before the request, in milliseconds.
     pub backlog_ms: f64,
-    /// Milliseconds that weigh against it besides: requests that run there get no tokens while a long prompt is read.
+    /// Extra cost for the requests that run there, which get no tokens during a long prefill, in milliseconds.
     pub stall_ms: f64,
-    /// Whether it takes the request without queueing it.
+    /// Whether the request finds a free slot.
     pub has_slot: bool,
 }
 
-/// What is asked of an upstream.
+/// What a request needs from an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PromptNeed {
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     pub tokens: u64,
-    /// Milliseconds of the longest pause of an answer in time; endless where the answer comes whole.
+    /// Longest pause between two events that running answers may have, in milliseconds; infinite for answers sent as a
+    /// whole.
     pub max_pause_ms: f64,
 }
 
-/// Predicts the time until an upstream answers.
+/// Predicts the time until an upstream begins its answer.
 #[must_use]
 pub fn predict(option: &Candidate, wish: PromptNeed) -> Prediction {
     let PromptNeed {
@@ -137,15 +138,15 @@
     let slots = option.slots.max(1.0);
     let queued = (option.load + 1.0 - slots).max(0.0);
     let filled = (option.load / slots).min(1.0);
-    // Prompts go to their home as long as it is not crowded. Reports are as old as two beats, and many entry hosts read the
-    // same ones: if small differences counted, all of them would send to whichever was idle then.
+    // Prompts go to their home unless it is crowded. Reports are up to two heartbeats old, and many entry hosts read
+    // the same ones: if small differences counted, all of them would send to the upstream that was idle then.
     let crowd = if tokens == 0 {
         filled
     } else {
         ((filled - CROWDED) / (1.0 - CROWDED)).max(0.0)
     };
     let reading_ms = option.rates.prefill_ms(option.prefill(tokens));
-    // Until one of the slots is free; a crowded upstream may be full when the request comes.
+    // Time until one of the slots becomes free; a crowded upstream may be full when the request arrives.
     let slot_ms = option.rates.run_ms / slots;
     let ms = reading_ms * (1.0 + crowd)
         + (crowd * crowd + queued) * slot_ms
@@ -162,7 +163,8 @@
     }
 }
 
-/// Gives the upstream with the lowest predicted time and harm; of those that differ by little, the one with the highest weight.
+/// Returns the upstream with the lowest predicted time and stall cost. Among those within `close_ms` of it, the highest
+/// weight wins.
 #[must_use]
 pub fn choose(options: &[Candidate], wish: PromptNeed, close_ms: f64) -> Option<Prediction> {
     let predicted: Vec<(Prediction, u64)> = options
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,8 +1,8 @@
-//! The plan of capacity: which hosts to start and which to drain, as a pure function of what is known.
+//! Capacity plan: which hosts to start and which to drain, as a pure function of the current state.
 //!
-//! The hosts of a model are spread so that the loss of any one zone leaves what its contracts need. Reclaimable hosts
-//! come first since they are cheap; on-demand hosts are the floor that no reclaim takes. What operators said goes before
-//! everything else.
+//! The hosts of a model are spread so that the loss of any one zone leaves enough for its contracts. Reclaimable hosts
+//! are preferred since they are cheap; on-demand hosts are a floor that no reclaim removes. Operator rules take
+//! precedence over everything else.
 
 mod backoff;
 mod queue;
@@ -15,57 +15,57 @@
 pub use backoff::Backoff;
 pub use queue::{WeightLoad, next_loads};
 
-/// Most steps for one model in one plan; more are taken by the next.
+/// Most starts for one model in one plan; the next plan adds more.
 const MOST_STEPS: usize = 64;
 
-/// How a plan is made.
+/// Parameters of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScalingRules {
     /// Requests that one host runs at once within its targets.
     pub slots: u32,
     /// Factor on the busy slots up to which hosts are started.
     pub grow: f64,
-    /// Factor on the busy slots above which hosts are drained; larger than the other one, so that a load between the
-    /// two changes nothing and hosts don't come and go with every wave of requests.
+    /// Factor on the busy slots above which hosts are drained. It is larger than `grow`: a load between the two changes
+    /// nothing, so hosts are not started and drained with every fluctuation of the load.
     pub shrink: f64,
 }
 
-/// What a model needs.
+/// Demand for a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelNeed {
-    /// The model.
+    /// Its name, as in the contracts.
     pub model: ModelName,
-    /// Requests that run or wait now.
+    /// Running and waiting requests.
     pub busy: f64,
-    /// Requests that its contracts may have at once at any time; on-demand hosts carry these.
+    /// Concurrent requests that the contracts guarantee; on-demand hosts serve these.
     pub guaranteed: u32,
 }
 
-/// A host that is held; those that leave or are drained aren't.
+/// A host that is kept; hosts that leave or are drained are not listed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldHost {
-    /// The host.
+    /// Its id, which a drain step names.
     pub host: HostId,
-    /// Its model.
+    /// The model it serves.
     pub model: ModelName,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: Zone,
     /// Whether it can be reclaimed.
     pub class: MachineClass,
-    /// Its price.
+    /// Price in micro-dollars an hour.
     pub price: u64,
-    /// Requests that run or wait there.
+    /// Running and waiting requests.
     pub busy: f64,
 }
 
-/// Where hosts can be started.
+/// A zone and machine class in which hosts can be started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostPool {
-    /// The zone.
+    /// The zone, which may be lost as a whole.
     pub zone: Zone,
-    /// Whether hosts there can be reclaimed.
+    /// Whether its hosts can be reclaimed.
     pub class: MachineClass,
-    /// Price of a host.
+    /// Price of a host in micro-dollars an hour.
     pub price: u64,
     /// Whether a start may be tried now.
     pub open: bool,
@@ -77,21 +77,21 @@
     /// Starts a host.
     #[display("start {class} host in {zone} for {model}: {why}")]
     Start {
-        /// Its model.
+        /// The model it will serve.
         model: ModelName,
-        /// Its zone.
+        /// The zone to start it in.
         zone: Zone,
         /// Whether it can be reclaimed.
         class: MachineClass,
-        /// What it's for.
+        /// Why it is started.
         why: Why,
     },
-    /// Drains a host; it's stopped when nothing runs there any more.
+    /// Drains a host, which is stopped once nothing runs on it.
     #[display("drain {host}: {why}")]
     Drain {
-        /// The host.
+        /// The host to drain.
         host: HostId,
-        /// What for.
+        /// Why it is drained.
         why: Why,
     },
 }
@@ -99,16 +99,16 @@
 /// Why a step is taken.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Why {
-    /// An operator said so.
+    /// An operator's rule asks for it.
     #[display("an operator's rule")]
     Rule,
-    /// The contracts' floor of on-demand hosts.
+    /// The contracts guarantee it with on-demand hosts.
     #[display("the contracts' floor")]
     Floor,
-    /// There is more work than hosts.
+    /// The load needs more hosts.
     #[display("load")]
     Load,
-    /// The loss of one zone would leave too little.
+    /// The loss of one zone would leave too few hosts.
     #[display("the loss of a zone")]
     Spread,
     /// There are more hosts than needed.
@@ -116,7 +116,7 @@
     Surplus,
 }
 
-/// Makes the plan; hosts are only drained for lack of work while it's calm, which means some time after the last step.
+/// Makes the plan. Surplus hosts are only drained while `calm`, that is some time after the last step.
 #[must_use]
 pub fn plan(
     needs: &[ModelNeed],
@@ -189,7 +189,7 @@
             .count() as u32
     }
 
-    /// Gives the hosts that stay when the fullest zone is lost.
+    /// Returns the number of hosts that remain after the loss of the fullest zone.
     fn after_loss(&self) -> u32 {
         let most = self.places().map(|(zone, _)| self.in_zone(zone)).max();
         self.total() - most.unwrap_or_default()
@@ -203,7 +203,7 @@
         self.hosts_for(f64::from(self.need.guaranteed))
     }
 
-    /// Gives the hosts that must be there also without any one zone.
+    /// Returns the number of hosts that must remain after the loss of any one zone.
     fn base(&self) -> u32 {
         self.hosts_for(self.need.busy).max(self.floor())
     }
@@ -227,7 +227,7 @@
         self.rule(&host.zone, host.class).is_none_or(spare)
     }
 
-    /// Drains what an operator allows no more.
+    /// Drains the hosts beyond an operator's limits.
     fn exceeding(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
         for rule in self.said.clone() {
@@ -282,7 +282,7 @@
         } else {
             return None;
         };
-        // Dear hosts stand in for refused cheap ones only as far as targets are at stake.
+        // Expensive hosts replace refused cheap ones only as far as targets are at risk.
         let at_stake = self.total() < self.base() || loses;
         let cheap = self
             .best(MachineClass::Reclaimable)
@@ -293,15 +293,15 @@
         helps.then_some((zone, class, why))
     }
 
-    /// Tells whether hosts in a zone can make the loss of the fullest one smaller: in the fullest zone itself only when
-    /// another zone can follow.
+    /// Returns whether more hosts in `zone` can reduce the loss of the fullest zone. In the fullest zone itself they
+    /// can only if another zone can get hosts afterwards.
     fn spreads_with(&self, zone: &Zone) -> bool {
         let fullest = self.total() - self.after_loss();
         let follows = |pool: &HostPool| pool.zone != *zone && self.may_add(pool);
         self.in_zone(zone) < fullest || self.pools.iter().any(follows)
     }
 
-    /// Gives the zone with the fewest hosts of the model, the cheapest among equal ones.
+    /// Returns the zone with the fewest hosts of the model; of equals, the cheapest.
     fn best(&self, class: MachineClass) -> Option<Zone> {
         let open = self
             .pools
@@ -311,7 +311,7 @@
         Some(best.zone.clone())
     }
 
-    /// Drains one host that isn't needed: the dearest, in the fullest zone, with the least to do.
+    /// Drains one surplus host: the most expensive, then in the fullest zone, then the least busy.
     fn shrink(&self) -> Option<Step> {
         let mut spare: Vec<&HeldHost> = self.held.iter().copied().filter(|one| self.is_spare(one)).collect();
         spare.sort_by(|a, b| {
--- a/crates/policy/src/plan/backoff.rs
+++ b/crates/policy/src/plan/backoff.rs
@@ -1,4 +1,4 @@
-//! Refused starts, by zone and class.
+//! Backoff after refused host starts, by zone and machine class.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 /// Shortest and longest pause after a refused start.
 const PAUSE: (Duration, Duration) = (Duration::from_secs(5), Duration::from_mins(5));
 
-/// Where starts were refused lately.
+/// Zones and machine classes whose starts were refused lately.
 ///
-/// After a wave everybody asks the same zones for hosts. Asking again at once, and again, costs the time in which
-/// another zone would have given one.
+/// After a wave of reclaims, everyone asks the same zones for hosts. Repeating a refused start at once takes the time
+/// in which another zone would have provided a host.
 #[derive(Debug, Default)]
 pub struct Backoff {
     refused: HashMap<(Zone, MachineClass), Refused>,
@@ -26,7 +26,7 @@
 }
 
 impl Backoff {
-    /// Notes a refused start; each one after another doubles the pause.
+    /// Records a refused start; each consecutive one doubles the pause.
     pub fn refused(&mut self, zone: &Zone, class: MachineClass, now: Tick) {
         let key = (zone.clone(), class);
         let times = self.refused.get(&key).map_or(0, |before| before.times);
@@ -40,12 +40,12 @@
         );
     }
 
-    /// Notes a start that worked.
+    /// Records a successful start, which ends the backoff.
     pub fn started(&mut self, zone: &Zone, class: MachineClass) {
         self.refused.remove(&(zone.clone(), class));
     }
 
-    /// Tells whether a start may be tried.
+    /// Returns whether a start may be tried.
     #[must_use]
     pub fn is_open(&self, zone: &Zone, class: MachineClass, now: Tick) -> bool {
         let refused = self.refused.get(&(zone.clone(), class));
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -1,8 +1,8 @@
-//! Which prompt prefixes are believed to be cached at which upstream, in bounded memory.
+//! Index of the prompt prefixes that each upstream is assumed to have cached, in bounded memory.
 //!
-//! A prompt is cut into blocks of [`BLOCK`] words. The hash of a block covers everything up to its end, as engines
-//! publish it with their cache events: XXH3 (64 bits) of the block's words joined by single spaces, seeded with the
-//! hash of the block before, or zero for the first.
+//! A prompt is divided into blocks of [`BLOCK`] words. The hash of a block covers the prompt up to the end of the
+//! block, as in the cache events of the engines: XXH3 (64 bits) of the block's words joined by single spaces, seeded
+//! with the hash of the previous block, or zero for the first.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -10,16 +10,16 @@
 
 /// Words in one block.
 pub const BLOCK: usize = 16;
-/// Most blocks of one prompt that are looked at; what lies beyond counts as not cached.
+/// Most blocks of one prompt that are indexed; words beyond them count as not cached.
 pub const MAX_BLOCKS: usize = 4_096;
-/// Upstreams that are remembered for one block.
+/// Most upstreams recorded for one block.
 const HOLDERS: usize = 4;
-/// Blocks that share one set of places; the least recently used of them makes room.
+/// Entries in one set of the index; a new block replaces the least recently used entry of its set.
 const WAYS: usize = 8;
-/// Marks an unused place for a holder.
+/// Marks an unused holder of an entry.
 const NOBODY: u32 = u32::MAX;
 
-/// The hashes of a prompt's whole blocks.
+/// The hashes of a prompt's complete blocks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prefix {
     blocks: Vec<u64>,
@@ -30,9 +30,9 @@
 /// The conversation that a prompt belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Session {
-    /// Identifies it: the same for each of its turns and at every entry host.
+    /// Identifies the conversation; equal for all of its turns and at every entry host.
     pub key: u64,
-    /// Words at the start of the prompt that an earlier turn had at an engine; zero for the first turn.
+    /// Words at the start of the prompt that an engine already had in an earlier turn; zero for the first turn.
     pub earlier_words: u64,
 }
 
@@ -60,65 +60,64 @@
         prefix
     }
 
-    /// Tells which conversation the prompt belongs to.
+    /// Sets the conversation that the prompt belongs to.
     #[must_use]
     pub fn with_session(self, session: Session) -> Self {
         let session = Some(session);
         Self { session, ..self }
     }
 
-    /// Gives the conversation, if known.
+    /// Returns the conversation; `None` if it is not known.
     #[must_use]
     pub const fn session(&self) -> Option<Session> {
         self.session
     }
 
-    /// Gives the number of words.
+    /// Returns the number of words, those of an incomplete last block included.
     #[must_use]
     pub const fn words(&self) -> u64 {
         self.words
     }
 
-    /// Gives the hashes of the blocks.
+    /// Returns the hashes of the complete blocks, at most [`MAX_BLOCKS`].
     #[must_use]
     pub fn blocks(&self) -> &[u64] {
         &self.blocks
     }
 
-    /// Gives a number that prompts with the same beginning share; prompts shorter than a block share one.
+    /// Returns a hash that prompts with the same beginning share; all prompts shorter than a block have the same.
     ///
-    /// Two blocks are taken where there are as many, so that conversations that only share their first words are
-    /// still spread.
+    /// It covers two blocks if there are as many, so that conversations that share only their first words are spread.
     #[must_use]
     pub fn leading_hash(&self) -> u64 {
         self.blocks.get(1).or(self.blocks.first()).copied().unwrap_or_default()
     }
 }
 
-/// How many words at the start of a prompt an upstream is believed to hold.
+/// An upstream with the length of the prefix that it is assumed to have cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixHolder {
     /// Number of the upstream.
     pub upstream: u32,
-    /// Words that it holds.
+    /// Words at the start of the prompt that it has cached.
     pub words: u64,
 }
 
-/// The blocks that upstreams are believed to hold.
+/// The blocks that upstreams are assumed to have cached.
 ///
-/// The memory is taken once: 32 bytes for each block.
+/// The memory is allocated once: 32 bytes for each block.
 #[derive(Debug)]
 pub struct PrefixIndex {
     sets: Vec<[Place; WAYS]>,
 }
 
-/// One block; the holders are in order of their last use, newest first.
+/// Entry of one block, with its holders by last use, newest first.
 #[derive(Clone, Copy, Debug)]
 struct Place {
     hash: u64,
     holders: [u32; HOLDERS],
     used_ms: u32,
-    /// A holder was forgotten because there were too many, so that absence tells nothing.
+    /// Whether a holder was dropped because there were too many, so that absence from `holders` proves nothing.
     crowded: bool,
 }
 
@@ -130,7 +129,7 @@
 };
 
 impl PrefixIndex {
-    /// Makes an empty history for about so many blocks, rounded up to a power of two.
+    /// Creates an empty index for about `blocks` blocks; the number of sets is rounded up to a power of two.
     #[must_use]
     pub fn new(blocks: usize) -> Self {
         let sets = blocks.div_ceil(WAYS).next_power_of_two();
@@ -139,20 +138,20 @@
         }
     }
 
-    /// Gives the memory that it takes, in bytes.
+    /// Returns the allocated memory in bytes.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.sets.len() * size_of::<[Place; WAYS]>()
     }
 
-    /// Notes that an upstream holds every block of a prefix.
+    /// Records that an upstream has cached every block of a prefix.
     pub fn store(&mut self, prefix: &Prefix, upstream: u32, now: Tick) {
         for hash in &prefix.blocks {
             self.store_block(*hash, upstream, now);
         }
     }
 
-    /// Notes that an upstream holds a block.
+    /// Records that an upstream has cached a block.
     pub fn store_block(&mut self, hash: u64, upstream: u32, now: Tick) {
         let set = self.set(hash);
         let at = set.iter().position(|place| place.is(hash)).unwrap_or_else(|| {
@@ -164,26 +163,26 @@
         set[at].add(upstream, now);
     }
 
-    /// Notes that an upstream holds a block no longer.
+    /// Records that an upstream has evicted a block.
     pub fn evict_block(&mut self, hash: u64, upstream: u32) {
         if let Some(place) = self.set(hash).iter_mut().find(|place| place.is(hash)) {
             place.remove(upstream);
         }
     }
 
-    /// Forgets everything about an upstream, for instance because it was restarted with an empty cache.
+    /// Removes an upstream, for example after a restart with an empty cache.
     pub fn forget(&mut self, upstream: u32) {
         for place in self.sets.iter_mut().flatten() {
             place.remove(upstream);
         }
     }
 
-    /// Finds the upstreams that hold the longest beginnings of a prompt, longest first.
+    /// Returns the upstreams that have cached the longest prefixes of a prompt, longest first.
     #[must_use]
     pub fn holders(&self, prefix: &Prefix) -> Vec<PrefixHolder> {
         let mut held: Vec<PrefixHolder> = Vec::with_capacity(HOLDERS);
         let known: Vec<&Place> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
-        // The deepest blocks are the rarest and tell best where a conversation lives.
+        // The last blocks are the rarest and best identify the upstreams that served the conversation.
         for place in known.iter().rev() {
             for upstream in place.holders.iter().filter(|holder| **holder != NOBODY) {
                 if held.len() < 2 * HOLDERS && held.iter().all(|other| other.upstream != *upstream) {
@@ -203,7 +202,7 @@
         held
     }
 
-    /// Gives the words at the start of a prompt that each of some upstreams is believed to hold, in their order.
+    /// Returns the words at the start of a prompt that each of `upstreams` is assumed to have cached, in their order.
     #[must_use]
     pub fn cached_words(&self, prefix: &Prefix, upstreams: &[u32]) -> Vec<u64> {
         let known: Vec<&Place> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
@@ -226,10 +225,10 @@
     }
 }
 
-/// Counts the leading blocks that an upstream holds.
+/// Counts the leading blocks that an upstream has cached.
 ///
-/// A crowded block does not end the count: the upstream may have been forgotten there only because too many hold it.
-/// The count ends after the deepest block for which it is certainly a holder.
+/// A crowded block does not end the count, since the upstream may have been dropped from it. The count ends after the
+/// last block that names the upstream as a holder.
 fn depth(known: &[&Place], upstream: u32) -> u64 {
     let mut certain = 0;
     for (at, place) in known.iter().enumerate() {
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,44 +1,45 @@
-//! An entry host's part of a client account's quota.
+//! An entry host's share of a client account's quota.
 
 use crate::Tick;
 
-/// Part of the burst that must be there for a request that is larger than it. A larger request than the whole burst would
-/// else never be let in; what it takes too much is paid back before the next one.
+/// Share of the burst that must be available for a request larger than it. Otherwise a request larger than the whole
+/// burst could never be admitted; the bucket then goes below zero, which delays the next requests.
 const LARGE: f64 = 0.5;
 
-/// Part of a burst that is there at the start. All processes of a system may be restarted twice in the window in which a
-/// quota is kept before this is more than what the bounds leave.
+/// Share of the burst that is available at the start. All processes of a system may be restarted twice within the
+/// window of a quota before this exceeds the slack.
 const FIRST: f64 = 0.4;
 
-/// A bucket that fills at the account's rate times the own part.
+/// A token bucket that fills at the rate of the entry host's share.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     units: f64,
     at: Tick,
-    /// Units a second.
+    /// Units per second.
     rate: f64,
-    /// Most units that are saved up.
+    /// Most units that can be saved up.
     burst: f64,
-    /// Units that came while it was full, since the start.
+    /// Units that arrived while the bucket was full, since the start.
     spare: f64,
 }
 
-/// A request that is over the quota.
+/// A request that exceeds the quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverQuota {
-    /// Seconds until there is room for it.
+    /// Seconds until there is room for the request.
     pub wait_s: f64,
-    /// Units that are saved up; below zero what a large request before has taken too much.
+    /// Units in the bucket; negative after a request larger than its contents.
     pub balance: f64,
-    /// Units a second.
+    /// Units per second at which the bucket fills.
     pub rate: f64,
 }
 
 impl Bucket {
-    /// Makes a bucket that holds a part of a burst at the start.
+    /// Creates a bucket with a part of its burst.
     ///
-    /// A process that was restarted must not own again what its forerunner spent. But if it began with nothing, a restart
-    /// of all processes would refuse for seconds what is within every quota: after a loss of power one request in two.
+    /// A restarted process must not spend again what its predecessor spent. But with an empty bucket, a restart of all
+    /// processes would refuse requests within their quota for seconds: after a power loss, it refused every second
+    /// request.
     #[must_use]
     pub fn new(burst: f64, now: Tick) -> Self {
         Self {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Changes rate and burst; what is saved up beyond the new burst is lost.
+    /// Changes rate and burst; saved units beyond the new burst are lost.
     pub fn set(&mut self, rate: f64, burst: f64, now: Tick) {
         self.fill(now);
         self.rate = rate;
@@ -58,10 +59,10 @@
         self.units = self.units.min(burst);
     }
 
-    /// Takes a request's units.
+    /// Takes the units of a request. A request larger than the burst may overdraw the bucket.
     ///
     /// # Errors
-    /// Tells how long the request would have to wait when there is no room for it.
+    /// Returns the time to wait if there is no room for the request.
     pub fn take(&mut self, units: f64, now: Tick) -> Result<(), OverQuota> {
         self.fill(now);
         let needed = units.min(self.burst * LARGE);
@@ -77,10 +78,10 @@
         Ok(())
     }
 
-    /// Takes a request's units only if all of them are saved up.
+    /// Takes the units of a request only if all of them are in the bucket.
     ///
     /// # Errors
-    /// Tells how long the request would have to wait when there is no room for it.
+    /// Returns the time to wait if there is no room for the request.
     pub fn take_whole(&mut self, units: f64, now: Tick) -> Result<(), OverQuota> {
         self.fill(now);
         if self.units >= units {
@@ -94,12 +95,12 @@
         })
     }
 
-    /// Gives back the units of a request that no upstream ran.
+    /// Returns the units of a request that no upstream ran to the bucket.
     pub fn refund(&mut self, units: f64) {
         self.units = (self.units + units).min(self.burst);
     }
 
-    /// Gives the units that came while it was full, since the start; whoever shares the quota may use them.
+    /// Returns the units that arrived while the bucket was full, since the start; other entry hosts may use them.
     #[must_use]
     pub const fn overflow(&self) -> f64 {
         self.spare
--- a/crates/policy/src/reach.rs
+++ b/crates/policy/src/reach.rs
@@ -1,23 +1,23 @@
-//! Whether a data centre can be reached, from what is heard of it.
+//! Reachability of a data centre, judged by the traffic received from it.
 //!
-//! When data centres are cut off from each other, connections fall silent and new ones hang. Judging each upstream by itself
-//! would lose three requests at every one of them; nothing heard from any upstream of a data centre, while requests wait
-//! there, tells the same after a few.
+//! When data centres are cut off from each other, connections fall silent and new ones time out. Judging each upstream
+//! on its own would lose three requests at every one of them. If nothing arrives from any upstream of a data centre
+//! while requests wait there, a few requests are enough.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use crate::Tick;
 
-/// Time for which a request waits, while nothing at all is heard from its data centre, until that counts as silence. The
-/// round trip between data centres takes a few milliseconds, and streams send an event every 30.
+/// Wait of a request, with nothing received from its data centre, that counts as silence. The round trip between data
+/// centres takes a few milliseconds, and streams send an event every 30.
 pub const SILENCE: Duration = Duration::from_millis(300);
-/// How long requests that may be repeated keep away from a silent data centre; the first after that is the probe.
+/// Time for which repeatable requests avoid a silent data centre; the first one after it is the probe.
 const AVOIDED: Duration = Duration::from_secs(1);
-/// The same for requests that may run only once: whatever is lost of them is lost for good.
+/// The same for requests that may run only once: whatever of them is lost cannot be repeated.
 const AVOIDED_ONCE: Duration = Duration::from_secs(4);
 
-/// What is heard of one data centre.
+/// Reachability of one data centre.
 #[derive(Debug, Default)]
 pub struct Reachability {
     heard: Cell<Tick>,
@@ -25,26 +25,26 @@
 }
 
 impl Reachability {
-    /// Notes that anything has come from there.
+    /// Records that anything was received from the data centre.
     pub fn record_received(&self, now: Tick) {
         self.heard.set(now);
     }
 
-    /// Judges by a request that was sent there and has got nothing yet.
+    /// Records that a request sent at `sent` has had no response so far.
     pub fn record_wait(&self, sent: Tick, now: Tick) {
         if sent > self.heard.get() && now.since(sent) >= SILENCE {
             self.silent.set(Some(now));
         }
     }
 
-    /// Notes that a connection was not accepted in time.
+    /// Records that a connection attempt timed out.
     pub fn record_connect_timeout(&self, now: Tick) {
         if now.since(self.heard.get()) >= SILENCE {
             self.silent.set(Some(now));
         }
     }
 
-    /// Tells whether requests should keep away.
+    /// Returns whether requests should avoid the data centre; `once` stands for requests that may run only once.
     #[must_use]
     pub fn is_silent(&self, once: bool, now: Tick) -> bool {
         let avoided = if once { AVOIDED_ONCE } else { AVOIDED };
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -1,8 +1,8 @@
-//! Reclaims of which engines tell before the list does.
+//! Reclaims that engines report before the upstream list shows them.
 //!
-//! Where a notice comes one second before the end and the list lags by eight tenths, streams are lost before anybody has heard
-//! of it. Engines tell of their own end at once. All reclaimable upstreams of a data centre are taken away together, so that two
-//! of them speak for all, and asking one is enough while nothing happens.
+//! A reclaim notice may come one second before the end while the list lags by 0.8 seconds, so streams would be lost
+//! before anyone knows. Engines report their own end at once. All reclaimable upstreams of a data centre are reclaimed
+//! together, so two reports stand for all of them, and probing one engine is enough while nothing happens.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,13 @@
 
 use crate::Tick;
 
-/// How long the list may go on showing upstreams as ready after engines told of a reclaim; it lags by up to a second and is
-/// read twice a second. Afterwards the list is right.
+/// Time for which a reported reclaim overrides the list: the list lags by up to a second and is read twice a second.
 const AHEAD: Duration = Duration::from_millis(1_600);
 
-/// Reclaimable upstreams that are taken away together.
+/// Reclaimable upstreams that are reclaimed together.
 pub type ReclaimGroup = (ServiceName, Zone);
 
-/// The reclaims that the list may not show yet.
+/// Reclaims that the list may not show yet.
 #[derive(Clone, Debug, Default)]
 pub struct ReportedReclaims {
     told: BTreeMap<ReclaimGroup, Told>,
@@ -31,18 +30,18 @@
 }
 
 impl ReportedReclaims {
-    /// Notes a reclaim that engines told of.
+    /// Records a reclaim that was reported by engines; `ends` is the announced end.
     pub fn record(&mut self, group: ReclaimGroup, ends: Tick, now: Tick) {
         self.told.entry(group).or_insert(Told { at: now, ends });
     }
 
-    /// Tells whether a reclaim was told of lately.
+    /// Returns whether a reclaim of the group was reported lately.
     #[must_use]
     pub fn contains(&self, group: &ReclaimGroup, now: Tick) -> bool {
         self.told.get(group).is_some_and(|told| told.is_ahead(now))
     }
 
-    /// Marks upstreams as leaving that a list which was asked for at a time does not show as leaving yet.
+    /// Marks the upstreams of reported reclaims as leaving in a list that was requested at `asked`.
     pub fn apply(&mut self, list: &mut [Listed], asked: Tick) {
         self.told.retain(|_, told| told.is_ahead(asked));
         for one in list.iter_mut().filter(|one| one.reclaimable && !one.leaving) {
@@ -64,8 +63,8 @@
     (one.service.clone(), one.zone.clone())
 }
 
-/// Gives the upstreams of each group that are asked in a turn: the first, and the one that must say the same. The turns go
-/// round, so that one engine that does not answer hides nothing for long.
+/// Returns the upstreams of each group to probe in a turn: the first, and a second one that must confirm its report.
+/// They rotate with the turn, so that an engine that hangs does not hide a reclaim for long.
 #[must_use]
 pub fn engines_to_probe(list: &[Listed], turn: usize) -> Vec<(ReclaimGroup, Vec<&Listed>)> {
     let mut groups: BTreeMap<ReclaimGroup, Vec<&Listed>> = BTreeMap::new();
--- a/crates/policy/src/rescue.rs
+++ b/crates/policy/src/rescue.rs
@@ -1,10 +1,10 @@
-//! What becomes of the streams on a host that will be taken away: finished there, moved with their KV cache, or
-//! replayed elsewhere.
+//! What to do with the streams of a host that will be reclaimed: let them finish, move them with their KV cache, or
+//! replay them elsewhere.
 //!
-//! A stream goes on where it is while its cache is copied, so a move costs its caller almost nothing, and a replay costs
-//! the time to prefill everything again. The link of a host carries one copy after the other, so there may be too little
-//! time for all: streams that would miss their target by a replay come first, then those that save the most tokens for
-//! the time that is left.
+//! A stream goes on while its cache is copied, so a move hardly delays it. A replay takes the time to prefill
+//! everything again. Copies from one host share its link one after the other, so there may be too little time for all
+//! of them. Streams that would miss their target with a replay go first, then those that save the most tokens in the
+//! remaining time.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -12,23 +12,23 @@
 
 use derive_more::Display;
 
-/// Fewest tokens that are worth a copy; less than two blocks are prefilled faster than they are asked for.
+/// Fewest tokens that are worth a copy: less than two blocks are prefilled faster than a copy is requested.
 const FEWEST: u64 = 32;
-/// Time before the announced end that is not counted on; clocks and notices are not exact.
+/// Safety margin before the announced end, since clocks and notices are inexact.
 const SAFETY: Duration = Duration::from_millis(200);
-/// Factor on the time that a stream needs to its end, since batches slow down when others finish there as well.
+/// Factor on the remaining time of a stream, since batches slow down when other streams of the host finish there too.
 const SLOWER: f64 = 1.25;
 
-/// What becomes of a stream.
+/// What to do with a stream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum StreamAction {
     /// It ends before its host does.
     #[display("finish")]
     Finish,
-    /// Its KV cache is copied and it goes on from there.
+    /// Its KV cache is copied, and it goes on from there.
     #[display("export")]
     Export,
-    /// Prompt and tokens are prefilled again elsewhere.
+    /// Its prompt and tokens are prefilled again elsewhere.
     #[display("replay")]
     Replay,
 }
@@ -36,35 +36,35 @@
 /// A stream on a host that leaves.
 #[derive(Clone, Copy, Debug)]
 pub struct Stream<S> {
-    /// The engine that it runs on; copies from one engine queue for its link.
+    /// The engine that runs it; copies from one engine share its link.
     pub source: S,
     /// Time until the host is gone.
     pub time_left: Duration,
-    /// Tokens of prompt and answer so far; a replay computes them again.
+    /// Tokens of the prompt and the answer so far; a replay computes them again.
     pub tokens: u64,
-    /// Tokens that the answer still needs at most.
+    /// Most tokens that the answer still needs.
     pub remaining: u64,
     /// Time between two tokens.
     pub token_interval: Duration,
-    /// Time by which the whole answer may be delayed and still be on target.
+    /// Delay of the whole answer that its target still allows.
     pub slack: Duration,
-    /// Copies of its cache that failed.
+    /// Failed copies of its cache so far.
     pub failed_copies: u32,
 }
 
-/// How fast tokens move and are computed, as measured.
+/// Measured times of copies and prefill.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveRates {
-    /// Time to export one token's cache; `None` when engines can't or it's switched off.
+    /// Time to export one token's cache; `None` if the engines cannot export or exports are disabled.
     pub export: Option<Duration>,
     /// Time to prefill one token.
     pub prefill: Duration,
 }
 
-/// Copies of a stream's cache that may fail before it's replayed.
+/// Failed copies of a stream's cache after which it is replayed.
 pub const MAX_COPY_FAILURES: u32 = 2;
 
-/// Decides on all streams together; gives them in the order in which they are to be dealt with.
+/// Decides for all streams together; returns their indices with the action, in the order of execution.
 #[must_use]
 pub fn plan<S: Copy + Eq + Hash>(streams: &[Stream<S>], rates: &MoveRates) -> Vec<(usize, StreamAction)> {
     let (finish, mut rest): (Vec<usize>, Vec<usize>) = (0..streams.len()).partition(|at| fits(&streams[*at]));
@@ -92,19 +92,19 @@
     steps
 }
 
-/// Tells whether a stream ends before its host does.
+/// Returns whether a stream ends before its host does.
 fn fits<S>(stream: &Stream<S>) -> bool {
     let steps = u32::try_from(stream.remaining).unwrap_or(u32::MAX);
     stream.token_interval.saturating_mul(steps).as_secs_f64() * SLOWER + SAFETY.as_secs_f64()
         <= stream.time_left.as_secs_f64()
 }
 
-/// Tells whether a replay would make a stream miss its target.
+/// Returns whether a replay would make a stream miss its target.
 fn misses<S>(stream: &Stream<S>, rates: &MoveRates) -> bool {
     rates.prefill.as_secs_f64() * stream.tokens as f64 > stream.slack.as_secs_f64()
 }
 
-/// Gives the time to copy a stream's cache, if that can be done and is worth it.
+/// Returns the time to copy a stream's cache; `None` if a copy is impossible or not worth it.
 fn copy_time<S>(stream: &Stream<S>, rates: &MoveRates) -> Option<Duration> {
     let worth = stream.tokens >= FEWEST && stream.failed_copies < MAX_COPY_FAILURES;
     let export = rates.export.filter(|_| worth)?;
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -1,29 +1,29 @@
-//! An entry host's part of a service's budget of repeated sends.
+//! An entry host's share of a service's retry budget.
 //!
-//! All entry hosts together may send a share of the service's requests again, and a fixed number besides, in any window.
-//! Each keeps its own part of the fixed number and pays the rest from its own requests.
+//! In any window, all entry hosts together may retry a share of the service's requests plus a fixed number. Each host
+//! has its part of the fixed number and earns the rest with its own requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::Tick;
 
-/// Part of the budget that is used: counts near a window's edges, and entry hosts that come while others are not yet
-/// forgotten, must not lead over the bound.
+/// Share of the budget that is used. Requests counted at the edges of a window, and entry hosts that join while others
+/// are not forgotten yet, would otherwise exceed the bound.
 const USED: f64 = 0.6;
 
-/// The bounds over all entry hosts.
+/// Bounds on the retries of all entry hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBounds {
-    /// Repeats for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeats besides.
+    /// Retries in addition to that, in one window.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Requests and repeats of one service in the current window.
+/// Requests and retries of one service in the current window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryWindow {
     requests: VecDeque<Tick>,
@@ -31,13 +31,13 @@
 }
 
 impl RetryWindow {
-    /// Notes a request that a caller sent for the service.
+    /// Records a caller's request to the service.
     pub fn record_request(&mut self, now: Tick, bounds: &RetryBounds) {
         forget(&mut self.requests, bounds.window, now);
         self.requests.push_back(now);
     }
 
-    /// Takes a repeat, if one is left for an entry host that is one of so many.
+    /// Takes a retry from the share of one of `entries` entry hosts; returns whether one was left.
     pub fn take(&mut self, now: Tick, bounds: &RetryBounds, entries: u32) -> bool {
         forget(&mut self.requests, bounds.window, now);
         forget(&mut self.repeats, bounds.window, now);
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,4 +1,4 @@
-//! How far entry hosts have got with the newest catalog, as they tell it with their beats.
+//! Progress of the newest catalog on the entry hosts, as reported in their heartbeats.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,64 +7,64 @@
 
 use crate::Tick;
 
-/// Versions whose times are remembered.
+/// Most versions whose publication times are kept.
 const REMEMBERED: usize = 64;
-/// Time after which a host that has not beaten no longer counts: it is stopped or cut off.
+/// Time without heartbeat after which a host no longer counts: it is stopped or cut off.
 const HEARD: Duration = Duration::from_secs(2);
-/// Lag from which a host is late.
+/// Lag from which a host counts as late.
 pub const LATE: Duration = Duration::from_secs(1);
-/// Shortest pause between two reports of late hosts.
+/// Shortest interval between two reports of late hosts.
 const REPORT: Duration = Duration::from_secs(1);
 
-/// Time without confirmation after which a newer version may have been acknowledged. Hosts are confirmed every half second
-/// while they reach a state node that hears the leader.
+/// Time without confirmation after which a newer version may have been acknowledged. Hosts are confirmed every half
+/// second while they reach a state node that hears the leader.
 const CONFIRMED: Duration = Duration::from_secs(2);
 
-/// Tells whether what an entry host's catalog doesn't hold is known not to exist. Otherwise a route or key may have been added
-/// that this host has not got yet, and its callers must not hear that there is none.
+/// Returns whether a route or key that is missing in an entry host's catalog is known not to exist. Otherwise it may
+/// have been added in a version that the host lacks, and callers must not be told that it does not exist.
 #[must_use]
 pub fn is_current(held: u64, newest: u64, confirmed: Option<Tick>, now: Tick) -> bool {
     held >= newest && confirmed.is_some_and(|at| now.since(at) < CONFIRMED)
 }
 
-/// What a leader knows of the versions that entry hosts hold.
+/// The leader's view of the catalog versions on the entry hosts.
 #[derive(Debug, Default)]
 pub struct Rollout {
-    /// Versions in ascending order, with the time at which they were published.
+    /// Versions in ascending order, with their publication times.
     published: VecDeque<(u64, Tick)>,
     hosts: BTreeMap<NodeId, (u64, Tick)>,
-    /// Newest version that is in force on every host; nothing is told of those up to it.
+    /// Newest version that is in force on every host; versions up to it are not reported again.
     complete: u64,
-    /// Version that was the newest when this leader began.
+    /// Newest version at the start of this leader.
     inherited: u64,
     reported: Option<Tick>,
 }
 
-/// What is worth telling of a rollout.
+/// A reportable change of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// A version is in force on every host that beats.
+    /// A version is in force on every host that sends heartbeats.
     Complete {
-        /// The version.
+        /// The version in force.
         version: u64,
-        /// Time since it was published.
+        /// Time since its publication.
         took: Duration,
         /// Number of hosts.
         hosts: usize,
     },
-    /// Hosts have been behind for too long.
+    /// Hosts have lagged for too long.
     Late {
         /// The newest version.
         version: u64,
         /// The longest lag.
         lag: Duration,
-        /// The hosts with the versions they hold.
+        /// The late hosts with the versions they hold.
         hosts: Vec<(NodeId, u64)>,
     },
 }
 
 impl Rollout {
-    /// Notes the newest version.
+    /// Records the newest version; an older one is ignored.
     pub fn publish(&mut self, version: u64, now: Tick) {
         if self.published.back().is_some_and(|(newest, _)| *newest >= version) {
             return;
@@ -78,19 +78,19 @@
         }
     }
 
-    /// Notes the version that a host holds.
+    /// Records the version that a host holds.
     pub fn record_version(&mut self, host: &NodeId, version: u64, now: Tick) {
         self.hosts.insert(host.clone(), (version, now));
     }
 
-    /// Gives the number of hosts that don't hold the newest version.
+    /// Returns the number of live hosts that do not hold the newest version.
     #[must_use]
     pub fn hosts_behind(&self, now: Tick) -> usize {
         let newest = self.newest();
         self.live(now).filter(|(_, version)| *version < newest).count()
     }
 
-    /// Gives what has become worth telling since the last call.
+    /// Returns the progress to report since the last call.
     pub fn report(&mut self, now: Tick) -> Option<Progress> {
         self.hosts.retain(|_, (_, heard)| now.since(*heard) <= HEARD);
         let (version, published) = *self.published.back()?;
@@ -99,7 +99,7 @@
         }
         if self.hosts_behind(now) == 0 {
             self.complete = version;
-            // When it was published is not known here.
+            // It was published under a previous leader, at an unknown time.
             if version == self.inherited {
                 return None;
             }
@@ -124,7 +124,7 @@
         Some(Progress::Late { version, lag, hosts })
     }
 
-    /// Gives the time since the first version that a holder of another one lacks was published.
+    /// Returns the time since the publication of the first version that a host with version `held` lacks.
     fn lag(&self, held: u64, now: Tick) -> Duration {
         let missing = self.published.iter().find(|(version, _)| *version > held);
         missing.map_or(Duration::ZERO, |(_, published)| now.since(*published))
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,6 +1,6 @@
-//! Places that several lanes share, so that a full one leaves room for the others.
+//! Queue places shared by several admission queues, so that a full queue leaves places for the others.
 
-/// Places of which half are divided evenly among lanes for good and half go to whoever comes first.
+/// Queue places, half of them reserved evenly for the queues and half taken first come, first served.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedPlaces {
     total: usize,
@@ -9,7 +9,7 @@
 }
 
 impl SharedPlaces {
-    /// Divides some places among lanes; each lane has at least one of its own.
+    /// Divides `total` places among the queues, with at least one reserved place for each.
     #[must_use]
     pub fn new(total: usize, lanes: usize) -> Self {
         let lanes = lanes.max(1);
@@ -17,7 +17,7 @@
         Self { total, own, lanes }
     }
 
-    /// Tells whether a lane that uses so many places may use one more, given what every lane uses.
+    /// Returns whether a queue that uses `used` places may use one more; `all` are the places used by every queue.
     #[must_use]
     pub fn has_place(&self, used: usize, all: impl Iterator<Item = usize>) -> bool {
         let shared = self.total.saturating_sub(self.own * self.lanes);
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -1,52 +1,55 @@
-//! The predicted cost of sending a request to a candidate, in milliseconds.
+//! Predicted cost of sending a request to a candidate, in milliseconds.
 
 use contract::MachineClass;
 use serde::{Deserialize, Serialize};
 
 use super::{Ablation, Candidate, RequestNeed, RoutingRules};
 
-/// Weight of a measurement against all earlier ones.
+/// Weight of the newest sample in the moving averages.
 const WEIGHT: f64 = 0.1;
-/// Weight of one request in the share of those that continue a conversation.
+/// Weight of the newest request in the share of those that continue a conversation.
 const FOLLOW_WEIGHT: f64 = 0.03;
-/// Factors by which the measured prefill follows a faster and a slower one; it settles where one in five is faster.
+/// Factors on the prefill time after a faster and after a slower sample; the estimate settles where one sample in five
+/// is faster.
 ///
-/// What is slower is mostly a wait in the engine and no prefill.
+/// Slower samples mostly contain a wait in the engine.
 const PREFILL_STEPS: (f64, f64) = (0.92, 1.02);
-/// Fewest tokens from which the time of prefill can be read; with fewer, the connection takes most of the time.
+/// Fewest prefilled tokens of a usable sample; with fewer, most of the time is spent on the connection.
 const PREFILL_TOKENS: u64 = 64;
-/// Wait that is no sign of too many requests at once, in milliseconds.
+/// Wait before the first token that does not count as overload, in milliseconds.
 const EASY_MS: f64 = 150.0;
-/// Share of an answer's pauses that may be longer than promised.
+/// Share of an answer's pauses that may be longer than its target.
 const LATE_PAUSES: f64 = 0.05;
-/// By how much the allowed use of slots falls after a request that fared badly and rises after a good one, and its least value.
+/// Changes of the usable share of the slots: factor after a request that did badly, increment after a good one, and
+/// lower bound.
 const EASE: (f64, f64, f64) = (0.97, 0.01, 0.25);
-/// Milliseconds that a fully used upstream answers later than an idle one; it spreads requests between equals.
+/// Additional time to answer of a fully used upstream over an idle one, in milliseconds; it spreads requests between
+/// otherwise equal upstreams.
 const CROWD_MS: f64 = 20.0;
-/// Share of its slots that an upstream without a valid report is taken to use, beside own requests.
+/// Share of its slots that an upstream without a valid report is assumed to use, in addition to the own requests there.
 const UNKNOWN_LOAD: f64 = 0.5;
-/// Milliseconds that one micro-dollar is worth.
+/// Cost of one micro-dollar, in milliseconds.
 const MS_PER_MICRODOLLAR: f64 = 1.0;
-/// Milliseconds that a request to another data centre takes longer, both ways.
+/// Additional round-trip time of a request to another data centre, in milliseconds.
 const DISTANCE_MS: f64 = 5.0;
 const MS_PER_HOUR: f64 = 3_600_000.0;
 
-/// What was measured of one model or service.
+/// Measured averages of one model or service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceRates {
-    /// Milliseconds that one prompt token takes to prefill.
+    /// Time to prefill one prompt token, in milliseconds.
     pub prefill_token_ms: f64,
-    /// Milliseconds between two tokens.
+    /// Time between two tokens, in milliseconds.
     pub decode_ms: f64,
-    /// Milliseconds for which a request keeps its slot.
+    /// Time for which a request keeps its slot, in milliseconds.
     pub hold_ms: f64,
-    /// Milliseconds that a request's own prefill takes.
+    /// Time of a request's own prefill, without waits, in milliseconds.
     pub own_prefill_ms: f64,
-    /// Share of requests that continue a conversation, which is the chance that another turn will follow.
+    /// Share of requests that continue a conversation, which is the probability of another turn.
     pub follow_share: f64,
-    /// Share of a conversation's earlier words that its home is found to hold.
+    /// Share of a conversation's earlier words that its home still has cached.
     pub cached_share: f64,
-    /// Milliseconds until the first token; zero until one was measured.
+    /// Time to the first token, in milliseconds; zero before the first sample.
     pub first_token_ms: f64,
     /// Share of the slots that can be used without long waits.
     pub usable_share: f64,
@@ -68,23 +71,23 @@
 }
 
 impl ServiceRates {
-    /// Takes in how long a request kept its slot.
+    /// Records how long a request kept its slot.
     pub fn record_hold(&mut self, ms: f64) {
         self.hold_ms += WEIGHT * (ms - self.hold_ms);
     }
 
-    /// Takes in the time to the first token of a request with so many tokens to prefill.
+    /// Records the time to the first token of a request with `fresh` tokens to prefill.
     ///
-    /// Slots alone don't tell what an engine can take: where there is too little time for prefill, first tokens are late
-    /// long before the slots are full, and every request that is let in makes all of them later. One would notice many
-    /// answers, nearly all of them late. So the share of the slots that is used falls while waits are longer than the
-    /// prefill itself, and rises while they are short.
+    /// The number of slots alone does not show what an engine can serve. If prefill is the bottleneck, first tokens are
+    /// late long before all slots are used, and each admitted request delays all others, so that nearly all answers are
+    /// late. So the usable share of the slots falls while waits exceed the prefill itself, and rises while they are
+    /// short.
     pub fn record_first_token(&mut self, fresh: u64, ms: f64) {
         if fresh >= PREFILL_TOKENS {
             let sample = ms / fresh as f64;
             let faster = sample < self.prefill_token_ms;
             let step = if faster { PREFILL_STEPS.0 } else { PREFILL_STEPS.1 };
-            // The first one is taken as it is: a wrong constant would take a hundred requests to forget.
+            // The first sample replaces the default, which would otherwise take a hundred requests to correct.
             self.prefill_token_ms = if self.first_token_ms == 0.0 {
                 sample
             } else {
@@ -97,17 +100,17 @@
         self.judge(ms - own <= own.max(EASY_MS));
     }
 
-    /// Takes in the pauses between an answer's tokens: so many, of which some were longer than promised.
+    /// Records the number of pauses between the tokens of an answer, and how many of them exceeded the target.
     ///
-    /// Each further request in a batch makes the pauses of all others longer. Where the slots allow more than the
-    /// promised pauses do, every answer of a full batch would be whole and late.
+    /// Each additional request in a batch lengthens the pauses of all others. If the slots allow more requests than the
+    /// target pauses do, every answer of a full batch is complete but late.
     pub fn record_pauses(&mut self, pauses: u32, late: u32) {
         if pauses > 0 {
             self.judge(f64::from(late) <= f64::from(pauses) * LATE_PAUSES);
         }
     }
 
-    /// Moves the share of the slots that is used by how one request fared.
+    /// Adapts the usable share of the slots to the outcome of one request.
     fn judge(&mut self, good: bool) {
         self.usable_share = if good {
             (self.usable_share + EASE.1).min(1.0)
@@ -116,41 +119,41 @@
         };
     }
 
-    /// Takes in a request by whether it continues a conversation.
+    /// Records whether a request continues a conversation.
     pub fn record_turn(&mut self, continues: bool) {
         self.follow_share += FOLLOW_WEIGHT * (f64::from(u8::from(continues)) - self.follow_share);
     }
 
-    /// Takes in which share of the earlier words a conversation's home held.
+    /// Records the share of the earlier words that a conversation's home had cached.
     pub fn record_cached(&mut self, share: f64) {
         self.cached_share += WEIGHT * (share.clamp(0.0, 1.0) - self.cached_share);
     }
 }
 
-/// What the cost of one candidate is made of, in milliseconds; the load is in requests.
+/// The terms of a candidate's cost in milliseconds, and its load in requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
     /// Predicted requests there, own and reported.
     pub load: f64,
-    /// Predicted wait for a slot, and the crowd in the batch.
+    /// Predicted wait for a slot and for the prefill of others, and the slowdown by a full batch.
     pub wait: f64,
     /// Prefill of the prompt tokens that are not cached there.
     pub prefill: f64,
-    /// Prefill of the whole prompt that a later turn will need because it looks for it at the home.
+    /// Expected prefill of the whole prompt by a later turn, which goes to the home; zero for the home.
     pub stray: f64,
-    /// Price of the host's share that the request takes.
+    /// Price of the share of the host that the request uses.
     pub price: f64,
-    /// Expected loss by a reclaim while it runs.
+    /// Expected loss if the host is reclaimed while the request runs.
     pub risk: f64,
-    /// Distance to its data centre.
+    /// Extra time to another data centre.
     pub distance: f64,
 }
 
 impl Cost {
     /// Predicts the cost of a candidate.
     ///
-    /// Prefill holds up every request of the batch. What a later turn prefills again is therefore paid by all that run
-    /// beside it, of whom there are as many as run beside a request on average now.
+    /// Prefill delays every request of the batch. The prefill that a later turn repeats therefore costs all requests
+    /// that run beside it; `beside` is their average number now.
     pub(super) fn of(
         candidate: &Candidate<'_>,
         need: &RequestNeed,
@@ -159,8 +162,8 @@
         beside: f64,
     ) -> Self {
         let slots = f64::from(candidate.slots.max(1));
-        // An expired report tells nothing; a cautious constant stands in, so that neither an upstream that fell silent
-        // while idle draws all requests nor one that fell silent while busy is never asked again.
+        // An expired report says nothing. A cautious constant replaces it: an upstream that stopped reporting while
+        // idle must not attract all requests, and one that stopped while busy must not be avoided for ever.
         let unknown = || slots * UNKNOWN_LOAD + f64::from(candidate.load.own_requests);
         let load = candidate.load.reported.unwrap_or_else(unknown);
         let queued = (load + 1.0 - slots).max(0.0);
@@ -177,11 +180,11 @@
             MachineClass::Reclaimable => candidate.reclaims_per_hour,
             MachineClass::OnDemand => 0.0,
         };
-        // A reclaim halfway costs the prefill again, and half of the answer's time if its cache can't be moved.
+        // A reclaim halfway through repeats the prefill, and half of the answer if its cache cannot be moved.
         let redo = need.prompt_tokens as f64 * rates.prefill_token_ms + answer / 2.0;
         let chance = (reclaims * hold / MS_PER_HOUR).min(1.0);
         let rent = candidate.price as f64 * hold / MS_PER_HOUR / slots;
-        // Engines prefill one prompt after the other: what is there already and still in prefill goes first.
+        // Engines prefill one prompt after the other: those already there and not prefilled yet go first.
         let before = if need.answer_tokens == 0 {
             0.0
         } else {
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Gives the sum in milliseconds.
+    /// Returns the sum of the terms in milliseconds; the load is not part of it.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.wait + self.prefill + self.stray + self.price + self.risk + self.distance
--- a/crates/policy/src/route/group.rs
+++ b/crates/policy/src/route/group.rs
@@ -1,4 +1,4 @@
-//! Everything that serves one model or service, and the bounded set of candidates for a request.
+//! The upstreams of one model or service, and the bounded set of candidates for a request.
 
 use contract::{UpstreamId, UpstreamKind, UpstreamSpec};
 use derive_more::Display;
@@ -7,28 +7,28 @@
 
 /// Most candidates for one request.
 pub const CANDIDATES: usize = 12;
-/// Candidates by rendezvous hashing in the own data centre.
+/// Candidates from rendezvous hashing within the data centre of this host.
 const NEAR: usize = 2;
-/// Homes of one conversation: the second is its home while the first is barred.
+/// Homes of one conversation: the second one takes over while the first is excluded.
 pub const HOMES: usize = 2;
-/// Candidates that are drawn at random.
+/// Candidates drawn at random.
 const SAMPLED: usize = 3;
-/// Fewest and most points of the leading prefix that rendezvous hashing tells apart.
+/// Fewest and most points of the rendezvous table, which leading prefixes are mapped to.
 const POINTS: (usize, usize) = (1_024, 8_192);
 
-/// What a request is for.
+/// What a request is addressed to.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Target {
-    /// A model.
+    /// The model of this name.
     #[display("model {_0}")]
     Model(String),
-    /// A plain service.
+    /// The plain service of this name.
     #[display("service {_0}")]
     Service(String),
 }
 
 impl Target {
-    /// Gives what an upstream serves.
+    /// Returns the model or service that an upstream serves.
     #[must_use]
     pub fn of(spec: &UpstreamSpec) -> Self {
         match &spec.kind {
@@ -42,16 +42,16 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// There are so few that all are weighed, or it is the turn of these.
+    /// The group is so small that all are candidates, or the rotation has reached it.
     #[display("all are weighed in turn")]
     All,
-    /// It is believed to hold a beginning of the prompt.
+    /// It is assumed to have cached a prefix of the prompt.
     #[display("holds the prefix")]
     Holder,
-    /// Rendezvous hashing sends prompts with this beginning there.
+    /// Rendezvous hashing of the leading prefix selects it.
     #[display("rendezvous of the leading prefix")]
     Rendezvous,
-    /// Rendezvous hashing sends this conversation there from every entry host.
+    /// Rendezvous hashing of the conversation selects it, at every entry host.
     #[display("home of the conversation")]
     Home,
     /// It was drawn at random.
@@ -59,30 +59,30 @@
     Sampled,
 }
 
-/// One member of a group.
+/// One upstream of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupMember {
     /// Number of the upstream, unique in the process.
     pub number: u32,
-    /// Its name, by which it is hashed.
+    /// Name of the upstream, which is hashed.
     pub id: UpstreamId,
-    /// Whether it stands in the own data centre.
+    /// Whether the upstream is in the data centre of this host.
     pub near: bool,
 }
 
-/// A proposed candidate.
+/// A candidate before its cost is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProposedCandidate {
-    /// Position in the group.
+    /// Index in the group.
     pub at: usize,
     /// Why it is proposed.
     pub reason: Reason,
 }
 
-/// Everything that serves one model or service.
+/// The upstreams of one model or service.
 ///
-/// Rendezvous hashing is done once for each of a fixed number of points when the group is made, so that a choice
-/// only reads a table, whatever the size of the group.
+/// Rendezvous hashing is computed for a fixed number of points when the group is created. A choice only reads that
+/// table, whatever the size of the group.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamGroup {
     places: Vec<GroupMember>,
@@ -93,7 +93,7 @@
 }
 
 impl UpstreamGroup {
-    /// Makes a group.
+    /// Creates a group; the index of a member is its position in `members`.
     #[must_use]
     pub fn new(places: Vec<GroupMember>) -> Self {
         let mut by_number: Vec<(u32, u32)> = (0_u32..).zip(&places).map(|(at, place)| (place.number, at)).collect();
@@ -115,24 +115,24 @@
         group
     }
 
-    /// Gives the members.
+    /// Returns the members by index.
     #[must_use]
     pub fn members(&self) -> &[GroupMember] {
         &self.places
     }
 
-    /// Gives the position of an upstream by its number.
+    /// Returns the index of an upstream by its number; `None` if it is not a member.
     #[must_use]
     pub fn position(&self, number: u32) -> Option<usize> {
         let found = self.by_number.binary_search_by_key(&number, |(number, _)| *number);
         found.ok().map(|at| self.by_number[at].1 as usize)
     }
 
-    /// Gives the homes of a conversation, the first choice first; every entry host gets the same.
+    /// Returns the indices of a conversation's homes, the preferred one first; every entry host computes the same.
     ///
-    /// Turns of one conversation come through any entry host, and those that didn't see the earlier ones can't know
-    /// where its prefix is cached. One would notice that each turn is computed again from its start. That all of them
-    /// prefer the same upstream takes no exchange of knowledge.
+    /// The turns of a conversation arrive at any entry host, and a host that did not see the earlier ones cannot know
+    /// where its prefix is cached. Each turn would then be prefilled from its start. A home on which all hosts agree
+    /// needs no exchange of state.
     #[must_use]
     pub fn homes(&self, key: u64) -> [usize; HOMES] {
         if self.points.is_empty() {
@@ -145,7 +145,8 @@
 
     /// Proposes at most [`CANDIDATES`] members for a request.
     ///
-    /// The homes are those of its conversation, if it has one; the lead is the hash of the prompt's beginning, absent where prefixes play no part; the turn feeds the draw.
+    /// `homes` are those of its conversation, if any. `lead` is the hash of its leading prefix, absent if prefixes do
+    /// not matter. `turn` seeds the random draw.
     #[must_use]
     pub fn propose(&self, homes: &[usize], lead: Option<u64>, holders: &[u32], turn: u64) -> Vec<ProposedCandidate> {
         let reason = Reason::All;
@@ -175,7 +176,7 @@
         for draw in 0..SAMPLED as u64 {
             let random = xxh3_64_with_seed(&turn.to_le_bytes(), draw);
             let near = self.near[random as usize % self.near.len()] as usize;
-            // One of the draws looks beyond the own data centre, so that it is noticed when all is better there.
+            // One draw covers all data centres, so that a group that is better off elsewhere is noticed.
             let at = if draw == 0 {
                 random as usize % self.places.len()
             } else {
@@ -186,7 +187,7 @@
         found
     }
 
-    /// Gives the next members in turn, for the baselines; the one at position `turn % CANDIDATES` is the next itself.
+    /// Returns the next members in rotation, for the baselines; the next one itself is at index `turn % CANDIDATES`.
     #[must_use]
     pub fn rotation(&self, turn: u64) -> Vec<ProposedCandidate> {
         let count = self.places.len();
@@ -205,7 +206,7 @@
         names.map(|name| xxh3_64(name.as_bytes())).collect()
     }
 
-    /// Gives, for each point, the best of the own data centre and the best of all.
+    /// Returns the two best members of this data centre and the two best of all, for each point.
     fn rendezvous(&self) -> Vec<[u32; NEAR + HOMES]> {
         let points = (2 * self.places.len()).next_power_of_two().clamp(POINTS.0, POINTS.1);
         let all: Vec<u32> = (0..self.places.len() as u32).collect();
@@ -219,7 +220,7 @@
     }
 }
 
-/// Gives the two members with the highest weight at a salt.
+/// Returns the two members with the highest weight for a salt.
 fn best_of(members: &[u32], seeds: &[u64], salt: u64) -> [u32; 2] {
     let mut best = [(0, 0); 2];
     for at in members {
@@ -233,7 +234,7 @@
     [best[0].1, best[1].1]
 }
 
-/// Gives the weight of a member at a point; both numbers are well mixed already.
+/// Returns the weight of a member at a point; both inputs are hashes already.
 const fn weight(seed: u64, salt: u64) -> u64 {
     const ODD: u128 = 0x9e37_79b9_7f4a_7c15;
     let product = (seed ^ salt) as u128 * ODD;
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -1,7 +1,7 @@
-//! The choice of an upstream for one attempt.
+//! Choice of an upstream for one attempt of a request.
 //!
-//! A [`Group`] holds everything that serves one model or service and gives a bounded set of candidates for a request;
-//! [`choose`] ranks them and leaves a [`Choice`] that tells why.
+//! An [`UpstreamGroup`] holds the upstreams of one model or service and proposes a bounded set of candidates for a
+//! request. [`choose`] ranks them and returns a [`Choice`], which records why.
 
 mod cost;
 mod group;
@@ -16,7 +16,7 @@
 
 use contract::{MachineClass, UpstreamId};
 
-/// How an upstream is chosen.
+/// The routing algorithm.
 #[derive(Clone, Copy, Debug, Default, Display, FromStr, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
@@ -25,19 +25,19 @@
     #[default]
     #[display("cost")]
     Cost,
-    /// Fewest requests of our own and reported ones.
+    /// Fewest requests, own and reported.
     #[display("least-loaded")]
     LeastLoaded,
-    /// One after the other.
+    /// Round robin.
     #[display("round-robin")]
     RoundRobin,
 }
 
-/// A part of the decision that an ablation takes out.
+/// A term of the routing decision that can be disabled for an ablation.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ablation {
-    /// Cached prefixes: neither candidates nor cost know of them.
+    /// Cached prefixes, both as candidates and in the cost.
     #[display("affinity")]
     Affinity,
     /// Rendezvous hashing of the leading prefix.
@@ -55,18 +55,18 @@
     /// Distance between data centres.
     #[display("distance")]
     Distance,
-    /// Expiry of load reports: old ones count as if they were new.
+    /// Expiry of load reports; without it, old ones count like new ones.
     #[display("report-expiry")]
     ReportExpiry,
-    /// Own dispatches and completions since a report.
+    /// Correction of load reports by own dispatches and completions since.
     #[display("corrections")]
     Corrections,
-    /// Cache events and engines' counts of cached words: only own dispatches are believed.
+    /// Cache events and hit counts of engines; without them, only own dispatches show what is cached.
     #[display("cache-events")]
     CacheEvents,
 }
 
-/// Every part that can be taken out.
+/// Every term that can be disabled.
 pub const ABLATIONS: [Ablation; 9] = [
     Ablation::Affinity,
     Ablation::Rendezvous,
@@ -79,7 +79,7 @@
     Ablation::CacheEvents,
 ];
 
-/// A name that is no part of the decision.
+/// The name given is not a term of the routing decision.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{name} is no part of the routing decision")]
 pub struct UnknownPart {
@@ -95,27 +95,27 @@
     }
 }
 
-/// How decisions are made: the way of choosing and the parts that are left out.
+/// Settings of the routing decision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RoutingRules {
-    /// The way of choosing.
+    /// The algorithm.
     pub routing: Routing,
-    /// Parts that are left out.
+    /// Disabled terms.
     pub without: Vec<Ablation>,
 }
 
 impl RoutingRules {
-    /// Tells whether a part counts.
+    /// Returns whether a term is enabled.
     #[must_use]
     pub fn with(&self, part: Ablation) -> bool {
         !self.without.contains(&part)
     }
 }
 
-/// An upstream as the choice sees it.
+/// An upstream as input of the choice.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// The upstream.
+    /// Name of the upstream.
     pub id: &'a UpstreamId,
     /// Why it is a candidate.
     pub reason: Reason,
@@ -125,34 +125,32 @@
     pub price: u64,
     /// Requests that it runs at once without slowing down.
     pub slots: u32,
-    /// Whether it stands in the own data centre.
+    /// Whether it is in the data centre of this host.
     pub near: bool,
-    /// Reclaims an hour that its zone is expected to see.
+    /// Expected reclaims an hour in its zone.
     pub reclaims_per_hour: f64,
     /// Its predicted load.
     pub load: crate::load::PredictedLoad,
     /// Words of the prompt that are likely to be cached there.
     pub cached: u64,
-    /// Whether the request's conversation has its home there; also true of all where there is no conversation.
+    /// Whether it is the home of the request's conversation; true for all candidates if there is no conversation.
     pub home: bool,
-    /// Why it may not be chosen, if it may not.
+    /// Why it may not be chosen; absent if it may.
     pub exclusion: Option<Exclusion>,
 }
 
-/// What the request needs.
+/// The size of a request, and its place in the rotation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestNeed {
-    /// Length of the prompt in tokens.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Expected length of the answer in tokens.
+    /// Expected answer length in tokens; zero for plain services.
     pub answer_tokens: u64,
-    /// Counts the choices, for rotation and for breaking ties.
+    /// Number of the choice, for rotation and for breaking ties.
     pub turn: u64,
 }
 
-/// Chooses among candidates.
-///
-/// Returns `None` when every candidate is barred.
+/// Chooses among candidates; returns `None` if all of them are excluded.
 #[must_use]
 pub fn choose(
     rules: &RoutingRules,
@@ -174,7 +172,7 @@
         Routing::LeastLoaded => costs[*at].load,
         Routing::RoundRobin => 0.0,
     };
-    // The first of equals wins, and which is first turns with every choice.
+    // The first of equal candidates wins, and the starting index rotates with every choice.
     let chosen = open.min_by(|a, b| rank(a).total_cmp(&rank(b)))?;
     let best = rank(&chosen);
     let lost = |at: usize| match candidates[at].exclusion {
--- a/crates/policy/src/route/record.rs
+++ b/crates/policy/src/route/record.rs
@@ -1,4 +1,4 @@
-//! The record of one choice; it is made once and never changed.
+//! The record of one routing choice, which is never changed.
 
 use contract::UpstreamId;
 use derive_more::Display;
@@ -13,10 +13,10 @@
     /// Its host is leaving.
     #[display("its host is leaving")]
     Leaving,
-    /// Too many of its answers failed.
+    /// Its circuit breaker is open.
     #[display("its breaker is open")]
     Breaker,
-    /// An earlier attempt of the request went there.
+    /// An earlier attempt of the request used it.
     #[display("it was tried before")]
     Tried,
 }
@@ -25,48 +25,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotChosen {
-    /// It may not be chosen.
+    /// It was excluded.
     Barred(Exclusion),
-    /// Its cost in milliseconds, or its load for the baselines, was higher or came later in the turn.
+    /// It ranked lower, or equal and later in the rotation.
     Behind {
-        /// The difference to the chosen one.
+        /// Difference to the chosen one, in milliseconds of cost, or in requests for the least-loaded baseline.
         by: f64,
     },
 }
 
-/// Why one upstream was chosen and the others were not; immutable, one for each attempt.
+/// Why one upstream was chosen and the others were not; one for each attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
-    /// The way of choosing.
+    /// The algorithm.
     pub routing: Routing,
     /// The chosen upstream.
     pub chosen: UpstreamId,
-    /// Tokens of the prompt that were believed to be cached there.
+    /// Prompt tokens that were assumed to be cached there.
     pub cached: u64,
-    /// Length of the prompt in tokens.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Expected length of the answer in tokens.
+    /// Expected answer length in tokens.
     pub answer_tokens: u64,
-    /// Every candidate with its cost in milliseconds or the reason why it was barred.
+    /// All candidates, each with its cost or the reason for its exclusion.
     pub weighed: Vec<ScoredCandidate>,
 }
 
 /// One candidate in a [`Choice`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoredCandidate {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamId,
     /// Why it was a candidate.
     pub reason: Reason,
-    /// Its cost in milliseconds; absent when it was barred.
+    /// Its cost in milliseconds; absent if it was excluded.
     pub cost_ms: Option<f64>,
-    /// What the cost is made of.
+    /// The terms of its cost.
     pub parts: Cost,
-    /// Tokens of the prompt that were believed to be cached there.
+    /// Prompt tokens that were assumed to be cached there.
     pub cached: u64,
-    /// Age of the newest load report, if there was any.
+    /// Age of the latest load report in milliseconds; absent if there was none.
     pub report_age_ms: Option<u64>,
-    /// The newest report was too old to count.
+    /// Whether the latest report had expired.
     pub expired: bool,
     /// Why it was not chosen; absent for the chosen one.
     pub lost: Option<NotChosen>,
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -1,7 +1,8 @@
-//! Which state node an entry host asks for changes of the catalog.
+//! Choice of the state node that an entry host requests catalog changes from.
 //!
-//! Hosts spread over all nodes. A node that fails is left alone for a while, since each question to a silent one costs
-//! most of a second. A host that knows of a version that its node does not bring asks the leader, who has it for certain.
+//! Entry hosts spread over all nodes. A node that failed is avoided for a while, since each request to a silent one
+//! costs most of a second. If a version is known that the current node does not deliver, the host asks the leader,
+//! which certainly has it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,10 +10,10 @@
 
 use crate::Tick;
 
-/// How long a node that failed is asked only if all others have failed since.
+/// Time for which a node that failed is only asked if all others have failed too.
 const AVOIDED: Duration = Duration::from_secs(5);
 
-/// The choice among state nodes.
+/// Chooses among the state nodes.
 #[derive(Debug, Default)]
 pub struct NodeSelector {
     turn: usize,
@@ -20,7 +21,7 @@
 }
 
 impl NodeSelector {
-    /// Begins at a place among the nodes.
+    /// Starts at the node with index `turn`, modulo the number of nodes.
     #[must_use]
     pub fn new(turn: usize) -> Self {
         Self {
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Gives the node to ask. `leader` is given where a version is known that this host lacks.
+    /// Returns the node to ask; `None` if there are no nodes. `leader` is given if a version is known that this host
+    /// lacks.
     #[must_use]
     pub fn pick(&self, nodes: &BTreeSet<SocketAddr>, leader: Option<SocketAddr>, now: Tick) -> Option<SocketAddr> {
         let sound = |node: &SocketAddr| self.failed.get(node).is_none_or(|at| now.since(*at) >= AVOIDED);
@@ -43,12 +45,12 @@
         order().find(|node| sound(node)).or_else(longest_ago).copied()
     }
 
-    /// Notes that a node did not answer, or that its word is too old.
+    /// Records that a node did not answer, or answered with outdated data.
     pub fn record_failure(&mut self, node: SocketAddr, now: Tick) {
         self.failed.insert(node, now);
     }
 
-    /// Notes that a node answers.
+    /// Records that a node answered.
     pub fn hear(&mut self, node: SocketAddr) {
         self.failed.remove(&node);
     }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,23 +1,23 @@
-//! Time as the decisions see it.
+//! The time that decisions are made at.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// Time since the process started.
+/// Time since the start of the process.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{:.3} s", _0.as_secs_f64())]
 pub struct Tick(pub Duration);
 
 impl Tick {
-    /// Makes a tick from milliseconds.
+    /// Creates a tick from milliseconds since the start of the process.
     #[must_use]
     pub const fn from_millis(ms: u64) -> Self {
         Self(Duration::from_millis(ms))
     }
 
-    /// Gives the time since an earlier tick, or zero if it is not earlier.
+    /// Returns the time since an earlier tick; zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
