--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Admission with 10 and 1,000 waiting requests, and the split of a limit at 8 and 390 entry hosts.
+//! Admission with 10 and 1,000 waiting requests, and the division of a limit at 8 and 390 entry hosts.
 #![expect(
     missing_docs,
     reason = "the macro of the library makes a public function without documentation"
@@ -25,13 +25,13 @@
     }
 }
 
-/// One request comes into a full queue and another one is let run.
+/// A request arrives at a full queue and another one starts.
 fn admission(c: &mut Criterion) {
     let mut group = c.benchmark_group("admit");
     for waiting in [10, 1_000] {
         let mut lane = AdmissionQueue::new(16, waiting, false);
         for id in 0..waiting as u64 + 16 {
-            // Some are refused; the queue is full in the end.
+            // Some are refused; the queue is full at the end.
             let _ = lane.offer(ticket(id, 10), Tick::default());
             lane.admit_next();
         }
@@ -48,7 +48,7 @@
     group.finish();
 }
 
-/// One customer's row for one peer is worked out.
+/// Computes one customer's loans to one peer.
 fn split(c: &mut Criterion) {
     const LIMITS: Limits = Limits {
         requests_per_s: 3_600.0,
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -1,4 +1,4 @@
-//! One choice of an upstream at 40, 400 and 3,300 replicas.
+//! Choice of an upstream among 40, 400 and 3,300 replicas.
 #![expect(
     missing_docs,
     reason = "the macro of the library makes a public function without documentation"
--- a/crates/policy/tests/admission_lane.rs
+++ b/crates/policy/tests/admission_lane.rs
@@ -1,4 +1,4 @@
-//! A lane refuses early what can't be on time and tells when to come back; a full one leaves room for others.
+//! Admission rejects early what would be late and says when to retry; a full queue leaves places for the others.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// A lane of some slots in which each request holds its slot for a second.
+/// A queue with `slots` slots in which each request has held its slot for a second.
 fn measured(slots: usize, waiting: usize) -> AdmissionQueue {
     let mut lane = AdmissionQueue::new(slots, waiting, false);
     for id in 0..20 {
@@ -30,9 +30,9 @@
     lane
 }
 
-/// Ten slots are busy for about a second each and twenty requests wait that must begin within two seconds. One more
-/// can't be served in time. Told so at once, with the time after which it is worth coming back, a guest is better off
-/// than if refused after two seconds of silence.
+/// Ten slots are busy for about a second each, and twenty requests wait that must start within two seconds. One more
+/// cannot be served in time. Rejecting it at once, with a retry time, is better for its caller than two seconds of
+/// silence and then a refusal.
 #[test]
 fn early_refusal() {
     let mut lane = measured(10, 100);
@@ -42,13 +42,13 @@
     }
     let turned = lane.offer(ticket(200, 2_000), Tick::default()).unwrap_err();
     assert_eq!(turned.why, RefusalReason::TooLate);
-    // Its turn comes after 20 requests: in 2.1 s, which is 0.1 s too late.
+    // It would start after 20 requests, in 2.1 s, which is 0.1 s too late.
     assert!((turned.retry_after.as_secs_f64() - 0.1).abs() < 0.01, "{turned}");
     lane.offer(ticket(201, 2_200), Tick::default()).unwrap();
 }
 
-/// A thousand guests are refused in the same moment. If all were told to come back at the same time, nearly all would
-/// be refused again; so they are told times as far apart as the work of each.
+/// Many callers are rejected at the same moment. If all were told the same retry time, nearly all would be rejected
+/// again; so their retry times must be apart by the work of each.
 #[test]
 fn returns_spread() {
     let mut lane = measured(4, 1_000);
@@ -91,7 +91,7 @@
                 }
             }
             let granted = std::iter::from_fn(|| lane.admit_next()).count();
-            // A smaller capacity cuts nothing short, but nothing is added above it.
+            // A smaller capacity stops no running request, but no other may start above it.
             if granted > 0 && lane.running() > capacity {
                 return false;
             }
@@ -104,8 +104,8 @@
         .quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
 }
 
-/// All engines of a model are full and its callers fill every place that is shared. A seat lookup goes to another
-/// service and must still find a place.
+/// All engines of a model are full, and its callers fill every shared queue place. Requests to another service must
+/// still find a place.
 #[test]
 fn room_left() {
     fn holds(total: u16, lanes: u8, comers: Vec<u8>) -> bool {
@@ -114,7 +114,7 @@
         let room = SharedPlaces::new(total, lanes);
         let mut used = vec![0; lanes];
         for comer in comers {
-            // The first lane is never used until the end.
+            // The first queue stays empty until the end.
             let lane = if lanes == 1 {
                 0
             } else {
--- a/crates/policy/tests/breaker_probe.rs
+++ b/crates/policy/tests/breaker_probe.rs
@@ -1,4 +1,4 @@
-//! An open breaker lets single probes through, and late failures don't lengthen its pause.
+//! An open breaker lets single probes through, and late failures do not lengthen its pause.
 
 use std::time::Duration;
 
@@ -15,8 +15,9 @@
     breaker
 }
 
-/// An engine dies while many requests are under way. Once the breaker is open, at most one request an interval may be
-/// risked on it, whatever the other threads ask and whatever fails late; else callers' requests are spent as probes.
+/// An engine dies with many requests in flight. Once the breaker is open, at most one request per interval may be sent
+/// to it, however many threads ask and however many requests fail late. Otherwise callers' requests would be lost as
+/// probes.
 #[test]
 fn single_probe() {
     fn holds(steps: Vec<(u8, u8)>) -> bool {
@@ -44,8 +45,8 @@
         .quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
 }
 
-/// A hundred requests under way fail after the breaker has opened. The pause must be that of one failure, or an engine
-/// that is back in a second stays unused for half a minute.
+/// A hundred requests in flight fail after the breaker has opened. The pause must stay that of one failure; otherwise
+/// an engine that is back after a second would be unused for half a minute.
 #[test]
 fn late_failures() {
     let now = Tick::from_millis(1_000);
--- a/crates/policy/tests/capacity_plan.rs
+++ b/crates/policy/tests/capacity_plan.rs
@@ -1,4 +1,4 @@
-//! The plan of capacity: enough after the loss of a zone, cheap hosts first, no coming and going.
+//! The capacity plan: enough hosts after the loss of a zone, cheap hosts first, no flapping.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     }]
 }
 
-/// Carries out the starts and drains of a plan.
+/// Applies the steps of a plan to the hosts.
 fn carry_out(held: &mut Vec<HeldHost>, steps: &[Step], pools: &[HostPool]) {
     for step in steps {
         match step {
@@ -94,8 +94,8 @@
         .quickcheck(property);
 }
 
-/// A whole zone is taken with seconds of notice. What stays must carry the work of that moment and the floor of the
-/// contracts, since new hosts take far longer to start than the notice lasts.
+/// A whole zone is reclaimed with seconds of notice. The remaining hosts must carry the current load and the guarantees
+/// of the contracts, since new hosts take far longer to start.
 #[test]
 fn zone_lost() {
     fn enough(busy: u16, floor: u8, zones: u8) -> bool {
@@ -110,8 +110,8 @@
     check(enough);
 }
 
-/// Load goes up and down a little all the time. Hosts that are started and drained with it are paid for while they load
-/// their weights and serve nobody.
+/// The load fluctuates all the time. Hosts that are started and drained with every fluctuation would be paid for while
+/// they load their weights and serve nobody.
 #[test]
 fn no_flapping() {
     fn still(busy: u16, floor: u8, wobble: u8) -> bool {
@@ -125,7 +125,7 @@
     check(still);
 }
 
-/// Drains are steps of their own and each must leave the model as safe as a plan made from nothing would.
+/// Hosts are drained in steps. After each the model must be as safe against the loss of a zone as with a new plan.
 #[test]
 fn shrinks_safely() {
     fn safe(busy: u16, floor: u8, less: u8) -> bool {
@@ -139,8 +139,8 @@
     check(safe);
 }
 
-/// Every start of a reclaimable host is refused after a wave. Dear hosts stand in where targets are at stake, and in no
-/// larger number than that.
+/// Every start of a reclaimable host is refused after a wave of reclaims. On-demand hosts must replace them where
+/// targets are at risk, and no more of them than that.
 #[test]
 fn refused_starts() {
     let mut few = pools(2);
@@ -200,8 +200,8 @@
     assert!(backoff.is_open(&zone, class, now));
 }
 
-/// All engines of a lost zone are replaced at once and the weight store is slow. The model that has nobody left loads
-/// first, and no more load together than are allowed.
+/// All engines of a lost zone are replaced at once and the weight store is slow. The model without any engine must load
+/// first, with no more parallel loads than allowed.
 #[test]
 fn urgent_loads() {
     let load = |shortfall, size| WeightLoad { shortfall, size };
--- a/crates/policy/tests/early_reclaim.rs
+++ b/crates/policy/tests/early_reclaim.rs
@@ -1,4 +1,4 @@
-//! Who is asked for reclaims, and what follows from the answers.
+//! Which engines are probed for reclaims, and how a reported reclaim changes the list.
 
 use std::time::Duration;
 
@@ -21,7 +21,8 @@
     }
 }
 
-/// One engine of a data centre hangs. If it were the one that is always asked, nobody would hear of a reclaim there.
+/// One engine of a data centre hangs. If it was the one that is always probed, a reclaim of the data centre would go
+/// unnoticed.
 #[test]
 fn taking_turns() {
     let list = [
@@ -41,8 +42,8 @@
     assert_eq!(asked(2), [vec!["a"], vec!["d", "b"]]);
 }
 
-/// The data centre gets new reclaimable engines seconds after it lost the old ones. The reclaim that was told of then says
-/// nothing of them.
+/// A data centre gets new reclaimable engines seconds after a reclaim took the old ones. The reported reclaim must not
+/// mark the new ones as leaving.
 #[test]
 fn newcomers_stay() {
     let mut reclaims = ReportedReclaims::default();
--- a/crates/policy/tests/fair_queue.rs
+++ b/crates/policy/tests/fair_queue.rs
@@ -1,4 +1,5 @@
-//! Capacity is shared by weight, idle customers cannot save up a burst, and a full queue sheds by share and class.
+//! Capacity is divided by weight, idle customers cannot save up a burst, and a full queue drops by weight and shed
+//! order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -50,8 +51,8 @@
     assert!(queue.is_empty());
 }
 
-/// Everybody asks for more than there is, with requests of all sizes. At any time the tokens that two customers got,
-/// each divided by its share, differ by no more than one of their largest requests.
+/// All customers ask for more than there is, with requests of all sizes. At any time the tokens served to two
+/// customers, each divided by its weight, may differ by no more than one of the largest requests for each.
 #[test]
 fn weights_hold() {
     fn holds(shares: Vec<u8>, sizes: Vec<u16>) -> bool {
@@ -74,7 +75,7 @@
             }
         }
         let largest = sizes.iter().fold(0.0_f64, |a, b| a.max(*b));
-        // As long as nobody's line is empty.
+        // Within these rounds no customer runs out of requests.
         for _ in 0..200 {
             let Some(ticket) = queue.pop() else { break };
             let number: usize = ticket.customer.as_str().parse().unwrap();
@@ -90,8 +91,8 @@
     check(71, holds as fn(Vec<u8>, Vec<u16>) -> bool);
 }
 
-/// One customer is idle for a while and the other gets everything. When the idle one comes back it has its share at
-/// once, and no more: it neither waits behind the other's queue nor gets back what it did not use.
+/// One customer is idle while the other gets everything. When it returns it must get its share at once, and no more: it
+/// must neither wait behind the other's queue nor be repaid for its idle time.
 #[test]
 fn lent_share_returns() {
     let mut queue = FairQueue::new(10_000);
@@ -107,13 +108,13 @@
     for served in 1..=80 {
         let ticket = queue.pop().unwrap();
         back += usize::from(ticket.customer.as_str() == "back");
-        // Its half at any time, and at most one request more.
+        // Half of all at any time, and one request more at most.
         assert!(2 * back >= served && 2 * back <= served + 2, "{back} of {served}");
     }
 }
 
-/// A customer with the smallest share asks once while the others flood the queue. What goes before it is what was
-/// predicted when it came, so that it neither starves nor is refused for a wait that it would not have had.
+/// A customer with a small weight sends one request while others flood the queue. The work served before it must match
+/// the prediction at its arrival; otherwise it would starve, or be refused for a wait that would not happen.
 #[test]
 fn wait_predicted() {
     fn holds(others: Vec<(u8, u16, u8)>, share: u8, size: u16) -> bool {
@@ -141,14 +142,14 @@
         queue.push(small, Tick::default()).unwrap();
         let before = std::iter::from_fn(|| queue.pop()).take_while(|ticket| ticket.customer.as_str() != "small");
         let served: f64 = before.map(|ticket| ticket.tokens).sum();
-        // The last request of each other customer may overshoot its turn.
+        // The last request of each other customer may exceed that customer's share.
         (served - ahead).abs() <= 5.0 * largest + 1e-6
     }
     check(72, holds as fn(Vec<(u8, u16, u8)>, u8, u16) -> bool);
 }
 
-/// Random comings, goings, sheddings and expiries: each request ends in exactly one way, and what was refused, shed or
-/// expired is never let run. Otherwise a caller would be told "not run" of a request that was.
+/// Random arrivals, departures, drops and expiries: each request must end in exactly one way, and one that was refused,
+/// dropped or expired must never run. Otherwise a caller would be told "not run" about a request that did run.
 #[test]
 fn refused_never_run() {
     fn holds(steps: Vec<(u8, u8, u8, u16)>, bound: u8) -> bool {
@@ -192,8 +193,8 @@
     check(73, holds as fn(Vec<(u8, u8, u8, u16)>, u8) -> bool);
 }
 
-/// One customer floods the queue with menu notices that can wait; then another asks for a seat. The seat lookup must
-/// get a place and one of the notices must go, not whoever comes last.
+/// One customer floods the queue with requests that can wait, then another sends an urgent one. The urgent request must
+/// be queued and one of the flood dropped, not the last arrival.
 #[test]
 fn flood_sheds_itself() {
     let mut queue = FairQueue::new(10);
--- a/crates/policy/tests/fleet_plan.rs
+++ b/crates/policy/tests/fleet_plan.rs
@@ -1,4 +1,5 @@
-//! How many upstreams are ordered: cheap ones in plenty, some that nobody takes away, and others while none are to be had.
+//! How many upstreams are ordered: many reclaimable ones, a floor of on-demand ones, and more of those while
+//! reclaimable ones are unavailable.
 
 use std::collections::BTreeMap;
 
@@ -38,8 +39,9 @@
 
 const START: [(u32, u32, bool); 4] = [(3, 0, false), (2, 0, false), (2, 0, false), (2, 0, false)];
 
-/// Two data centres are gone and nothing is to be had; on-demand upstreams have taken their places. Some were given up as soon
-/// as the load of the moment allowed it, and ordered anew when it grew: a fifth of all answers was late until they served.
+/// Two data centres are lost, no reclaimable upstreams are available, and on-demand ones have replaced them. If some of
+/// those are given up as soon as the load allows it, they must be ordered again when it grows, and a fifth of all
+/// answers is late until they serve.
 #[test]
 fn wave_keeps() {
     let wave = [(3, 0, true), (3, 4, true), (3, 0, true), (3, 3, true)];
@@ -47,7 +49,7 @@
     assert!(sum(&wanted, |one| one.on_demand) >= 9, "{wanted:?}");
 }
 
-/// All upstreams are on-demand at the start. They stay until reclaimable ones serve, and go then but for a floor.
+/// All upstreams are on-demand at the start. They must stay until reclaimable ones serve, and then shrink to the floor.
 #[test]
 fn moves_to_cheap() {
     let busy = 5.0;
@@ -59,8 +61,8 @@
     assert_eq!(sum(&later, |one| one.on_demand), 2, "{later:?}");
 }
 
-/// A data centre's reclaimable upstreams are taken away, and none are to be had anywhere. On-demand ones take their places
-/// as far as the load needs it; without that the rest would be overrun for as long as the dry spell lasts.
+/// The reclaimable upstreams of a data centre are lost, and none are available anywhere. On-demand ones must replace
+/// them as far as the load needs it; otherwise the others stay overloaded for as long as the shortage lasts.
 #[test]
 fn dry_spell() {
     let busy = 7.0;
@@ -71,8 +73,8 @@
     assert_eq!(kept, [2, 2], "what is there is not given up");
 }
 
-/// Two of four data centres are reclaimed within seconds, and the other two may follow. What the load needs must be there
-/// after the next one too, since an on-demand upstream takes four seconds to start.
+/// Two of four data centres are reclaimed within seconds, and the other two may follow. What the load needs must remain
+/// after the next loss too, since an on-demand upstream takes four seconds to start.
 #[test]
 fn wave_goes_on() {
     let wave = [(0, 2, true), (1, 2, true), (0, 0, true), (0, 0, true)];
@@ -80,9 +82,9 @@
     assert!(sum(&wanted, |one| one.on_demand) >= 2, "{wanted:?}");
 }
 
-/// Three data centres are called back within nine seconds. An on-demand upstream that is ordered at the second starts when the
-/// third and the fourth are gone, so that the load has to be carried without both of them. One reclaim by itself does not ask
-/// for so many: they cost as much as the whole fleet.
+/// Three data centres are reclaimed within nine seconds. An on-demand upstream ordered at the second loss starts after
+/// the third and the fourth, so the load must be carried without both of these. A single reclaim must not order as
+/// many, since they cost as much as the whole fleet.
 #[test]
 fn quick_wave() {
     let mut wave = present([(0, 0, true), (1, 0, true), (0, 3, true), (0, 3, true)]);
@@ -95,23 +97,23 @@
     assert_eq!(sum(&quick, |one| one.on_demand), 4, "{quick:?}");
 }
 
-/// Engines differ in how many requests they run at once. Where it is twelve, sixteen for each would leave callers waiting for
-/// a slot all day.
+/// Engines differ in the number of requests they run at once. If an engine has twelve slots, planning sixteen requests
+/// for each would make callers wait for a slot all day.
 #[test]
 fn few_slots() {
     assert!(upstreams_needed(60.0, 3.1, 12) >= 10.0);
     assert!(upstreams_needed(60.0, 3.1, 64) < 8.0);
 }
 
-/// Requests pile up behind an overload. The fleet must not be ordered for the pile: it would be there when the pile is gone,
-/// and cost as much as all the rest of the day.
+/// Requests queue up behind an overload. Upstreams must not be ordered for that queue: they would start after it has
+/// drained, and cost as much as the rest of the day.
 #[test]
 fn pile_is_bounded() {
     assert!(upstreams_needed(500.0, 1.4, 64) < 9.0);
 }
 
-/// The next look at the list comes while the on-demand upstreams of the last one start. They are counted, so that no order
-/// takes back what the one before asked for: the dry spell would end before the first of them served.
+/// The next plan is made while the on-demand upstreams of the last one start. They must be counted, or each plan would
+/// take back the order before it, and the shortage would end before the first of them served.
 #[test]
 fn keeps_starting() {
     let starting = [(2, 2, false), (1, 0, false), (2, 2, false), (1, 0, false)];
@@ -119,15 +121,15 @@
     assert!(sum(&wanted, |one| one.on_demand) >= 3, "{wanted:?}");
 }
 
-/// Ten requests with long prompts need more upstreams than a count of ten would tell. A hundred with short ones raise the need
-/// too, but only as far as a pile of waiting requests may.
+/// Ten requests with long prompts need more upstreams than their number suggests. A hundred with short ones raise the
+/// need too, but only within the bound for queued requests.
 #[test]
 fn prompts_count() {
     assert!(upstreams_needed(100.0, 0.16, 64) > 3.0);
     assert!(upstreams_needed(10.0, 2.8, 64) > 6.0);
 }
 
-/// Where reclaimable upstreams cost as much as others, there is no reason to risk them.
+/// If reclaimable upstreams are no cheaper, none are ordered.
 #[test]
 fn no_discount() {
     let wanted = plan(&present(START), &scaling(1.0), 3.0);
@@ -136,7 +138,8 @@
 }
 
 quickcheck! {
-    /// No plan leaves the bounds of a data centre, and every plan has what the load needs or the most that is allowed.
+    /// No plan exceeds the bounds of a data centre, and every data centre has at least one upstream unless supply is
+    /// scarce.
     fn within_bounds(counts: Vec<(u8, u8, bool)>, busy: u16) -> bool {
         let mut all = [(0, 0, false); 4];
         for (at, (a, b, dry)) in counts.into_iter().take(4).enumerate() {
--- a/crates/policy/tests/host_life.rs
+++ b/crates/policy/tests/host_life.rs
@@ -1,4 +1,4 @@
-//! Signs about hosts come in any order, late and doubled; none of that brings work back to a host that leaves.
+//! Host events arrive in any order, late and twice; none of them brings work back to a host that leaves.
 
 use std::time::Duration;
 
@@ -52,8 +52,9 @@
         .quickcheck(property);
 }
 
-/// A notice, the lagging list and an operator tell of the same host, and the list still shows it as serving for a
-/// while. From the first sign on nothing new may go there, whatever comes later, or callers' work dies with the host.
+/// A reclaim notice, the delayed list and an operator all tell of the same host, and the list still shows it as serving
+/// for a while. From the first notice on, no new work may go there whatever arrives later; otherwise requests are lost
+/// with the host.
 #[test]
 fn never_back() {
     fn holds(all: Vec<Heard>) -> bool {
@@ -75,7 +76,7 @@
     check(holds);
 }
 
-/// Signs are heard twice, as from capacity and from the cloud itself. Hearing each a second time changes nothing.
+/// Events arrive twice, for example from the capacity service and from the cloud. The second one must change nothing.
 #[test]
 fn doubled_signs() {
     fn same(all: Vec<Heard>) -> bool {
@@ -91,7 +92,7 @@
     check(same);
 }
 
-/// A host is taken back and another starts under its name. Late signs about the first must not keep work from the
+/// A host is reclaimed and another one starts under its name. Late events of the first must not keep work from the
 /// second.
 #[test]
 fn new_incarnation() {
@@ -126,7 +127,7 @@
     assert_eq!(life.gone_at(), Some(Tick::from_millis(6_000)));
 }
 
-/// A host refuses connections without any notice. Nothing new goes there until it answers again.
+/// A host refuses connections without any notice. No new work may go there until it answers again.
 #[test]
 fn refused_host() {
     let mut lives = HostStates::default();
--- a/crates/policy/tests/hosts/cut.rs
+++ b/crates/policy/tests/hosts/cut.rs
@@ -1,4 +1,4 @@
-//! What a customer gets of its limit before, in and after a cut, decided in three ways.
+//! What a customer gets of its limit before, during and after a fault, with three methods of division.
 
 use contract::Limits;
 use policy::limits::Bucket;
@@ -8,35 +8,36 @@
 const STEP_MS: u64 = 100;
 /// Length of each phase, in steps.
 const PHASE: u64 = 300;
-/// Time over which admitted requests are compared with the limit, in steps; over shorter ones whole requests blur it.
+/// Interval over which admitted requests are compared with the limit, in steps; shorter ones are distorted by whole
+/// requests.
 const WINDOW: u64 = 100;
 
-/// How the limit is divided.
+/// How the limit is divided between the hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Each host has the same part for ever.
+    /// Each host always has the same part.
     Equal,
-    /// Each host takes its share of the demand of the hosts that it hears, as if it heard at once.
+    /// Each host takes its share of the demand of all reachable hosts, which it knows without delay.
     Heard,
-    /// Equal parts with leased loans.
+    /// Even parts with leased loans.
     Loans,
 }
 
-/// What happens in the second of three phases.
+/// The fault in the second of three phases.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     /// The hosts whose bit is set are cut off from the others.
     Cut(u64),
-    /// The first host dies, and its callers go to the others.
+    /// The first host dies, and its callers move to the others.
     Death,
 }
 
-/// Requests of one phase.
+/// Totals of one phase, in requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Phase {
-    /// What the contract allows of what was asked for.
+    /// Requested and within the limit.
     pub due: f64,
-    /// What was admitted.
+    /// Admitted.
     pub admitted: f64,
     /// Admitted beyond the limit.
     pub over: f64,
@@ -60,7 +61,7 @@
     let mut debts: Vec<f64> = (0..demand.len())
         .map(|host| host as f64 / demand.len() as f64)
         .collect();
-    // The hosts settle before the first phase.
+    // Lets the hosts settle before the first phase.
     (0..PHASE).for_each(|_| hosts.step(STEP_MS));
     [0, 1, 2].map(|phase| {
         let fault = (phase == 1).then_some(fault);
@@ -102,7 +103,7 @@
     }
 }
 
-/// Lets a tenth of a second pass and gives the number of admitted requests.
+/// Simulates one step and returns the number of admitted requests.
 fn step(hosts: &mut Hosts, buckets: &mut [Bucket], debts: &mut [f64], (way, fault): (Way, Option<Fault>)) -> f64 {
     hosts.step(STEP_MS);
     let asked = hosts.asked();
@@ -124,7 +125,7 @@
     admitted
 }
 
-/// Gives the demand of the side on which a host is.
+/// Returns the demand on a host's side of the network split.
 fn side(asked: &[f64], host: usize, fault: Option<Fault>) -> f64 {
     let sides = if let Some(Fault::Cut(sides)) = fault { sides } else { 0 };
     let same = |other: &usize| (sides >> other) & 1 == (sides >> host) & 1;
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Entry hosts that exchange demand and loans over a network that delays, loses, doubles and cuts.
+//! Simulation of entry hosts that exchange demand and loans over a network that delays, loses, doubles and splits.
 
 pub mod cut;
 
@@ -11,7 +11,7 @@
 /// Steps between two rounds of datagrams of one host.
 const ROUND: u64 = 5;
 
-/// All entry hosts.
+/// All entry hosts and the network between them.
 pub struct Hosts {
     all: Vec<Host>,
     wires: VecDeque<(u64, usize, usize, Message)>,
@@ -31,7 +31,7 @@
     running: f64,
     incarnation: u64,
     sequence: u64,
-    /// When each digest of this incarnation was sent.
+    /// When each digest of this incarnation was sent, by sequence number.
     sent: Vec<Tick>,
     heard: Vec<Option<(u64, u64)>>,
 }
@@ -83,24 +83,24 @@
         self.now
     }
 
-    /// Lets every caller go to one host, in requests a second.
+    /// Sends the whole demand, in requests per second, to one host.
     pub fn turn(&mut self, to: usize, demand: f64) {
         for host in 0..self.all.len() {
             self.ask(host, if host == to { demand } else { 0.0 });
         }
     }
 
-    /// Sets what one host's callers ask for.
+    /// Sets the demand of one host's callers, in requests per second.
     pub fn ask(&mut self, host: usize, demand: f64) {
         self.all[host].wanted = LimitAmounts::from([demand, demand * 40.0, demand / 5.0]);
     }
 
-    /// Gives what the callers of each host ask for, in requests a second.
+    /// Returns the demand of each host's callers, in requests per second.
     pub fn asked(&self) -> Vec<f64> {
         self.all.iter().map(|host| host.wanted.requests).collect()
     }
 
-    /// Cuts the hosts whose bit is set off from the others; zero heals.
+    /// Cuts off the hosts whose bit is set from the others; zero ends the split.
     pub fn cut(&mut self, sides: u64) {
         self.sides = sides;
     }
@@ -121,24 +121,24 @@
         host.heard = vec![None; count];
     }
 
-    /// Sets the delay of datagrams in steps and the share that is lost, in 256ths.
+    /// Sets the largest delay of datagrams in steps, and the lost share in 256ths.
     pub fn network(&mut self, delay: u64, loss: u8) {
         self.delay = delay;
         self.loss = loss;
     }
 
-    /// Gives what each host may admit, in requests a second.
+    /// Returns what each host may admit, in requests per second.
     pub fn parts(&self) -> Vec<f64> {
         (0..self.all.len()).map(|host| self.allowed(host).requests).collect()
     }
 
-    /// Gives what all hosts together may admit.
+    /// Returns what all hosts together may admit: requests and tokens per second, and concurrent requests.
     pub fn usable(&self) -> [f64; 3] {
         let all = (0..self.all.len()).map(|host| self.allowed(host).to_array());
         all.fold([0.0; 3], |sum, part| std::array::from_fn(|at| sum[at] + part[at]))
     }
 
-    /// Lets time pass.
+    /// Simulates one step of `ms` milliseconds.
     pub fn step(&mut self, ms: u64) {
         self.step += 1;
         self.now = Tick::from_millis(self.step * ms);
--- a/crates/policy/tests/learnt_pace.rs
+++ b/crates/policy/tests/learnt_pace.rs
@@ -1,11 +1,11 @@
-//! The speed of engines is learnt from answers, whatever it was taken for before.
+//! The estimated speed of engines converges to the real one, whatever it was before.
 
 use policy::pace::{EngineRates, PrefillWork, RelativeSpeed, SpeedEstimate};
 use quickcheck::quickcheck;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Answers of half a minute at one entry host.
+/// Number of answers that one entry host gets in half a minute.
 const ANSWERS: usize = 200;
 
 fn prompt(rng: &mut StdRng) -> PrefillWork {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Draws rates over a factor of eight each.
+/// Draws rates, each from a range of a factor of eight.
 fn engine(rng: &mut StdRng) -> EngineRates {
     let mut draw = |middle: f64| middle * (rng.random_range(-1.04..1.04f64)).exp();
     EngineRates {
@@ -36,7 +36,7 @@
     (rates.base_ms + rates.prefill_ms(reading)) * rng.random_range(0.95..1.1)
 }
 
-/// Gives by which factor what is learnt differs from what a prompt takes, at most, over prompts of common sizes.
+/// Returns the largest factor by which the estimated prefill time differs from the real one, over common prompt sizes.
 fn error(learnt: &EngineRates, real: &EngineRates) -> f64 {
     let sizes = [(0, 1_500), (0, 8_000), (12_000, 4_000), (0, 25_000)];
     let ratio = |(cached, fresh)| {
@@ -46,8 +46,8 @@
     sizes.into_iter().map(ratio).fold(0.0, f64::max).exp()
 }
 
-/// Gives by how much a speed is still off that was learnt from answers of which one in ten came much later, since the prompts of
-/// other entry hosts went before it.
+/// Returns the remaining error of an estimate from answers of which one in ten came much later, because it was queued
+/// behind prompts of other entry hosts.
 fn learnt_error(seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let real = engine(&mut rng);
@@ -65,8 +65,8 @@
     error(&pace.rates(), &real)
 }
 
-/// Engines may be eight times as fast as others. A speed that is off by two would make half of the fleet too much, or leave half
-/// of it away.
+/// Engines differ in speed by a factor of eight. With an estimate that is off by two, half of the fleet would be
+/// superfluous or missing.
 #[test]
 fn finds_speed() {
     let mut errors: Vec<f64> = (0..500).map(learnt_error).collect();
@@ -76,7 +76,7 @@
 }
 
 quickcheck! {
-    /// Whatever comes, a rate stays a rate: one that became nothing or endless would send all prompts to one engine.
+    /// Whatever the answers, rates stay finite and positive: zero or infinity would send all prompts to one engine.
     fn stays_finite(answers: Vec<(u32, u32, u32)>) -> bool {
         let mut pace = SpeedEstimate::default();
         let mut own = RelativeSpeed::default();
@@ -90,8 +90,7 @@
     }
 }
 
-/// New engines take the places of others, and read a quarter as fast. For as long as they are taken for the old ones,
-/// everything is late.
+/// Engines are replaced by others with a quarter of their speed. All answers are late until the estimate has followed.
 #[test]
 fn speed_changes() {
     let mut rng = StdRng::seed_from_u64(4);
@@ -103,7 +102,7 @@
         run_ms: 1_000.0,
     };
     for round in 0..2 {
-        // Sixty answers: what one entry host gets in some eight seconds.
+        // Sixty answers: what one entry host gets in about eight seconds.
         for _ in 0..60 {
             let reading = prompt(&mut rng);
             let ms = seen(&real, reading, &mut rng);
@@ -114,7 +113,8 @@
     }
 }
 
-/// One engine of a service takes three times as long as the others; prompts that were sent there as if it didn't would be late.
+/// One engine of a service takes three times as long as the others. Prompts sent there as if it was as fast would be
+/// late.
 #[test]
 fn one_slower() {
     let mut rng = StdRng::seed_from_u64(5);
--- a/crates/policy/tests/limit_parts.rs
+++ b/crates/policy/tests/limit_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a limit in use never add up to more than the limit, over random histories of the entry hosts.
+//! The parts of a limit in use never exceed the limit, over random histories of the entry hosts.
 
 mod hosts;
 
@@ -16,22 +16,22 @@
 };
 const STEP_MS: u64 = 100;
 
-/// What happens to the hosts.
+/// An event in the history of the hosts.
 #[derive(Clone, Copy, Debug)]
 enum Happening {
-    /// Callers turn to one host.
+    /// All callers use one host.
     Turn(u8, u8),
-    /// The network falls into two sides.
+    /// The network splits into two sides.
     Cut(u8),
-    /// It heals.
+    /// The network is whole again.
     Heal,
     /// A host dies.
     Die(u8),
-    /// A host comes back and remembers nothing.
+    /// A host restarts without its state.
     Return(u8),
-    /// Datagrams take so many steps, and some are lost.
+    /// Datagrams are delayed by a number of steps, and some are lost.
     Network(u8, u8),
-    /// Time passes.
+    /// Nothing happens for a number of steps.
     Wait(u8),
 }
 
@@ -65,9 +65,9 @@
     1
 }
 
-/// Hosts die, come back without their memory, are cut off from each other and heal, while datagrams are late, doubled
-/// and lost and callers wander. Were the parts in use ever more than the limit, a customer would get, and pay for, more
-/// than its contract says, and others would miss it.
+/// Hosts die, restart without their state and are cut off from each other, while datagrams are late, doubled and lost
+/// and callers move. If the parts in use exceeded the limit, a customer would get and pay for more than its contract
+/// allows, at the expense of others.
 #[test]
 fn never_above() {
     fn holds(count: u8, seed: u64, history: Vec<Happening>) -> bool {
@@ -91,8 +91,8 @@
         .quickcheck(holds as fn(u8, u64, Vec<Happening>) -> bool);
 }
 
-/// Every host admits as fast as its bucket lets it while parts move between hosts. Over any time at most the limit, one
-/// second's burst of it and one request for each host are admitted.
+/// Every host admits as many requests as its bucket allows while parts move between hosts. Over any time, no more may
+/// be admitted than the limit, one second's burst of it, and one request for each host.
 #[test]
 fn admitted_bound() {
     fn holds(count: u8, seed: u64, history: Vec<Happening>) -> bool {
@@ -124,8 +124,8 @@
         .quickcheck(holds as fn(u8, u64, Vec<Happening>) -> bool);
 }
 
-/// All callers of a customer come through one entry host, then all through another, as when the balancer loses one.
-/// If the limit stayed divided equally, seven eighths of what the contract allows would be refused.
+/// All callers of a customer use one entry host, then all use another, for example when the balancer loses one. If the
+/// limit stayed divided evenly, seven eighths of what the contract allows would be refused.
 #[test]
 fn demand_moves() {
     let mut hosts = Hosts::new(8, LIMIT, 1);
@@ -141,7 +141,7 @@
             "host {target} may admit {part} a second"
         );
     }
-    // The callers come back to a host that has lent nearly all it owns: it has its own part again after one lease.
+    // The callers return to a host that has lent nearly all it owns: it must have its own part again after one lease.
     hosts.turn(0, 400.0);
     for _ in 0..(LEASE.as_millis() as u64 / STEP_MS + 15) {
         hosts.step(STEP_MS);
@@ -149,9 +149,9 @@
     assert!(hosts.parts()[0] >= LIMIT.requests_per_s / 8.0);
 }
 
-/// A data centre or half of the hosts are cut off for half a minute, or a host dies and its callers go elsewhere. Divided by
-/// loans the limit is never exceeded; what is refused below it is printed (with --nocapture) beside the two other ways
-/// that were weighed.
+/// A quarter or half of the hosts are cut off for half a minute, or a host dies and its callers move to others. With
+/// loans the limit must never be exceeded. What is refused below it is printed (with --nocapture) beside the results of
+/// two other methods.
 #[test]
 fn cut_figures() {
     let demands = [
--- a/crates/policy/tests/node_choice.rs
+++ b/crates/policy/tests/node_choice.rs
@@ -1,4 +1,4 @@
-//! Which state node is asked for the catalog, and for how much of it.
+//! Which state node is asked for the catalog, and how large the pages are.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     ([127, 0, 0, 1], port).into()
 }
 
-/// Guards against a host that asks one silent node after the other, a second each, while the leader has what it lacks.
+/// Guards against a host that asks one silent node after another, a second each, while the leader has what it lacks.
 #[test]
 fn leader_when_behind() {
     let mut sources = NodeSelector::new(1);
@@ -28,7 +28,7 @@
     assert_eq!(sources.pick(&nodes(), Some(node(5)), now), Some(node(3)));
 }
 
-/// Guards against a silent node that is asked again before all others were.
+/// Guards against asking a silent node again before all others were asked.
 #[test]
 fn silent_avoided() {
     let mut sources = NodeSelector::new(0);
@@ -48,7 +48,7 @@
     assert_eq!(sources.pick(&BTreeSet::new(), None, Tick::default()), None);
 }
 
-/// Guards against pages that stay too large for a link: each of them would be given up before it has arrived.
+/// Guards against pages that stay too large for a slow link: each of them would miss its timeout.
 #[test]
 fn smaller_pages() {
     let mut paging = PageSize::default();
--- a/crates/policy/tests/prefix_history.rs
+++ b/crates/policy/tests/prefix_history.rs
@@ -1,4 +1,4 @@
-//! The history of prefixes: bounded, and corrected by cache events that are late, doubled and with gaps.
+//! The prefix index is bounded, and cache events that are late, doubled or missing correct it.
 
 use policy::Tick;
 use policy::cache::{CacheEvent, CacheTrust, EventCursor};
@@ -26,8 +26,8 @@
     assert_eq!(history.cached_words(&prefix(&words(100, 3)), &[7]), [0]);
 }
 
-/// Hundreds of engines hold the same instructions at the start of a prompt, more than are remembered for one block.
-/// The one that holds the rest of the conversation must still be found by it.
+/// Hundreds of engines have cached the same system prompt, more than are recorded for one block. The one that has the
+/// rest of the conversation must still be found.
 #[test]
 fn crowded_start() {
     let mut history = PrefixIndex::new(4_096);
@@ -55,8 +55,8 @@
     assert_eq!(history.holders(&newest)[0].upstream, 999);
 }
 
-/// The network repeats and reorders what an engine published. However the events of one block come within an answer
-/// and over several, what is believed in the end is what the engine said last.
+/// The network repeats and reorders the events of an engine. However the events of one block are spread over answers,
+/// the last one published must decide.
 #[test]
 fn doubled_events() {
     fn holds(stored: Vec<bool>, cuts: Vec<u8>, order: Vec<u16>) -> bool {
@@ -95,8 +95,8 @@
         .quickcheck(holds as fn(Vec<bool>, Vec<u8>, Vec<u16>) -> bool);
 }
 
-/// Engines keep some events only, so a slow reader finds a gap; and a restarted engine counts from the start with an
-/// empty cache. If either went unnoticed, prompts would be sent where nothing of them is cached any more.
+/// Engines keep a bounded number of events, so a slow reader finds a gap; and a restarted engine counts from the start
+/// with an empty cache. If either went unnoticed, prompts would be sent where nothing of them is cached.
 #[test]
 fn gap_and_restart() {
     let event = |sequence| CacheEvent {
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -1,4 +1,4 @@
-//! Where prompts go: to what holds their beginning, unless waiting there costs more.
+//! Prompts go where their prefix is cached, unless the wait there costs more.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// The rates of a usual engine.
+/// The rates of a typical engine.
 const RATES: EngineRates = EngineRates {
     base_ms: 0.0,
     token_ms: 1.0 / 64.0,
@@ -61,8 +61,8 @@
     assert_eq!(chosen(&two, 6_000), 0);
 }
 
-/// Several entry hosts choose at once, each with its own view. For equal upstreams all of them must agree, or the shared
-/// part of a prompt is read at every upstream.
+/// Several entry hosts choose at the same time, each with its own view. They must agree on one of several equal
+/// upstreams, or the shared part of a prompt is prefilled at every upstream.
 #[test]
 fn agreed_place() {
     let weights = [7, 9, 3];
@@ -73,8 +73,9 @@
     assert_eq!(chosen(&[at(0), at(1), at(2)], 2_000), 1);
 }
 
-/// Hosts read the same reports, which are older than most prompts take. If the home of a prompt were left as soon as others
-/// run less, all hosts would leave it together, meet at the engine that was idle then, and read its parts anew.
+/// Entry hosts read the same reports, which are older than most prefills take. If they left the home of a prompt as
+/// soon as another engine had less load, all of them would move to the same idle engine at once and prefill the shared
+/// parts again.
 #[test]
 fn busy_home() {
     let engine = |at, load| Candidate {
@@ -91,8 +92,8 @@
     );
 }
 
-/// An entry host has not sent the shared parts of this prompt itself; others have, to the home on which all agree. The home
-/// reads for 60 ms more than another engine, which would have to read the shared parts anew.
+/// Other entry hosts have sent the shared parts of this prompt to the home on which all agree, but this host has not.
+/// The home has 60 ms more work queued than the other engine, which would have to prefill the shared parts again.
 #[test]
 fn home_believed() {
     let mut two = [candidate(0, 2.0), candidate(1, 2.0)];
@@ -102,8 +103,8 @@
     assert_eq!(chosen(&two, 9_000), 1);
 }
 
-/// Everything has just started, or an upstream has: nobody can have read the parts of forty thousand tokens there yet. Counted
-/// as held, the next requests would be sent behind a second of reading, all of them late.
+/// Everything has just started, or one upstream has, so nobody can have prefilled the 40,000 tokens of the shared parts
+/// there. If they counted as cached, the next requests would queue behind a second of prefill, all of them late.
 #[test]
 fn new_home_empty() {
     let mut uses = PartUsage::default();
@@ -123,8 +124,8 @@
     assert!(home[0].cached < 400);
 }
 
-/// Some parts are asked for all the time, others once a minute. What is asked for seldom is not taken for read where the others
-/// would be.
+/// Some parts are requested all the time and others once a minute. A rare part must not count as cached where a
+/// frequent one does.
 #[test]
 fn seldom_used() {
     let mut uses = PartUsage::default();
@@ -137,8 +138,8 @@
     assert!(held(2) < 0.5, "{}", held(2));
 }
 
-/// Each token of a prompt looks at all before it. Counted by tokens alone, an engine that reads fifty thousand would seem to
-/// be free again after half of the time, and others would be sent behind them.
+/// Each token of a prompt attends to all tokens before it. Estimated by the number of tokens alone, an engine that
+/// prefills 50,000 would seem free after half of the time, and others would queue behind it.
 #[test]
 fn long_reading() {
     assert!((1_500.0..1_700.0).contains(&reading_ms(0, 50_000)));
@@ -146,8 +147,8 @@
     assert!(reading_ms(40_000, 10_000) > reading_ms(0, 10_000) + 200.0);
 }
 
-/// While an engine reads a prompt of forty thousand tokens, the callers of all that run there see a pause of a second. One that
-/// runs little takes it, though it is not the home; a short prompt stays at home.
+/// While an engine prefills 40,000 tokens, all answers that run there pause for a second. An engine with few requests
+/// must take such a prompt although it is not the home; a short prompt stays at its home.
 #[test]
 fn long_prompt_apart() {
     let mut two = [candidate(0, 0.0), candidate(1, 8.0)];
@@ -156,8 +157,8 @@
     assert_eq!(chosen(&two, 6_000), 1);
 }
 
-/// A prompt of fifty thousand tokens was sent to an upstream a moment ago, whose count of requests is as low as the
-/// others'. Whatever is sent there next would wait for a second and a half.
+/// A prompt of 50,000 tokens was just sent to an upstream, whose number of requests is as low as the others'. Whatever
+/// is sent there next would wait for a second and a half.
 #[test]
 fn behind_long_prompt() {
     let now = Tick::from_millis(1_000);
@@ -170,8 +171,8 @@
     assert!(backlog.total_ms(Tick::from_millis(2_500)) < 200.0);
 }
 
-/// Another entry host has sent the long prompt, so that this one can't count it. Its own small request there waits longer
-/// than was predicted, which tells the same.
+/// Another entry host has sent the long prompt, so this host cannot count it. A small request of its own there waits
+/// longer than predicted, which shows the same.
 #[test]
 fn longer_than_predicted() {
     let mut backlog = Backlog::default();
--- a/crates/policy/tests/quota_bucket.rs
+++ b/crates/policy/tests/quota_bucket.rs
@@ -1,11 +1,12 @@
-//! What one entry host lets pass of an account's quota.
+//! What one entry host admits of an account's quota.
 
 use policy::Tick;
 use policy::quota::Bucket;
 use quickcheck::quickcheck;
 
 quickcheck! {
-    /// Whatever is asked for, no more passes than the burst and what the rate has brought since; whole takes only.
+    /// Whatever is requested with `take_whole`, no more is admitted than the initial units and what the rate has added
+    /// since.
     fn never_over(asks: Vec<(u16, u16)>) -> bool {
         let (rate, burst) = (1_000.0, 5_000.0);
         let mut bucket = Bucket::new(0.0, Tick::default());
@@ -21,8 +22,8 @@
     }
 }
 
-/// A process is killed again and again. If each start owned a full burst, an account would get many times its quota; with
-/// nothing at all, callers within their quota would be refused after every restart.
+/// A process is killed again and again. If each start had a full burst, an account would get many times its quota; with
+/// an empty bucket, callers within their quota would be refused after every restart.
 #[test]
 fn starts_with_less() {
     let mut bucket = Bucket::new(1_000.0, Tick::default());
@@ -31,8 +32,8 @@
     bucket.take_whole(400.0, Tick::default()).unwrap();
 }
 
-/// A request is larger than the burst. It would never be let in if the whole had to be there; what it takes too much is
-/// paid back before the next.
+/// A request is larger than the burst. It could never be admitted if all of its units had to be available; the
+/// overdraft delays the next request.
 #[test]
 fn larger_than_burst() {
     let mut bucket = Bucket::new(0.0, Tick::default());
--- a/crates/policy/tests/quota_parts.rs
+++ b/crates/policy/tests/quota_parts.rs
@@ -1,4 +1,4 @@
-//! Quotas over entry hosts that come, go and are cut off: what all of them let pass stays within the quota.
+//! Quotas over entry hosts that join, leave and are cut off: together they stay within the quota.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,7 +33,8 @@
     sharers
 }
 
-/// A new leader has heard of one entry host out of eight. If it gave parts at once, the first would own the whole quota.
+/// A new leader has heard from one entry host of eight. If it gave shares at once, the first host would own the whole
+/// quota.
 #[test]
 fn listens_first() {
     let mut sharers = QuotaAllocator::new(0, Tick::default());
@@ -43,8 +44,8 @@
     assert_eq!(portion.entries, HOSTS as u32);
 }
 
-/// All leaders are killed, and the entry hosts too. The next leader was left the count of those who share, so that the first
-/// entry host that is back gets its part at once, and not the whole.
+/// All leaders are killed, and the entry hosts too. The next leader knows the previous number of entry hosts, so the
+/// first one that is back must get its even share at once, and not the whole.
 #[test]
 fn left_count() {
     let mut sharers = QuotaAllocator::new(8, Tick::default());
@@ -54,7 +55,7 @@
     assert_eq!(portion.entries, 1);
 }
 
-/// An entry host is cut off and goes on with its part. The others must not get that part as well.
+/// An entry host is cut off and goes on with its share. The others must not get that share as well.
 #[test]
 fn cut_host_counts() {
     let mut sharers = settled();
@@ -62,7 +63,7 @@
     assert_eq!(portion.entries, HOSTS as u32);
 }
 
-/// The system as its accounts meet it: entry hosts with their parts, and the leader with the rest.
+/// The quota of one account: entry hosts with their even shares, and the leader with the rest.
 struct System {
     sharers: QuotaAllocator,
     hosts: Vec<Bucket>,
@@ -106,8 +107,8 @@
 }
 
 quickcheck! {
-    /// Requests meet entry hosts by chance; each has its part, borrows, and gives back what it has to spare. In no window do
-    /// all of them let pass more than rate, burst and slack.
+    /// Requests reach entry hosts at random; each host has its share, borrows, and reports its overflow. In no window
+    /// may all of them together admit more than rate, burst and slack.
     fn sum_within(asks: Vec<(u8, u16, u8)>) -> bool {
         let mut system = System::start(HOSTS, QUOTA, SLACK);
         let mut passed: Vec<(u64, f64)> = Vec::new();
@@ -122,14 +123,15 @@
             }
             let within = |(when, _): &&(u64, f64)| now_ms - when <= SLACK.window.as_millis() as u64;
             let sum: f64 = passed.iter().filter(within).map(|(_, units)| units).sum();
-            // A request that is larger than what may be saved up may overdraw the pool once.
+            // A request larger than what can be saved up may overdraw the pool once.
             sum <= QUOTA.per_s * SLACK.window.as_secs_f64() + QUOTA.burst + SLACK.units + 3_000.0
         })
     }
 }
 
-/// Eighty entry hosts share a quota of 150,000 tokens a second, and half of it is asked for, by prompts of 12,000. No part of a
-/// host is ever large enough for one of them. When parts kept what they could not use, callers within their quota were refused.
+/// Eighty entry hosts share a quota of 150,000 tokens a second, and half of it is requested by prompts of 12,000
+/// tokens, each too large for any host's share. When hosts kept their overflow, callers within their quota were
+/// refused.
 #[test]
 fn long_prompts() {
     let quota = Quota {
@@ -149,8 +151,8 @@
     assert_eq!(refused, 0);
 }
 
-/// A leader is replaced. What entry hosts had to spare since their start was lent by the former one already; only what comes
-/// on top is taken back, and nothing twice when an entry host is restarted.
+/// A leader is replaced. The overflow that entry hosts report since their start was lent by the previous leader
+/// already. Only what is added may be collected, and nothing twice when an entry host is restarted.
 #[test]
 fn spare_once() {
     let spare = |units| BTreeMap::from([("a".to_owned(), units)]);
@@ -168,7 +170,7 @@
     assert!(sharers.lend("a", 100.0, Tick::default()));
 }
 
-/// The quota is there, but at the wrong entry host: the leader lends it.
+/// The quota has units left, but at other entry hosts: the leader must lend them.
 #[test]
 fn lends_rest() {
     let mut sharers = settled();
--- a/crates/policy/tests/repeat_budget.rs
+++ b/crates/policy/tests/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! Repeated sends of all entry hosts together stay within the service's budget.
+//! Retries of all entry hosts together stay within the service's budget.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 };
 const HOSTS: usize = 8;
 
-/// All upstreams of a service fail, and every entry host wants to send every request again. In no window may the repeats
-/// be more than the share of the requests and the fixed number.
+/// All upstreams of a service fail, and every entry host wants to retry every request. In no window may the retries
+/// exceed their share of the requests plus the fixed number.
 #[test]
 fn all_fail() {
     let mut hosts = vec![RetryWindow::default(); HOSTS];
--- a/crates/policy/tests/rescue_plan.rs
+++ b/crates/policy/tests/rescue_plan.rs
@@ -1,4 +1,4 @@
-//! The choice among finishing, moving and replaying the streams of hosts that leave.
+//! The choice between finishing, moving and replaying the streams of hosts that leave.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -55,8 +55,8 @@
     check(once);
 }
 
-/// A zone is taken with seconds of notice and the plan copies more than its hosts' links can carry. The copies at the
-/// end would be cut off, their streams replayed late, and the time spent on them lost.
+/// A zone is reclaimed with seconds of notice. If the plan copied more than the links of its hosts can carry, the last
+/// copies would be cut off, their streams replayed late, and the time for them lost.
 #[test]
 fn links_suffice() {
     fn fits(all: Vec<Any>) -> bool {
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -3,8 +3,8 @@
 use policy::budget::{MOST, RetryBudget};
 use quickcheck::{Gen, QuickCheck};
 
-/// Every engine fails and every caller's request is tried again. If nothing bounded the retries, the engines would get
-/// a multiple of the load just as they come back, and fall over again.
+/// Every engine fails and every request is retried. Without a bound on the retries, recovering engines would get a
+/// multiple of the load and fail again.
 #[test]
 fn retries_bounded() {
     fn holds(outcomes: Vec<bool>) -> bool {
@@ -30,7 +30,7 @@
         .quickcheck(holds as fn(Vec<bool>) -> bool);
 }
 
-/// In a whole outage nothing succeeds, so that after the first few retries each request is sent once only.
+/// In a complete outage nothing succeeds, so after the first few retries each request must be sent only once.
 #[test]
 fn outage_amplification() {
     let mut budget = RetryBudget::new(0.1);
--- a/crates/policy/tests/rollout_lag.rs
+++ b/crates/policy/tests/rollout_lag.rs
@@ -10,7 +10,7 @@
     NodeId::from(name)
 }
 
-/// Guards against a rollout that is called complete while a host still serves an older version.
+/// Guards against reporting a rollout as complete while a host still serves an older version.
 #[test]
 fn late_named() {
     let mut rollout = Rollout::default();
@@ -46,7 +46,7 @@
     assert_eq!(rollout.report(Tick::from_millis(1_800)), None);
 }
 
-/// Guards against a stopped host that keeps a rollout from ever being complete.
+/// Guards against a stopped host that keeps a rollout incomplete for ever.
 #[test]
 fn stopped_host() {
     let mut rollout = Rollout::default();
@@ -60,7 +60,8 @@
     ));
 }
 
-/// Guards against a new leader that tells a rollout as complete in no time, since it was published under the one before.
+/// Guards against a new leader that reports a rollout as complete in no time although it was published under the
+/// previous one.
 #[test]
 fn inherited_version() {
     let mut rollout = Rollout::default();
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -1,4 +1,4 @@
-//! Routing by cost: sessions stay with their cached prefix, candidates are bounded, expired reports don't count.
+//! Routing by cost: sessions stay with their cached prefix, candidates are bounded, expired reports do not count.
 
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
     UpstreamGroup::new((0..count).map(place).collect())
 }
 
-/// A long consultation comes back with one more question. Sent to an engine that never saw it, all of it is computed
-/// again and the customer waits; sent to its old engine behind a long queue, the customer waits as well.
+/// A long conversation continues with one more turn. An engine that never saw it would have to prefill all of it; its
+/// previous engine is worse only behind a long queue.
 #[test]
 fn session_stays() {
     let (home, other) = (UpstreamId::from("home"), UpstreamId::from("other"));
@@ -64,8 +64,9 @@
     assert_eq!(choice.weighed[1].lost, None);
 }
 
-/// Hosts of a zone are reclaimed in waves. Right after the first notice in a zone a long answer is better begun
-/// elsewhere, even where nothing of it is cached; without the risk in the cost it is begun on a host that goes next.
+/// The hosts of a zone are reclaimed in waves. After the first notice in a zone, a long answer must be started
+/// elsewhere even if nothing of it is cached there; without the risk in the cost, it would start on a host that is
+/// reclaimed next.
 #[test]
 fn wave_avoided() {
     let (zone, calm) = (UpstreamId::from("zone"), UpstreamId::from("calm"));
@@ -89,8 +90,8 @@
     assert_eq!(choose(&rules, &candidates, &long, &rates).unwrap().chosen, zone);
 }
 
-/// An engine falls silent just after it reported that it is idle. If its last report counted for ever, every entry
-/// host would go on sending all it has to it.
+/// An engine hangs just after it reported that it is idle. If its last report counted for ever, every entry host would
+/// go on sending all requests to it.
 #[test]
 fn expired_report() {
     let mut estimate = LoadEstimate::default();
@@ -113,8 +114,9 @@
     assert!(choice.weighed[0].expired);
 }
 
-/// Reports come late and cross. What was sent after the engine measured is added however late the report comes, and
-/// an older report that comes last changes nothing; otherwise an entry host forgets what it has just sent.
+/// Reports arrive late and out of order. Requests sent after the measurement must be added however late the report
+/// arrives, and an older report that arrives last must change nothing; otherwise an entry host forgets what it has just
+/// sent.
 #[test]
 fn late_reports() {
     fn holds(sends: Vec<u16>, measured: u16, late: u16) -> bool {
@@ -161,7 +163,7 @@
         .quickcheck(holds as fn(u16, u64, u64, Vec<u32>) -> bool);
 }
 
-/// One engine of many goes away. Only prompts that were hashed to it may move; if all moved, every cached prefix of
+/// One engine of many is removed. Only prompts that were hashed to it may move; if all moved, every cached prefix of
 /// the model would be computed again at once.
 #[test]
 fn few_move() {
--- a/crates/policy/tests/routing_names.rs
+++ b/crates/policy/tests/routing_names.rs
@@ -1,4 +1,4 @@
-//! Names of the ways of choosing.
+//! Names of the routing algorithms.
 
 use policy::route::Routing;
 
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -1,4 +1,4 @@
-//! Every entry host sends the turns of a conversation to the same upstream unless waiting there costs more.
+//! Every entry host sends the turns of a conversation to the same upstream unless the wait there costs more.
 
 use contract::{MachineClass, UpstreamId};
 use policy::load::PredictedLoad;
@@ -43,8 +43,8 @@
     choose(rules, &candidates, &need, &ServiceRates::default()).unwrap()
 }
 
-/// Entry hosts in different data centres number their upstreams in another order and hold others for near. If they
-/// disagreed on the home, each turn that comes through another of them would be computed again from its start.
+/// Entry hosts in different data centres number their upstreams in a different order and have different local ones. If
+/// they disagreed on the home, each turn that arrives at another host would be prefilled from its start.
 #[test]
 fn hosts_agree() {
     fn holds(count: u16, key: u64) -> bool {
--- a/crates/policy/tests/slot_ease.rs
+++ b/crates/policy/tests/slot_ease.rs
@@ -1,10 +1,10 @@
-//! The share of the slots that is used follows how answers fare, and prefill is told from waits.
+//! The usable share of the slots follows the outcome of requests, and prefill is told apart from waits.
 
 use policy::route::ServiceRates;
 use quickcheck::{Gen, QuickCheck};
 
-/// An engine prefills one prompt after the other. Let in by slots alone, requests wait in it for their first token until
-/// all of them are late. The share of the slots that is used must fall, and come back once answers are on time.
+/// An engine prefills one prompt after the other. Admitted by the number of slots alone, requests wait in the engine
+/// for their first token until all are late. The usable share must fall, and rise again once first tokens are on time.
 #[test]
 fn falls_and_returns() {
     let mut rates = ServiceRates::default();
@@ -20,8 +20,8 @@
     assert!(rates.usable_share > 0.99, "{}", rates.usable_share);
 }
 
-/// Each further request in a batch lengthens the pauses of all. With more than one in twenty longer than promised,
-/// the answer is late however whole it is.
+/// Each additional request in a batch lengthens the pauses of all others. If more than one pause in twenty exceeds the
+/// target, the answer is late even when complete.
 #[test]
 fn pauses_count() {
     let mut rates = ServiceRates::default();
@@ -35,15 +35,15 @@
     assert!(rates.usable_share > 0.25);
 }
 
-/// Most first tokens come after a wait in the engine. Were the wait taken for prefill, a cached prefix would seem to be
-/// worth many times what it is, and conversations would stay at engines that are full.
+/// Most first tokens arrive after a wait in the engine. If the wait counted as prefill, a cached prefix would seem to
+/// be worth many times its value, and conversations would stay at full engines.
 #[test]
 fn prefill_found() {
     fn holds(waits: Vec<u16>) -> bool {
         let mut rates = ServiceRates::default();
         let waits: Vec<f64> = waits.iter().map(|wait| f64::from(wait % 4_000)).chain([0.0]).collect();
         for round in 0..2_000 {
-            // Three in ten find nothing before them.
+            // Three in ten requests find an empty engine.
             let wait = if round % 10 < 3 {
                 0.0
             } else {
--- a/crates/policy/tests/zone_silence.rs
+++ b/crates/policy/tests/zone_silence.rs
@@ -1,4 +1,4 @@
-//! A data centre that is cut off is noticed from what is not heard of it.
+//! A data centre that is cut off is detected by the lack of traffic from it.
 
 use policy::Tick;
 use policy::reach::Reachability;
@@ -7,8 +7,9 @@
     Tick::from_millis(ms)
 }
 
-/// A data centre is cut off while requests wait there. New ones keep away after a third of a second; a lookup probes it a
-/// second later, a deposit only after four, and whatever comes from there ends it at once.
+/// A data centre is cut off while requests wait there. New requests must avoid it after a third of a second. A
+/// repeatable one probes it a second later, one that may run only once only after four, and anything received from it
+/// ends the silence at once.
 #[test]
 fn cut_off() {
     let reach = Reachability::default();
@@ -22,7 +23,8 @@
     assert!(!reach.is_silent(true, at(2_501)));
 }
 
-/// One upstream hangs, or reads a long prompt, while others of its data centre answer. The data centre is not to blame.
+/// One upstream hangs, or prefills a long prompt, while others of its data centre answer. The data centre must not
+/// count as silent.
 #[test]
 fn one_hangs() {
     let reach = Reachability::default();
