--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -29,19 +29,19 @@
 fn admission(c: &mut Criterion) {
     let mut group = c.benchmark_group("admit");
     for waiting in [10, 1_000] {
-        let mut lane = AdmissionQueue::new(16, waiting, false);
+        let mut queue = AdmissionQueue::new(16, waiting, false);
         for id in 0..waiting as u64 + 16 {
             // Some are refused; the queue is full at the end.
-            let _ = lane.offer(ticket(id, 10), Tick::default());
-            lane.admit_next();
+            let _ = queue.offer(ticket(id, 10), Tick::default());
+            queue.admit_next();
         }
         let mut id = 1_000_000;
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter(|| {
                 id += 1;
-                lane.finished(100.0, Duration::from_millis(1));
-                black_box(lane.admit_next());
-                black_box(lane.offer(ticket(id, 10), Tick::default()).is_ok());
+                queue.finished(100.0, Duration::from_millis(1));
+                black_box(queue.admit_next());
+                black_box(queue.offer(ticket(id, 10), Tick::default()).is_ok());
             });
         });
     }
@@ -61,11 +61,11 @@
         let mut share = CustomerShare::new(false, Tick::default());
         for peer in 1..hosts {
             let wanted = LimitAmounts::from([f64::from(peer % 30), f64::from(peer % 30) * 400.0, f64::from(peer % 90)]);
-            let told = PeerDemand {
+            let reported = PeerDemand {
                 wanted,
                 running: wanted.running,
             };
-            share.record_demand(peer, told, now);
+            share.record_demand(peer, reported, now);
         }
         let part = owned_part(&LIMITS, hosts, 0);
         let mut peer = 0;
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -20,7 +20,7 @@
     ids: Vec<UpstreamId>,
     group: UpstreamGroup,
     loads: Vec<LoadEstimate>,
-    history: PrefixIndex,
+    index: PrefixIndex,
 }
 
 fn prompt(seed: usize, words: usize) -> Prefix {
@@ -30,15 +30,15 @@
 
 fn fleet(count: u32) -> Fleet {
     let ids: Vec<UpstreamId> = (0..count).map(|number| format!("engine-{number}").into()).collect();
-    let place = |number: u32| GroupMember {
+    let member = |number: u32| GroupMember {
         number,
         id: ids[number as usize].clone(),
         near: number.is_multiple_of(8),
     };
-    let group = UpstreamGroup::new((0..count).map(place).collect());
-    let mut history = PrefixIndex::new(256 * 1024);
+    let group = UpstreamGroup::new((0..count).map(member).collect());
+    let mut index = PrefixIndex::new(256 * 1024);
     for seed in 0..2_000 {
-        history.store(
+        index.store(
             &prompt(seed, 1_600),
             seed as u32 % count,
             Tick::from_millis(seed as u64),
@@ -59,7 +59,7 @@
         ids,
         group,
         loads,
-        history,
+        index,
     }
 }
 
@@ -80,7 +80,12 @@
 }
 
 fn pick(fleet: &Fleet, prefix: &Prefix, turn: u64) -> Option<UpstreamId> {
-    let holders: Vec<u32> = fleet.history.holders(prefix).iter().map(|held| held.upstream).collect();
+    let holders: Vec<u32> = fleet
+        .index
+        .holders(prefix)
+        .iter()
+        .map(|cached| cached.upstream)
+        .collect();
     let proposed = fleet.group.propose(
         &fleet.group.homes(prefix.leading_hash()),
         Some(prefix.leading_hash()),
@@ -88,9 +93,11 @@
         turn,
     );
     let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.members()[p.at].number).collect();
-    let held = fleet.history.cached_words(prefix, &numbers);
-    let rows = proposed.iter().zip(held);
-    let candidates: Vec<Candidate<'_>> = rows.map(|(p, held)| candidate(fleet, p.at, held, p.reason)).collect();
+    let cached = fleet.index.cached_words(prefix, &numbers);
+    let rows = proposed.iter().zip(cached);
+    let candidates: Vec<Candidate<'_>> = rows
+        .map(|(p, cached)| candidate(fleet, p.at, cached, p.reason))
+        .collect();
     let need = RequestNeed {
         prompt_tokens: prefix.words(),
         answer_tokens: 200,
@@ -117,9 +124,9 @@
     let mut index = c.benchmark_group("index");
     index.sample_size(10);
     for count in [40, 400, 3_300] {
-        let places = fleet(count).group.members().to_vec();
+        let members = fleet(count).group.members().to_vec();
         index.bench_function(BenchmarkId::from_parameter(count), |b| {
-            b.iter(|| black_box(UpstreamGroup::new(places.clone())));
+            b.iter(|| black_box(UpstreamGroup::new(members.clone())));
         });
     }
     index.finish();
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -39,30 +39,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
     /// When all prompts sent so far are predicted to be prefilled.
-    read_at: Tick,
+    prefilled_at: Tick,
     /// Requests without a first event, by number, with the time at which they were sent.
     waiting: HashMap<u64, (Tick, SentRequest)>,
-    next: u64,
+    last_number: u64,
 }
 
 impl Backlog {
     /// Records a sent request and returns the number to pass to [`Backlog::first_event`] or [`Backlog::ended`].
     pub fn sent(&mut self, sent: SentRequest, now: Tick) -> u64 {
-        self.read_at = self.read_at.max(now) + Duration::from_secs_f64(sent.prefill_ms / 1_000.0);
-        self.next += 1;
-        self.waiting.insert(self.next, (now, sent));
-        self.next
+        self.prefilled_at = self.prefilled_at.max(now) + Duration::from_secs_f64(sent.prefill_ms / 1_000.0);
+        self.last_number += 1;
+        self.waiting.insert(self.last_number, (now, sent));
+        self.last_number
     }
 
     /// Records the first event of a request; returns `None` if the request is unknown or has already had its first
     /// event.
     pub fn first_event(&mut self, number: u64, now: Tick) -> Option<FirstEvent> {
-        let (at, sent) = self.waiting.remove(&number)?;
-        let seen_ms = now.since(at).as_secs_f64() * 1_000.0;
-        Some(FirstEvent {
-            sent,
-            elapsed_ms: seen_ms,
-        })
+        let (sent_at, sent) = self.waiting.remove(&number)?;
+        let elapsed_ms = now.since(sent_at).as_secs_f64() * 1_000.0;
+        Some(FirstEvent { sent, elapsed_ms })
     }
 
     /// Records that a request ended without a first event.
@@ -73,7 +70,7 @@
     /// Returns the predicted time until this host's own prompts are prefilled, in milliseconds.
     #[must_use]
     pub fn pending_ms(&self, now: Tick) -> f64 {
-        self.read_at.since(now).as_secs_f64() * 1_000.0
+        self.prefilled_at.since(now).as_secs_f64() * 1_000.0
     }
 
     /// Returns the time at which the longest waiting request was sent; `None` if all have had their first event.
@@ -87,11 +84,11 @@
     /// An overrun means that other entry hosts have sent prompts there, or that the upstream is slow or hangs.
     #[must_use]
     pub fn overdue_ms(&self, now: Tick) -> f64 {
-        let longer = |(at, sent): &(Tick, SentRequest)| {
-            let waited = now.since(*at);
+        let overrun_ms = |(sent_at, sent): &(Tick, SentRequest)| {
+            let waited = now.since(*sent_at);
             (waited < LONGEST_WAIT).then_some(waited.as_secs_f64() * 1_000.0 - sent.predicted_ms)
         };
-        self.waiting.values().filter_map(longer).fold(0.0, f64::max)
+        self.waiting.values().filter_map(overrun_ms).fold(0.0, f64::max)
     }
 
     /// Returns the predicted delay of a new request, in milliseconds: the larger of the pending prefill and the
--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -5,9 +5,9 @@
 use crate::Tick;
 
 /// Consecutive failures that open the breaker.
-pub const FAILURES: u32 = 3;
+pub const FAILURE_THRESHOLD: u32 = 3;
 /// Shortest and longest time that the breaker stays open.
-pub const PAUSE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(30));
+pub const OPEN_TIME: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(30));
 
 /// Blocks requests to a failing upstream and lets single probes through.
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,10 +19,10 @@
 enum State {
     /// Requests pass; `failures` is the number of consecutive failures.
     Closed { failures: u32 },
-    /// No request passes before `until`; `times` is the number of reopenings in a row.
-    Open { until: Tick, times: u32 },
+    /// No request passes before `until`; `reopenings` counts how often it has reopened in a row.
+    Open { until: Tick, reopenings: u32 },
     /// One probe is in flight; another may follow at `until` if the first has no outcome by then.
-    Probing { until: Tick, times: u32 },
+    Probing { until: Tick, reopenings: u32 },
 }
 
 impl Default for State {
@@ -56,9 +56,9 @@
     /// recovering upstream would get as many requests as there are threads.
     pub fn claim(&mut self, now: Tick) -> bool {
         let allowed = self.allows(now);
-        if allowed && let State::Open { times, .. } | State::Probing { times, .. } = self.state {
-            let until = now + pause(times);
-            self.state = State::Probing { until, times };
+        if allowed && let State::Open { reopenings, .. } | State::Probing { reopenings, .. } = self.state {
+            let until = now + pause(reopenings);
+            self.state = State::Probing { until, reopenings };
         }
         allowed
     }
@@ -74,20 +74,20 @@
     /// lengthen the pause a hundred times.
     pub fn failed(&mut self, now: Tick) {
         self.state = match self.state {
-            State::Closed { failures } if failures + 1 < FAILURES => State::Closed { failures: failures + 1 },
+            State::Closed { failures } if failures + 1 < FAILURE_THRESHOLD => State::Closed { failures: failures + 1 },
             State::Closed { .. } => State::Open {
                 until: now + pause(0),
-                times: 0,
+                reopenings: 0,
             },
-            State::Probing { times, .. } => State::Open {
-                until: now + pause(times + 1),
-                times: times + 1,
+            State::Probing { reopenings, .. } => State::Open {
+                until: now + pause(reopenings + 1),
+                reopenings: reopenings + 1,
             },
             open @ State::Open { .. } => open,
         };
     }
 }
 
-fn pause(times: u32) -> Duration {
-    (PAUSE.0 * 2_u32.pow(times.min(6))).min(PAUSE.1)
+fn pause(reopenings: u32) -> Duration {
+    (OPEN_TIME.0 * 2_u32.pow(reopenings.min(6))).min(OPEN_TIME.1)
 }
--- a/crates/policy/src/cache.rs
+++ b/crates/policy/src/cache.rs
@@ -27,7 +27,7 @@
 /// Read position in the events of one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventCursor {
-    seen: u64,
+    last_seen: u64,
 }
 
 impl EventCursor {
@@ -38,23 +38,23 @@
     /// assumed for ever.
     #[must_use]
     pub const fn after(&self) -> u64 {
-        self.seen.saturating_sub(1)
+        self.last_seen.saturating_sub(1)
     }
 
     /// Extracts the new events from the answer to a request after [`EventCursor::after`].
     pub fn apply(&mut self, answer: &[CacheEvent]) -> Applied {
         let newest = answer.iter().map(|event| event.sequence).max().unwrap_or_default();
-        let restarted = newest < self.seen;
+        let restarted = newest < self.last_seen;
         if restarted {
             *self = Self::default();
         }
-        let new = answer.iter().filter(|event| event.sequence > self.seen);
+        let new = answer.iter().filter(|event| event.sequence > self.last_seen);
         let mut fresh: BTreeMap<u64, CacheEvent> = new.map(|event| (event.sequence, *event)).collect();
-        let missing = newest.saturating_sub(self.seen) - fresh.len() as u64;
-        self.seen = self.seen.max(newest);
+        let missing = newest.saturating_sub(self.last_seen) - fresh.len() as u64;
+        self.last_seen = self.last_seen.max(newest);
         // Only the latest event of a block counts.
-        let last: BTreeMap<u64, u64> = fresh.values().map(|event| (event.block, event.sequence)).collect();
-        fresh.retain(|sequence, event| last.get(&event.block) == Some(sequence));
+        let latest: BTreeMap<u64, u64> = fresh.values().map(|event| (event.block, event.sequence)).collect();
+        fresh.retain(|sequence, event| latest.get(&event.block) == Some(sequence));
         Applied {
             fresh: fresh.into_values().collect(),
             lost: missing,
@@ -76,7 +76,7 @@
 const COUNT_WEIGHT: f64 = 0.2;
 /// Lower bound of the trust, above zero so that prompts still reach the engine and its hit counts can raise the trust
 /// again.
-const LEAST: f64 = 0.1;
+const MIN_TRUST: f64 = 0.1;
 
 impl Default for CacheTrust {
     fn default() -> Self {
@@ -95,7 +95,7 @@
     /// ones.
     pub fn record_lost(&mut self, lost: u64, fresh: usize) {
         let share = lost as f64 / (lost + fresh as u64).max(1) as f64;
-        self.0 = (self.0 * (1.0 - share * GAP_WEIGHT)).max(LEAST);
+        self.0 = (self.0 * (1.0 - share * GAP_WEIGHT)).max(MIN_TRUST);
     }
 
     /// Adjusts the trust by the cached words that an engine counted in a prompt, against the words assumed to be
@@ -103,7 +103,7 @@
     pub fn record_count(&mut self, believed: u64, cached: u64) {
         if believed > 0 {
             let share = (cached as f64 / believed as f64).min(1.0);
-            self.0 = (self.0 + COUNT_WEIGHT * (share - self.0)).max(LEAST);
+            self.0 = (self.0 + COUNT_WEIGHT * (share - self.0)).max(MIN_TRUST);
         }
     }
 }
--- a/crates/policy/src/divide.rs
+++ b/crates/policy/src/divide.rs
@@ -10,7 +10,7 @@
 /// Returns the host that polls an upstream; `None` if there is no live host.
 #[must_use]
 pub fn polling_host<'a>(upstream: &UpstreamId, hosts: impl IntoIterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
-    let salt = xxh3_64_with_seed(upstream.as_str().as_bytes(), 0);
-    let weight = |host: &&NodeId| (xxh3_64_with_seed(host.as_str().as_bytes(), salt), host.as_str().len());
+    let seed = xxh3_64_with_seed(upstream.as_str().as_bytes(), 0);
+    let weight = |host: &&NodeId| (xxh3_64_with_seed(host.as_str().as_bytes(), seed), host.as_str().len());
     hosts.into_iter().max_by_key(weight)
 }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -41,19 +41,19 @@
     bound: usize,
     length: usize,
     virtual_time: f64,
-    lines: BTreeMap<CustomerId, Line>,
+    queues: BTreeMap<CustomerId, CustomerQueue>,
 }
 
 /// The waiting requests of one customer.
 #[derive(Debug, Default)]
-struct Line {
+struct CustomerQueue {
     /// Virtual start time of the next request.
     start: f64,
-    share: f64,
+    weight: f64,
     /// Waiting work, in tokens.
     work: f64,
-    order: BTreeSet<(Tick, u64)>,
-    sheds: BTreeSet<(u8, Tick, u64)>,
+    by_deadline: BTreeSet<(Tick, u64)>,
+    drop_order: BTreeSet<(u8, Tick, u64)>,
     tickets: BTreeMap<u64, Ticket>,
 }
 
@@ -65,7 +65,7 @@
             bound,
             length: 0,
             virtual_time: 0.0,
-            lines: BTreeMap::new(),
+            queues: BTreeMap::new(),
         }
     }
 
@@ -98,31 +98,31 @@
         if ticket.latest_start < now {
             return Err(RefusalReason::TooLate);
         }
-        let shed = if self.length >= self.bound {
-            Some(self.shed_for(&ticket).ok_or(RefusalReason::QueueFull)?)
+        let dropped = if self.length >= self.bound {
+            Some(self.drop_for(&ticket).ok_or(RefusalReason::QueueFull)?)
         } else {
             None
         };
         let virtual_time = self.virtual_time;
-        let line = self.lines.entry(ticket.customer.clone()).or_default();
-        if line.tickets.is_empty() {
+        let queue = self.queues.entry(ticket.customer.clone()).or_default();
+        if queue.tickets.is_empty() {
             // A customer that was idle starts at the current virtual time; otherwise it could save up a burst that
             // starves others.
-            line.start = line.start.max(virtual_time);
+            queue.start = queue.start.max(virtual_time);
         }
-        line.add(ticket);
+        queue.add(ticket);
         self.length += 1;
-        Ok(shed)
+        Ok(dropped)
     }
 
     /// Removes and returns the next request: by virtual start time, and within the customer by start deadline.
     pub fn pop(&mut self) -> Option<Ticket> {
-        let waiting = self.lines.values_mut().filter(|line| !line.tickets.is_empty());
-        let line = waiting.min_by(|a, b| a.start.total_cmp(&b.start))?;
-        let (_, id) = *line.order.first()?;
-        let ticket = line.take(id)?;
-        self.virtual_time = self.virtual_time.max(line.start);
-        line.start += ticket.tokens / line.share;
+        let waiting = self.queues.values_mut().filter(|queue| !queue.tickets.is_empty());
+        let queue = waiting.min_by(|a, b| a.start.total_cmp(&b.start))?;
+        let (_, id) = *queue.by_deadline.first()?;
+        let ticket = queue.take(id)?;
+        self.virtual_time = self.virtual_time.max(queue.start);
+        queue.start += ticket.tokens / queue.weight;
         self.length -= 1;
         self.forget_idle();
         Some(ticket)
@@ -131,23 +131,23 @@
     /// Returns the work, in tokens, that would be served before the request if it was queued now.
     #[must_use]
     pub fn work_ahead(&self, ticket: &Ticket) -> f64 {
-        let own = self.lines.get(&ticket.customer);
-        let before = own.map_or(0.0, |line| line.before(ticket));
-        let start = own.map_or(self.virtual_time, |line| line.start.max(self.virtual_time));
-        let turn = start + before / f64::from(ticket.weight.max(1));
-        let others = self.lines.iter().filter(|(customer, _)| **customer != ticket.customer);
-        let served = others.map(|(_, line)| ((turn - line.start).max(0.0) * line.share).min(line.work));
-        before + served.sum::<f64>()
+        let own = self.queues.get(&ticket.customer);
+        let own_work = own.map_or(0.0, |queue| queue.work_before(ticket));
+        let start = own.map_or(self.virtual_time, |queue| queue.start.max(self.virtual_time));
+        let virtual_start = start + own_work / f64::from(ticket.weight.max(1));
+        let others = self.queues.iter().filter(|(customer, _)| **customer != ticket.customer);
+        let served = others.map(|(_, queue)| ((virtual_start - queue.start).max(0.0) * queue.weight).min(queue.work));
+        own_work + served.sum::<f64>()
     }
 
     /// Removes and returns the requests whose start deadline has passed.
     pub fn expire(&mut self, now: Tick) -> Vec<Ticket> {
         let mut late = Vec::new();
-        for line in self.lines.values_mut() {
-            while let Some(&(latest, id)) = line.order.first()
+        for queue in self.queues.values_mut() {
+            while let Some(&(latest, id)) = queue.by_deadline.first()
                 && latest < now
             {
-                late.extend(line.take(id));
+                late.extend(queue.take(id));
             }
         }
         self.length -= late.len();
@@ -156,35 +156,35 @@
 
     /// Removes a waiting request, for example because its caller disconnected.
     pub fn remove(&mut self, customer: &CustomerId, id: u64) -> Option<Ticket> {
-        let ticket = self.lines.get_mut(customer)?.take(id)?;
+        let ticket = self.queues.get_mut(customer)?.take(id)?;
         self.length -= 1;
         Some(ticket)
     }
 
     /// Removes the request to drop from a full queue; `None` if that is the new request itself.
-    fn shed_for(&mut self, ticket: &Ticket) -> Option<Ticket> {
-        let share = f64::from(ticket.weight.max(1));
-        let weight = |(customer, line): &(&CustomerId, &mut Line)| {
-            let more = if **customer == ticket.customer {
+    fn drop_for(&mut self, ticket: &Ticket) -> Option<Ticket> {
+        let own_weight = f64::from(ticket.weight.max(1));
+        let relative_work = |(customer, queue): &(&CustomerId, &mut CustomerQueue)| {
+            let added = if **customer == ticket.customer {
                 ticket.tokens
             } else {
                 0.0
             };
-            (line.work + more) / line.share
+            (queue.work + added) / queue.weight
         };
-        let waiting = self.lines.iter_mut().filter(|(_, line)| !line.tickets.is_empty());
-        let (customer, line) = waiting.max_by(|a, b| weight(a).total_cmp(&weight(b)))?;
+        let waiting = self.queues.iter_mut().filter(|(_, queue)| !queue.tickets.is_empty());
+        let (customer, queue) = waiting.max_by(|a, b| relative_work(a).total_cmp(&relative_work(b)))?;
         if *customer == ticket.customer {
-            let first = *line.sheds.last()?;
-            if (ticket.shed_order, ticket.latest_start, ticket.id) > first {
+            let first_dropped = *queue.drop_order.last()?;
+            if (ticket.shed_order, ticket.latest_start, ticket.id) > first_dropped {
                 return None;
             }
-        } else if ticket.tokens / share > line.work / line.share {
+        } else if ticket.tokens / own_weight > queue.work / queue.weight {
             // This request alone exceeds the waiting work of every other customer.
             return None;
         }
-        let (_, _, id) = *line.sheds.last()?;
-        let victim = line.take(id)?;
+        let (_, _, id) = *queue.drop_order.last()?;
+        let victim = queue.take(id)?;
         self.length -= 1;
         Some(victim)
     }
@@ -192,24 +192,25 @@
     /// Forgets customers without waiting requests that have used no more than their share.
     fn forget_idle(&mut self) {
         let virtual_time = self.virtual_time;
-        self.lines
-            .retain(|_, line| !line.tickets.is_empty() || line.start > virtual_time);
+        self.queues
+            .retain(|_, queue| !queue.tickets.is_empty() || queue.start > virtual_time);
     }
 }
 
-impl Line {
+impl CustomerQueue {
     fn add(&mut self, ticket: Ticket) {
-        self.share = f64::from(ticket.weight.max(1));
+        self.weight = f64::from(ticket.weight.max(1));
         self.work += ticket.tokens;
-        self.order.insert((ticket.latest_start, ticket.id));
-        self.sheds.insert((ticket.shed_order, ticket.latest_start, ticket.id));
+        self.by_deadline.insert((ticket.latest_start, ticket.id));
+        self.drop_order
+            .insert((ticket.shed_order, ticket.latest_start, ticket.id));
         self.tickets.insert(ticket.id, ticket);
     }
 
     fn take(&mut self, id: u64) -> Option<Ticket> {
         let ticket = self.tickets.remove(&id)?;
-        self.order.remove(&(ticket.latest_start, id));
-        self.sheds.remove(&(ticket.shed_order, ticket.latest_start, id));
+        self.by_deadline.remove(&(ticket.latest_start, id));
+        self.drop_order.remove(&(ticket.shed_order, ticket.latest_start, id));
         // The sum is reset whenever it can be: rounding errors would add up otherwise.
         self.work = if self.tickets.is_empty() {
             0.0
@@ -220,8 +221,8 @@
     }
 
     /// Returns the customer's own work, in tokens, that would be served before the request.
-    fn before(&self, ticket: &Ticket) -> f64 {
-        let earlier = self.order.range(..(ticket.latest_start, ticket.id));
+    fn work_before(&self, ticket: &Ticket) -> f64 {
+        let earlier = self.by_deadline.range(..(ticket.latest_start, ticket.id));
         earlier
             .filter_map(|(_, id)| self.tickets.get(id))
             .map(|other| other.tokens)
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -8,13 +8,13 @@
 use crate::fair::{FairQueue, RefusalReason, Ticket};
 
 /// Weight of the newest finished request in the moving averages.
-const WEIGHT: f64 = 0.05;
+const SAMPLE_WEIGHT: f64 = 0.05;
 /// Finished requests before the averages are used.
-const FIRST: u32 = 10;
+const MIN_FINISHED: u32 = 10;
 /// Shortest and longest time after which a refused caller is told to retry.
-const RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_mins(1));
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(100), Duration::from_mins(1));
 /// Time after which a caller is told to retry while no upstream is available.
-pub const NOTHING_UP: Duration = Duration::from_secs(5);
+pub const NO_CAPACITY_RETRY: Duration = Duration::from_secs(5);
 
 /// A request that was not admitted and not run.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
@@ -32,29 +32,29 @@
     queue: FairQueue,
     capacity: usize,
     running: usize,
-    rate: ServiceRate,
+    averages: HoldAverages,
     /// Time until which the slots are promised to callers that were told to retry.
     promised: Tick,
     /// Expected time from the start of a request to its first token.
-    first: Duration,
+    first_token: Duration,
     /// Whether the whole answer is due by the start deadline, as for plain services, and not just its beginning.
     whole: bool,
 }
 
 /// Moving averages of the slot time and the tokens of finished requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServiceRate {
+pub struct HoldAverages {
     finished: u32,
     hold_s: f64,
     tokens: f64,
 }
 
-impl ServiceRate {
+impl HoldAverages {
     /// Adds a finished request that kept its slot for `held`.
     pub fn finished(&mut self, tokens: f64, held: Duration) {
         self.finished = self.finished.saturating_add(1);
         // The first requests have equal weight, so that an outlier among them is soon outweighed.
-        let weight = WEIGHT.max(1.0 / f64::from(self.finished));
+        let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.finished));
         self.hold_s += weight * (held.as_secs_f64() - self.hold_s);
         self.tokens += weight * (tokens - self.tokens);
     }
@@ -62,13 +62,13 @@
     /// Returns the mean time that a request keeps its slot, in seconds; `None` until enough requests have finished.
     #[must_use]
     pub fn mean_hold(&self) -> Option<f64> {
-        (self.finished >= FIRST).then_some(self.hold_s)
+        (self.finished >= MIN_FINISHED).then_some(self.hold_s)
     }
 
     /// Returns the mean slot time of one token, in seconds; `None` until enough requests have finished.
     #[must_use]
     pub fn per_token(&self) -> Option<f64> {
-        (self.finished >= FIRST).then(|| self.hold_s / self.tokens.max(1e-9))
+        (self.finished >= MIN_FINISHED).then(|| self.hold_s / self.tokens.max(1e-9))
     }
 }
 
@@ -81,9 +81,9 @@
             queue: FairQueue::new(waiting),
             capacity,
             running: 0,
-            rate: ServiceRate::default(),
+            averages: HoldAverages::default(),
             promised: Tick::default(),
-            first: Duration::ZERO,
+            first_token: Duration::ZERO,
             whole,
         }
     }
@@ -94,8 +94,8 @@
     }
 
     /// Changes the expected time from the start of a request to its first token.
-    pub const fn set_first_token(&mut self, first: Duration) {
-        self.first = first;
+    pub const fn set_first_token(&mut self, first_token: Duration) {
+        self.first_token = first_token;
     }
 
     /// Changes the number of requests that may wait; those that wait already stay.
@@ -123,15 +123,15 @@
 
     /// Returns the averages over finished requests.
     #[must_use]
-    pub const fn rate(&self) -> &ServiceRate {
-        &self.rate
+    pub const fn rate(&self) -> &HoldAverages {
+        &self.averages
     }
 
     /// Predicts how long a request would wait if it arrived now, at most an hour; zero until enough requests have
     /// finished.
     #[must_use]
     pub fn wait(&self, ticket: &Ticket) -> Duration {
-        let (Some(hold), Some(per_token)) = (self.rate.mean_hold(), self.rate.per_token()) else {
+        let (Some(hold), Some(per_token)) = (self.averages.mean_hold(), self.averages.per_token()) else {
             return Duration::ZERO;
         };
         if self.running < self.capacity && self.queue.is_empty() {
@@ -152,24 +152,29 @@
         if self.capacity == 0 {
             return Err(Rejection {
                 why: RefusalReason::TooLate,
-                retry_after: NOTHING_UP,
+                retry_after: NO_CAPACITY_RETRY,
             });
         }
         let mut ticket = ticket;
         // The deadline must leave time for the first token. At most half of the remaining time is reserved for that:
         // otherwise a slow period would block all requests, and no faster one could be measured.
-        ticket.latest_start = ticket.latest_start - self.first.min(ticket.latest_start.since(now) / 2);
+        ticket.latest_start = ticket.latest_start - self.first_token.min(ticket.latest_start.since(now) / 2);
         let wait = self.wait(&ticket);
         let run = if self.whole {
-            self.rate.mean_hold().unwrap_or_default()
+            self.averages.mean_hold().unwrap_or_default()
         } else {
             0.0
         };
-        let ends = wait + Duration::from_secs_f64(run);
+        let duration = wait + Duration::from_secs_f64(run);
         let left = ticket.latest_start.since(now);
         let waits = wait > Duration::ZERO;
-        if ticket.latest_start < now || (waits && ends > left) {
-            return Err(self.reject(RefusalReason::TooLate, ticket.tokens, ends.saturating_sub(left), now));
+        if ticket.latest_start < now || (waits && duration > left) {
+            return Err(self.reject(
+                RefusalReason::TooLate,
+                ticket.tokens,
+                duration.saturating_sub(left),
+                now,
+            ));
         }
         let tokens = ticket.tokens;
         let pushed = self.queue.push(ticket, now);
@@ -194,7 +199,7 @@
     /// Records the end of a request that was admitted.
     pub fn finished(&mut self, tokens: f64, held: Duration) {
         self.running = self.running.saturating_sub(1);
-        self.rate.finished(tokens, held);
+        self.averages.finished(tokens, held);
     }
 
     /// Builds the rejection of a request that would be on time if it arrived later by `late`.
@@ -202,19 +207,22 @@
     /// Callers told the same time would all return at once, and most of them would be refused again. So each rejection
     /// names a time after the previous one, by the time that the previous caller's work will occupy the slots.
     pub fn reject(&mut self, why: RefusalReason, tokens: f64, late: Duration, now: Tick) -> Rejection {
-        let work = tokens * self.rate.per_token().unwrap_or_default() / self.capacity.max(1) as f64;
-        let at = self.promised.max(now + late.max(self.next_slot())).min(now + RETRY.1);
-        self.promised = at + Duration::from_secs_f64(work.min(RETRY.1.as_secs_f64()));
+        let work = tokens * self.averages.per_token().unwrap_or_default() / self.capacity.max(1) as f64;
+        let retry_at = self
+            .promised
+            .max(now + late.max(self.next_slot()))
+            .min(now + RETRY_AFTER.1);
+        self.promised = retry_at + Duration::from_secs_f64(work.min(RETRY_AFTER.1.as_secs_f64()));
         Rejection {
             why,
-            retry_after: at.since(now).clamp(RETRY.0, RETRY.1),
+            retry_after: retry_at.since(now).clamp(RETRY_AFTER.0, RETRY_AFTER.1),
         }
     }
 
     /// Returns the mean time until one of the running requests ends.
     #[must_use]
     pub fn next_slot(&self) -> Duration {
-        let hold = self.rate.mean_hold().unwrap_or_default();
+        let hold = self.averages.mean_hold().unwrap_or_default();
         Duration::from_secs_f64(hold / self.running.max(1) as f64)
     }
 }
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/life.rs
@@ -97,7 +97,7 @@
 impl HostState<Serving> {
     /// Moves to suspected, because the host refused a connection.
     #[must_use]
-    pub const fn doubt(self) -> HostState<Suspected> {
+    pub const fn suspect(self) -> HostState<Suspected> {
         HostState {
             incarnation: self.incarnation,
             stage: Suspected,
@@ -108,7 +108,7 @@
 impl HostState<Suspected> {
     /// Moves back to serving, because the host answers again.
     #[must_use]
-    pub const fn trust(self) -> HostState<Serving> {
+    pub const fn recover(self) -> HostState<Serving> {
         HostState {
             incarnation: self.incarnation,
             stage: Serving,
@@ -119,7 +119,7 @@
 impl HostState<Leaving> {
     /// Applies another notice; the earliest known end counts.
     #[must_use]
-    pub fn hurry(mut self, now: Tick, left: Option<Duration>) -> Self {
+    pub fn shorten(mut self, now: Tick, left: Option<Duration>) -> Self {
         let announced = left.map(|left| now + left);
         self.stage.gone_at = match (self.stage.gone_at, announced) {
             (Some(known), Some(new)) => Some(known.min(new)),
@@ -155,11 +155,11 @@
     #[must_use]
     pub const fn incarnation(&self) -> u64 {
         match self {
-            Self::Starting(life) => life.incarnation,
-            Self::Serving(life) => life.incarnation,
-            Self::Suspected(life) => life.incarnation,
-            Self::Leaving(life) => life.incarnation,
-            Self::Gone(life) => life.incarnation,
+            Self::Starting(state) => state.incarnation,
+            Self::Serving(state) => state.incarnation,
+            Self::Suspected(state) => state.incarnation,
+            Self::Leaving(state) => state.incarnation,
+            Self::Gone(state) => state.incarnation,
         }
     }
 
@@ -169,20 +169,20 @@
     /// Otherwise an outdated list that still shows the host as serving would undo its reclaim notice, and requests
     /// would be sent to a host that is about to end.
     #[must_use]
-    pub fn after(self, sign: HostEvent, now: Tick) -> Self {
-        match (self, sign) {
-            (Self::Starting(life), HostEvent::Answered) => life.serve().into(),
-            (Self::Suspected(life), HostEvent::Answered) => life.trust().into(),
-            (Self::Serving(life), HostEvent::Refused) => life.doubt().into(),
+    pub fn after(self, event: HostEvent, now: Tick) -> Self {
+        match (self, event) {
+            (Self::Starting(state), HostEvent::Answered) => state.serve().into(),
+            (Self::Suspected(state), HostEvent::Answered) => state.recover().into(),
+            (Self::Serving(state), HostEvent::Refused) => state.suspect().into(),
             (Self::Gone(_), _) | (_, HostEvent::Answered | HostEvent::Refused) => self,
-            (Self::Leaving(life), HostEvent::Leaves { left }) => life.hurry(now, left).into(),
-            (Self::Leaving(life), HostEvent::Gone) => life.end().into(),
-            (before, HostEvent::Leaves { left }) => before.served().leave(now, left).into(),
-            (before, HostEvent::Gone) => before.served().leave(now, None).end().into(),
+            (Self::Leaving(state), HostEvent::Leaves { left }) => state.shorten(now, left).into(),
+            (Self::Leaving(state), HostEvent::Gone) => state.end().into(),
+            (before, HostEvent::Leaves { left }) => before.as_serving().leave(now, left).into(),
+            (before, HostEvent::Gone) => before.as_serving().leave(now, None).end().into(),
         }
     }
 
-    const fn served(self) -> HostState<Serving> {
+    const fn as_serving(self) -> HostState<Serving> {
         HostState {
             incarnation: self.incarnation(),
             stage: Serving,
@@ -216,14 +216,20 @@
     /// Applies an event and returns the new state if it changed.
     ///
     /// An event of an earlier incarnation is outdated and ignored.
-    pub fn apply_event(&mut self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
+    pub fn apply_event(
+        &mut self,
+        host: &HostId,
+        incarnation: u64,
+        event: HostEvent,
+        now: Tick,
+    ) -> Option<AnyHostState> {
         let known = self.hosts.get(host).copied();
         let before = match known {
-            Some(life) if life.incarnation() > incarnation => return None,
-            Some(life) if life.incarnation() == incarnation => life,
+            Some(state) if state.incarnation() > incarnation => return None,
+            Some(state) if state.incarnation() == incarnation => state,
             _ => HostState::new(incarnation).serve().into(),
         };
-        let after = before.after(sign, now);
+        let after = before.after(event, now);
         // Hosts that simply serve get no entry, which keeps the table small.
         if known.is_some() || after != before {
             self.hosts.insert(host.clone(), after);
@@ -235,9 +241,9 @@
     #[must_use]
     pub fn stage(&self, host: &HostId, incarnation: u64) -> AnyHostState {
         match self.hosts.get(host) {
-            Some(life) if life.incarnation() == incarnation => *life,
+            Some(state) if state.incarnation() == incarnation => *state,
             // A newer incarnation is known, so this one is gone.
-            Some(life) if life.incarnation() > incarnation => HostState::new(incarnation)
+            Some(state) if state.incarnation() > incarnation => HostState::new(incarnation)
                 .serve()
                 .leave(Tick::default(), None)
                 .end()
@@ -260,6 +266,6 @@
     /// Drops the hosts for which `keep` returns false; without this the table would grow with every host that ever
     /// existed.
     pub fn retain(&mut self, keep: impl Fn(&HostId, &AnyHostState) -> bool) {
-        self.hosts.retain(|host, life| keep(host, life));
+        self.hosts.retain(|host, state| keep(host, state));
     }
 }
--- a/crates/policy/src/limits/loans.rs
+++ b/crates/policy/src/limits/loans.rs
@@ -15,20 +15,20 @@
 /// until every loan that its predecessor may have granted has ended.
 pub const RESERVE: f64 = 0.1;
 /// What a host keeps of its own part before it lends, relative to its current demand.
-const KEPT: f64 = 1.05;
+const KEEP_FACTOR: f64 = 1.05;
 /// What a host asks for, relative to its current demand.
-const WANTED: f64 = 1.25;
+const WANT_FACTOR: f64 = 1.25;
 
 /// A host's part of one resource of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct OwnedPart {
     /// What the host owns, in units of the resource.
     pub owned: f64,
     /// What it never lends, in units of the resource.
     pub reserve: f64,
 }
 
-impl Part {
+impl OwnedPart {
     /// Creates the part of a rate, which can be divided at will.
     #[must_use]
     pub const fn rate(owned: f64) -> Self {
@@ -47,30 +47,30 @@
 
     /// Returns what a host with this demand keeps.
     fn kept(self, wanted: f64) -> f64 {
-        (wanted * KEPT).clamp(self.reserve, self.owned)
+        (wanted * KEEP_FACTOR).clamp(self.reserve, self.owned)
     }
 
     /// Returns what a host with this demand can lend.
-    fn spare(self, wanted: f64) -> f64 {
+    fn surplus(self, wanted: f64) -> f64 {
         self.owned - self.kept(wanted)
     }
 
     /// Returns what a host with this demand needs beyond its own part.
-    fn lack(self, wanted: f64) -> f64 {
-        (wanted * WANTED - self.owned).max(0.0)
+    fn shortfall(self, wanted: f64) -> f64 {
+        (wanted * WANT_FACTOR - self.owned).max(0.0)
     }
 }
 
 /// What one host has lent and borrowed of one resource.
 #[derive(Clone, Debug)]
 pub struct Loans {
-    settled: Tick,
-    lent: BTreeMap<u32, VecDeque<Grant>>,
-    borrowed: BTreeMap<u32, Grant>,
+    settled_at: Tick,
+    lent: BTreeMap<u32, VecDeque<Loan>>,
+    borrowed: BTreeMap<u32, Loan>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Grant {
+struct Loan {
     until: Tick,
     amount: f64,
 }
@@ -81,14 +81,17 @@
 /// lack. Each lender gives the share with which all lenders together just meet the lack. When the views of the hosts
 /// differ, more or less than needed is lent, but never more than the lender has.
 #[must_use]
-pub fn plan(part: Part, own: f64, peers: &[f64]) -> Vec<f64> {
-    let spares: f64 = part.spare(own) + peers.iter().map(|wanted| part.spare(*wanted)).sum::<f64>();
-    let lacks: f64 = part.lack(own) + peers.iter().map(|wanted| part.lack(*wanted)).sum::<f64>();
-    if spares <= 0.0 || lacks <= 0.0 {
+pub fn plan(part: OwnedPart, own: f64, peers: &[f64]) -> Vec<f64> {
+    let surpluses: f64 = part.surplus(own) + peers.iter().map(|wanted| part.surplus(*wanted)).sum::<f64>();
+    let shortfalls: f64 = part.shortfall(own) + peers.iter().map(|wanted| part.shortfall(*wanted)).sum::<f64>();
+    if surpluses <= 0.0 || shortfalls <= 0.0 {
         return vec![0.0; peers.len()];
     }
-    let given = part.spare(own) * (lacks / spares).min(1.0);
-    peers.iter().map(|wanted| given * part.lack(*wanted) / lacks).collect()
+    let given = part.surplus(own) * (shortfalls / surpluses).min(1.0);
+    peers
+        .iter()
+        .map(|wanted| given * part.shortfall(*wanted) / shortfalls)
+        .collect()
 }
 
 impl Loans {
@@ -100,32 +103,32 @@
     pub fn new(alone: bool, now: Tick) -> Self {
         let wait = if alone { Duration::ZERO } else { LEASE + DRIFT };
         Self {
-            settled: now + wait,
+            settled_at: now + wait,
             lent: BTreeMap::new(),
             borrowed: BTreeMap::new(),
         }
     }
 
-    /// Grants a loan to a peer and returns its amount, which may be less than `wish`.
+    /// Grants a loan to a peer and returns its amount, which may be less than `wanted`.
     ///
     /// Running loans to others stay in force until their leases end; only what is neither kept nor lent can be granted.
-    pub fn grant(&mut self, peer: u32, wish: f64, part: Part, own: f64, now: Tick) -> f64 {
+    pub fn grant(&mut self, peer: u32, wanted: f64, part: OwnedPart, own: f64, now: Tick) -> f64 {
         if !self.is_settled(now) {
             return 0.0;
         }
         self.expire(now);
-        let total: f64 = self.lent.values().map(most).sum();
-        let before = self.lent.get(&peer).map_or(0.0, most);
-        let room = (part.spare(own) - total).max(0.0);
-        let amount = wish.min(before + room).max(0.0);
+        let total: f64 = self.lent.values().map(largest).sum();
+        let before = self.lent.get(&peer).map_or(0.0, largest);
+        let room = (part.surplus(own) - total).max(0.0);
+        let amount = wanted.min(before + room).max(0.0);
         if amount > 0.0 {
             let until = now + LEASE + DRIFT;
-            let grants = self.lent.entry(peer).or_default();
+            let loans = self.lent.entry(peer).or_default();
             // Of the running loans to a peer, only the largest counts.
-            while grants.back().is_some_and(|grant| grant.amount <= amount) {
-                grants.pop_back();
+            while loans.back().is_some_and(|loan| loan.amount <= amount) {
+                loans.pop_back();
             }
-            grants.push_back(Grant { until, amount });
+            loans.push_back(Loan { until, amount });
         }
         amount
     }
@@ -133,55 +136,55 @@
     /// Returns what a peer may be using of its loans.
     #[must_use]
     pub fn lent_to(&self, peer: u32, now: Tick) -> f64 {
-        let running = |grants: &VecDeque<Grant>| {
-            grants
+        let running = |loans: &VecDeque<Loan>| {
+            loans
                 .iter()
-                .filter(|grant| grant.until > now)
-                .map(|grant| grant.amount)
+                .filter(|loan| loan.until > now)
+                .map(|loan| loan.amount)
                 .fold(0.0, f64::max)
         };
         self.lent.get(&peer).map_or(0.0, running)
     }
 
-    /// Records a loan from a peer in answer to a demand sent at `asked`.
+    /// Records a loan from a peer in answer to a demand sent at `sent_at`.
     ///
-    /// The lease is counted from `asked` and not from the arrival. The lender cannot have granted the loan earlier, so
-    /// it ends here before it ends there, however long the answer took.
-    pub fn borrow(&mut self, peer: u32, amount: f64, asked: Tick) {
-        let until = asked + LEASE;
-        self.borrowed.insert(peer, Grant { until, amount });
+    /// The lease is counted from `sent_at` and not from the arrival. The lender cannot have granted the loan earlier,
+    /// so it ends here before it ends there, however long the answer took.
+    pub fn borrow(&mut self, peer: u32, amount: f64, sent_at: Tick) {
+        let until = sent_at + LEASE;
+        self.borrowed.insert(peer, Loan { until, amount });
     }
 
     /// Returns what may be used now: the own part without loans to others, and what is borrowed.
     #[must_use]
-    pub fn usable(&self, part: Part, now: Tick) -> f64 {
+    pub fn usable(&self, part: OwnedPart, now: Tick) -> f64 {
         let lent = if self.is_settled(now) {
             self.lent.keys().map(|peer| self.lent_to(*peer, now)).sum()
         } else {
             part.owned - part.reserve
         };
-        let borrowed = self.borrowed.values().filter(|grant| grant.until > now);
-        let borrowed: f64 = borrowed.map(|grant| grant.amount).sum();
+        let borrowed = self.borrowed.values().filter(|loan| loan.until > now);
+        let borrowed: f64 = borrowed.map(|loan| loan.amount).sum();
         (part.owned - lent).max(0.0) + borrowed
     }
 
     /// Returns whether all loans of earlier processes of this host have ended.
     fn is_settled(&self, now: Tick) -> bool {
-        now >= self.settled
+        now >= self.settled_at
     }
 
     fn expire(&mut self, now: Tick) {
-        self.lent.retain(|_, grants| {
-            while grants.front().is_some_and(|grant| grant.until <= now) {
-                grants.pop_front();
+        self.lent.retain(|_, loans| {
+            while loans.front().is_some_and(|loan| loan.until <= now) {
+                loans.pop_front();
             }
-            !grants.is_empty()
+            !loans.is_empty()
         });
-        self.borrowed.retain(|_, grant| grant.until > now);
+        self.borrowed.retain(|_, loan| loan.until > now);
     }
 }
 
-fn most(grants: &VecDeque<Grant>) -> f64 {
+fn largest(loans: &VecDeque<Loan>) -> f64 {
     // The amounts are in descending order.
-    grants.front().map_or(0.0, |grant| grant.amount)
+    loans.front().map_or(0.0, |loan| loan.amount)
 }
--- a/crates/policy/src/limits/mod.rs
+++ b/crates/policy/src/limits/mod.rs
@@ -10,6 +10,6 @@
 mod share;
 
 pub use bucket::{BURST, Bucket};
-pub use loans::{DRIFT, LEASE, Loans, Part, RESERVE, plan};
+pub use loans::{DRIFT, LEASE, Loans, OwnedPart, RESERVE, plan};
 pub use meter::DemandMeter;
 pub use share::{CustomerShare, LimitAmounts, PeerDemand, owned_part};
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -4,7 +4,7 @@
 
 use contract::Limits;
 
-use super::loans::{LEASE, Loans, Part, plan};
+use super::loans::{LEASE, Loans, OwnedPart, plan};
 use crate::Tick;
 
 /// Amounts of the three resources that a customer's limits bound.
@@ -78,14 +78,14 @@
     }
 
     /// Records the state that a peer reported.
-    pub fn record_demand(&mut self, peer: u32, told: PeerDemand, now: Tick) {
-        self.peers.insert(peer, (now, told));
+    pub fn record_demand(&mut self, peer: u32, reported: PeerDemand, now: Tick) {
+        self.peers.insert(peer, (now, reported));
     }
 
-    /// Records the loans of a peer in answer to a demand sent at `asked`.
-    pub fn borrow(&mut self, peer: u32, lent: LimitAmounts, asked: Tick) {
+    /// Records the loans of a peer in answer to a demand sent at `sent_at`.
+    pub fn borrow(&mut self, peer: u32, lent: LimitAmounts, sent_at: Tick) {
         for (loans, amount) in self.loans.iter_mut().zip(lent.to_array()) {
-            loans.borrow(peer, amount, asked);
+            loans.borrow(peer, amount, sent_at);
         }
     }
 
@@ -95,25 +95,25 @@
     /// could not use a loan.
     pub fn grant(&mut self, peer: u32, part: LimitAmounts, own: LimitAmounts, now: Tick) -> LimitAmounts {
         self.peers.retain(|_, (at, _)| now.since(*at) < LEASE);
-        let Some(place) = self.peers.keys().position(|other| *other == peer) else {
+        let Some(position) = self.peers.keys().position(|other| *other == peer) else {
             return LimitAmounts::default();
         };
-        let told = self.peers[&peer].1;
-        let granted = std::array::from_fn(|measure| {
+        let reported = self.peers[&peer].1;
+        let granted = std::array::from_fn(|resource| {
             let wanted: Vec<f64> = self
                 .peers
                 .values()
-                .map(|(_, peer)| peer.wanted.to_array()[measure])
+                .map(|(_, peer)| peer.wanted.to_array()[resource])
                 .collect();
-            let (part, own) = (parts_of(part)[measure], own.to_array()[measure]);
-            let mut wish = plan(part, own, &wanted)[place];
-            if measure == RUNNING {
+            let (part, own) = (resource_parts(part)[resource], own.to_array()[resource]);
+            let mut loan = plan(part, own, &wanted)[position];
+            if resource == CONCURRENT {
                 // Slots in use stay taken until the requests end. Lending them to others, or using them here, would run
                 // more requests than the limit allows.
-                let in_use = (told.running - part.owned).max(0.0);
-                wish = wish.max(in_use.min(self.loans[measure].lent_to(peer, now))).round();
+                let in_use = (reported.running - part.owned).max(0.0);
+                loan = loan.max(in_use.min(self.loans[resource].lent_to(peer, now))).round();
             }
-            self.loans[measure].grant(peer, wish, part, own, now)
+            self.loans[resource].grant(peer, loan, part, own, now)
         });
         let mut granted = LimitAmounts::from(granted);
         granted.running = granted.running.floor();
@@ -123,16 +123,20 @@
     /// Returns what may be used now.
     #[must_use]
     pub fn usable(&self, part: LimitAmounts, now: Tick) -> LimitAmounts {
-        let parts = parts_of(part);
-        let usable = std::array::from_fn(|measure| self.loans[measure].usable(parts[measure], now));
+        let parts = resource_parts(part);
+        let usable = std::array::from_fn(|resource| self.loans[resource].usable(parts[resource], now));
         LimitAmounts::from(usable)
     }
 }
 
 /// Index of the concurrent requests among the resources.
-const RUNNING: usize = 2;
+const CONCURRENT: usize = 2;
 
-fn parts_of(amounts: LimitAmounts) -> [Part; 3] {
+fn resource_parts(amounts: LimitAmounts) -> [OwnedPart; 3] {
     let [requests, tokens, running] = amounts.to_array();
-    [Part::rate(requests), Part::rate(tokens), Part::count(running)]
+    [
+        OwnedPart::rate(requests),
+        OwnedPart::rate(tokens),
+        OwnedPart::count(running),
+    ]
 }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -5,8 +5,8 @@
 
 use crate::Tick;
 
-/// Most recorded dispatches and completions; with more in flight, the oldest no longer correct a report.
-const MAX_MOVES: usize = 512;
+/// Most recorded dispatches and completions; with more since a report, the oldest no longer correct it.
+const MAX_CHANGES: usize = 512;
 
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -26,7 +26,7 @@
 pub struct LoadEstimate {
     report: Option<LoadReport>,
     running: u32,
-    moves: VecDeque<(Tick, i8)>,
+    changes: VecDeque<(Tick, i8)>,
 }
 
 /// A predicted load with the data behind it.
@@ -44,13 +44,13 @@
     /// Records a request sent to the upstream.
     pub fn sent(&mut self, now: Tick) {
         self.running += 1;
-        self.note(now, 1);
+        self.record_change(now, 1);
     }
 
     /// Records the end of a request.
     pub fn ended(&mut self, now: Tick) {
         self.running = self.running.saturating_sub(1);
-        self.note(now, -1);
+        self.record_change(now, -1);
     }
 
     /// Applies a report unless a newer one is known; returns whether it was applied.
@@ -58,7 +58,7 @@
         let newer = self.report.is_none_or(|before| before.measured_at < report.measured_at);
         if newer {
             self.report = Some(report);
-            self.moves.retain(|(at, _)| *at > report.measured_at);
+            self.changes.retain(|(at, _)| *at > report.measured_at);
         }
         newer
     }
@@ -79,11 +79,11 @@
         let age = self.report.map(|report| now.since(report.measured_at));
         let valid = self.report.filter(|report| now.since(report.measured_at) < expiry);
         let reported = valid.map(|report| {
-            let since = self
-                .moves
+            let later = self
+                .changes
                 .iter()
                 .filter(|(at, _)| corrected && *at > report.measured_at);
-            let change: f64 = since.map(|(_, by)| f64::from(*by)).sum();
+            let change: f64 = later.map(|(_, delta)| f64::from(*delta)).sum();
             let own = if corrected { f64::from(self.running) } else { 0.0 };
             (f64::from(report.running + report.waiting) + change).max(own)
         });
@@ -94,10 +94,10 @@
         }
     }
 
-    fn note(&mut self, now: Tick, by: i8) {
-        if self.moves.len() >= MAX_MOVES {
-            self.moves.pop_front();
+    fn record_change(&mut self, now: Tick, delta: i8) {
+        if self.changes.len() >= MAX_CHANGES {
+            self.changes.pop_front();
         }
-        self.moves.push_back((now, by));
+        self.changes.push_back((now, delta));
     }
 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -6,34 +6,34 @@
 
 /// Slot time of a request before any has ended, in milliseconds. It is that of a plain call, and short for a stream, so
 /// that an unknown service does not look full.
-const START_RUN_MS: f64 = 100.0;
+const INITIAL_RUN_MS: f64 = 100.0;
 /// Weight of the newest slot time in the moving average, which spans about thirty answers.
-const RUN_SHARE: f64 = 0.03;
+const RUN_WEIGHT: f64 = 0.03;
 /// Initial rates, those of a slow engine. Too low a speed costs a few extra engines for some seconds; too high a speed
 /// makes all answers late.
-const START: EngineRates = EngineRates {
+const INITIAL_RATES: EngineRates = EngineRates {
     base_ms: 15.0,
     token_ms: 0.025,
     attention_ms: 0.3,
-    run_ms: START_RUN_MS,
+    run_ms: INITIAL_RUN_MS,
 };
 /// Bounds of each rate as factors on the initial one; no working engine lies beyond them.
-const RANGE: (f64, f64) = (1.0 / 64.0, 64.0);
+const RATE_RANGE: (f64, f64) = (1.0 / 64.0, 64.0);
 /// Quantile of the times to first event that the estimate follows. Requests queued behind prompts of other entry hosts
 /// are late by any amount, and in a busy hour they are more than half. The fastest tenth shows the engine's own time,
 /// though some of these only found more of their prompt cached than expected.
 const QUANTILE: f64 = 0.2;
 /// Smallest and largest step of one answer. The largest corrects a wrong start within seconds; the smallest averages
 /// over about thirty answers.
-const STEP: (f64, f64) = (0.015, 0.3);
+const STEP_RANGE: (f64, f64) = (0.015, 0.3);
 /// Factors on the step after an error in the same direction as the one before, and after one in the other direction.
-const QUICKER: f64 = 1.5;
-const SLOWER: f64 = 0.6;
+const STEP_GROWTH: f64 = 1.5;
+const STEP_SHRINK: f64 = 0.6;
 /// Share by which an upstream's relative speed returns to 1 with each answer; otherwise it and the service's rates
 /// could drift apart in opposite directions.
-const RETURN: f64 = 0.02;
+const RETURN_SHARE: f64 = 0.02;
 /// Bounds of an upstream's time as a factor on that of its service.
-const OWN_RANGE: (f64, f64) = (0.25, 16.0);
+const FACTOR_RANGE: (f64, f64) = (0.25, 16.0);
 
 /// Prefill work of a prompt at an engine that has cached its beginning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -68,15 +68,15 @@
 
 impl Default for EngineRates {
     fn default() -> Self {
-        START
+        INITIAL_RATES
     }
 }
 
 impl EngineRates {
     /// Returns the predicted time of the prefill, in milliseconds.
     #[must_use]
-    pub fn prefill_ms(&self, reading: PrefillWork) -> f64 {
-        reading.fresh as f64 * self.token_ms + reading.pairs() * self.attention_ms
+    pub fn prefill_ms(&self, prefill: PrefillWork) -> f64 {
+        prefill.fresh as f64 * self.token_ms + prefill.pairs() * self.attention_ms
     }
 
     /// Returns the rates of an engine that takes `factor` times as long.
@@ -95,14 +95,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Step {
     size: f64,
-    rising: Option<bool>,
+    last_longer: Option<bool>,
 }
 
 impl Default for Step {
     fn default() -> Self {
         Self {
-            size: STEP.1 / 2.0,
-            rising: None,
+            size: STEP_RANGE.1 / 2.0,
+            last_longer: None,
         }
     }
 }
@@ -113,9 +113,13 @@
     /// Only the direction of the error counts, not its size: an answer that took a hundred times as long changes the
     /// estimate no more than one that took slightly longer.
     fn take(&mut self, longer: bool) -> f64 {
-        if let Some(rising) = self.rising.replace(longer) {
-            let factor = if rising == longer { QUICKER } else { SLOWER };
-            self.size = (self.size * factor).clamp(STEP.0, STEP.1);
+        if let Some(last_longer) = self.last_longer.replace(longer) {
+            let factor = if last_longer == longer {
+                STEP_GROWTH
+            } else {
+                STEP_SHRINK
+            };
+            self.size = (self.size * factor).clamp(STEP_RANGE.0, STEP_RANGE.1);
         }
         let weight = if longer { QUANTILE } else { QUANTILE - 1.0 };
         2.0 * weight * self.size
@@ -136,32 +140,32 @@
         self.rates
     }
 
-    /// Updates the rates with the time to first event of a request that was not queued, at an engine with the relative
-    /// time `own`.
-    pub fn learn(&mut self, reading: PrefillWork, seen_ms: f64, own: f64) {
+    /// Updates the rates with the time to first event of a request that was not queued, at an engine that takes
+    /// `relative_time` times as long as the service average.
+    pub fn learn(&mut self, prefill: PrefillWork, elapsed_ms: f64, relative_time: f64) {
         let parts = [
             self.rates.base_ms,
-            reading.fresh as f64 * self.rates.token_ms,
-            reading.pairs() * self.rates.attention_ms,
+            prefill.fresh as f64 * self.rates.token_ms,
+            prefill.pairs() * self.rates.attention_ms,
         ];
         let expected: f64 = parts.iter().sum();
-        let by = self.step.take(seen_ms > expected * own);
+        let change = self.step.take(elapsed_ms > expected * relative_time);
         // Each rate is changed in proportion to its part of the expected time.
-        let moved = |rate: f64, part: f64, start: f64| {
-            let next = rate * (by * part / expected).exp();
-            next.clamp(start * RANGE.0, start * RANGE.1)
+        let adjusted = |rate: f64, part: f64, initial: f64| {
+            let next = rate * (change * part / expected).exp();
+            next.clamp(initial * RATE_RANGE.0, initial * RATE_RANGE.1)
         };
         self.rates = EngineRates {
-            base_ms: moved(self.rates.base_ms, parts[0], START.base_ms),
-            token_ms: moved(self.rates.token_ms, parts[1], START.token_ms),
-            attention_ms: moved(self.rates.attention_ms, parts[2], START.attention_ms),
+            base_ms: adjusted(self.rates.base_ms, parts[0], INITIAL_RATES.base_ms),
+            token_ms: adjusted(self.rates.token_ms, parts[1], INITIAL_RATES.token_ms),
+            attention_ms: adjusted(self.rates.attention_ms, parts[2], INITIAL_RATES.attention_ms),
             ..self.rates
         };
     }
 
     /// Updates the slot time with that of a request that ended after `ms` milliseconds.
     pub fn learn_run(&mut self, ms: f64) {
-        let run_ms = self.rates.run_ms + RUN_SHARE * (ms - self.rates.run_ms);
+        let run_ms = self.rates.run_ms + RUN_WEIGHT * (ms - self.rates.run_ms);
         self.rates.run_ms = run_ms.max(f64::MIN_POSITIVE);
     }
 }
@@ -178,8 +182,8 @@
         Self {
             factor: 1.0,
             step: Step {
-                size: STEP.0,
-                rising: None,
+                size: STEP_RANGE.0,
+                last_longer: None,
             },
         }
     }
@@ -192,10 +196,11 @@
         self.factor
     }
 
-    /// Updates the factor with an answer that began after `seen_ms`, where the service's rates predict `kin_ms`.
-    pub fn learn(&mut self, seen_ms: f64, kin_ms: f64) {
-        let by = self.step.take(seen_ms > kin_ms * self.factor);
-        let factor = self.factor.powf(1.0 - RETURN) * by.exp();
-        self.factor = factor.clamp(OWN_RANGE.0, OWN_RANGE.1);
+    /// Updates the factor with an answer that began after `elapsed_ms`, where the service's rates predict
+    /// `expected_ms`.
+    pub fn learn(&mut self, elapsed_ms: f64, expected_ms: f64) {
+        let change = self.step.take(elapsed_ms > expected_ms * self.factor);
+        let factor = self.factor.powf(1.0 - RETURN_SHARE) * change.exp();
+        self.factor = factor.clamp(FACTOR_RANGE.0, FACTOR_RANGE.1);
     }
 }
--- a/crates/policy/src/paging.rs
+++ b/crates/policy/src/paging.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 /// Bytes of the first page.
-const FIRST: u32 = 32 * 1024;
+const INITIAL_BYTES: u32 = 32 * 1024;
 /// Fewest bytes of a page.
-const LEAST: u32 = 1024;
+const MIN_BYTES: u32 = 1024;
 /// Most bytes of a page.
-const MOST: u32 = 256 * 1024;
+const MAX_BYTES: u32 = 256 * 1024;
 /// Longest transfer time of a page after which the next one is larger.
-const QUICK: Duration = Duration::from_millis(100);
+const GROW_TIME: Duration = Duration::from_millis(100);
 /// Shortest transfer time of a page after which the next one is smaller: with slightly more load on the link it would
 /// miss its timeout.
-const SLOW: Duration = Duration::from_millis(400);
+const SHRINK_TIME: Duration = Duration::from_millis(400);
 
 /// The size of the next page of a transfer.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 
 impl Default for PageSize {
     fn default() -> Self {
-        Self { bytes: FIRST }
+        Self { bytes: INITIAL_BYTES }
     }
 }
 
@@ -37,9 +37,9 @@
 
     /// Records that a full page arrived after `took`.
     pub fn record_arrival(&mut self, took: Duration) {
-        if took <= QUICK {
-            self.bytes = MOST.min(self.bytes * 2);
-        } else if took >= SLOW {
+        if took <= GROW_TIME {
+            self.bytes = MAX_BYTES.min(self.bytes * 2);
+        } else if took >= SHRINK_TIME {
             self.shrink();
         }
     }
@@ -50,6 +50,6 @@
     }
 
     fn shrink(&mut self) {
-        self.bytes = LEAST.max(self.bytes / 2);
+        self.bytes = MIN_BYTES.max(self.bytes / 2);
     }
 }
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -20,31 +20,31 @@
 
 /// Share of every quota that is divided evenly. Accounts use about half of their quota on ordinary days, so a data
 /// centre that is cut off from the leader can go on serving its usual load.
-pub const EVEN: f64 = 0.6;
+pub const EVEN_SHARE: f64 = 0.6;
 /// Share of the slack that is divided evenly and added to the entry hosts' bursts.
-pub const SLACK_SPLIT: f64 = 0.1;
+pub const SLACK_EVEN_SHARE: f64 = 0.1;
 /// Share of the slack that is added to the burst of the leader's pool, for bursts of long prompts.
-pub const SLACK_POOLED: f64 = 0.25;
+pub const SLACK_POOL_SHARE: f64 = 0.25;
 /// Share of the slack that the leader may lend in each window. What remains covers entry hosts that restart or are
 /// counted late, and one prompt that is larger than the burst.
-pub const SLACK_LENT: f64 = 0.4;
+pub const SLACK_LENT_SHARE: f64 = 0.4;
 /// Time without heartbeat after which an entry host no longer counts: longer than an ordinary network cut, since a host
 /// that is cut off goes on using its even share.
-const REMEMBERED: Duration = Duration::from_secs(30);
+const HEARTBEAT_EXPIRY: Duration = Duration::from_secs(30);
 /// Time for which a leader that does not know the previous count of entry hosts only listens: several heartbeats, so
 /// that it has heard every host.
-const LISTENING: Duration = Duration::from_secs(1);
+const LISTEN_TIME: Duration = Duration::from_secs(1);
 
 /// The leader's view of the entry hosts, and its pools of lendable units.
 #[derive(Debug)]
 pub struct QuotaAllocator {
-    since: Tick,
+    started: Tick,
     /// Number of entry hosts under the previous leader; zero if unknown.
-    before: u32,
-    known: BTreeMap<NodeId, Tick>,
+    previous_count: u32,
+    heartbeats: BTreeMap<NodeId, Tick>,
     pools: BTreeMap<String, Bucket>,
     /// Incarnation of each entry host, and its total overflow by account since its start.
-    spares: BTreeMap<NodeId, (u64, BTreeMap<String, u64>)>,
+    overflows: BTreeMap<NodeId, (u64, BTreeMap<String, u64>)>,
 }
 
 /// Units by which the use of a quota may exceed it.
@@ -60,12 +60,12 @@
     /// Returns the units that each of `entries` entry hosts may add to its burst.
     #[must_use]
     pub fn per_entry(&self, entries: u32) -> f64 {
-        self.units * SLACK_SPLIT / f64::from(entries.max(1))
+        self.units * SLACK_EVEN_SHARE / f64::from(entries.max(1))
     }
 
     /// Returns the units per second that the leader may lend beyond the quota's rate.
     fn rate(&self) -> f64 {
-        self.units * SLACK_LENT / self.window.as_secs_f64().max(1.0)
+        self.units * SLACK_LENT_SHARE / self.window.as_secs_f64().max(1.0)
     }
 }
 
@@ -79,39 +79,39 @@
 }
 
 impl QuotaAllocator {
-    /// Starts listening for entry hosts; `before` is their number under the previous leader, zero if unknown.
+    /// Starts listening for entry hosts; `previous_count` is their number under the previous leader, zero if unknown.
     #[must_use]
-    pub const fn new(before: u32, since: Tick) -> Self {
+    pub const fn new(previous_count: u32, started: Tick) -> Self {
         Self {
-            since,
-            before,
-            known: BTreeMap::new(),
+            started,
+            previous_count,
+            heartbeats: BTreeMap::new(),
             pools: BTreeMap::new(),
-            spares: BTreeMap::new(),
+            overflows: BTreeMap::new(),
         }
     }
 
     /// Records a heartbeat and returns the host's even share; `None` while the number of entry hosts is not known.
     pub fn record_heartbeat(&mut self, node: &NodeId, now: Tick) -> Option<EntryShare> {
-        self.known.retain(|_, heard| now.since(*heard) < REMEMBERED);
-        self.spares.retain(|node, _| self.known.contains_key(node));
-        self.known.insert(node.clone(), now);
+        self.heartbeats.retain(|_, heard| now.since(*heard) < HEARTBEAT_EXPIRY);
+        self.overflows.retain(|node, _| self.heartbeats.contains_key(node));
+        self.heartbeats.insert(node.clone(), now);
         let entries = self.entry_count(now);
         (entries > 0).then(|| EntryShare {
             entries,
-            fraction: EVEN / f64::from(entries),
+            fraction: EVEN_SHARE / f64::from(entries),
         })
     }
 
     /// Returns the number of entry hosts; zero while it is not known.
     #[must_use]
     pub fn entry_count(&self, now: Tick) -> u32 {
-        let heard = self.known.len() as u32;
-        let passed = now.since(self.since);
-        if passed < REMEMBERED && self.before > 0 {
-            return heard.max(self.before);
+        let heard = self.heartbeats.len() as u32;
+        let elapsed = now.since(self.started);
+        if elapsed < HEARTBEAT_EXPIRY && self.previous_count > 0 {
+            return heard.max(self.previous_count);
         }
-        if passed < LISTENING { 0 } else { heard }
+        if elapsed < LISTEN_TIME { 0 } else { heard }
     }
 
     /// Applies the quotas in force. A new pool starts with little, since a previous leader may just have lent its
@@ -120,29 +120,29 @@
         self.pools
             .retain(|account, _| quotas.iter().any(|(name, _)| name == account));
         for (account, quota) in quotas {
-            let own = quota.burst * (1.0 - EVEN);
+            let lendable = quota.burst * (1.0 - EVEN_SHARE);
             let pool = self.pools.entry(account.clone());
-            let pool = pool.or_insert_with(|| Bucket::new(own, now));
-            let burst = own + slack.units * SLACK_POOLED;
-            pool.set(quota.per_s * (1.0 - EVEN) + slack.rate(), burst, now);
+            let pool = pool.or_insert_with(|| Bucket::new(lendable, now));
+            let burst = lendable + slack.units * SLACK_POOL_SHARE;
+            pool.set(quota.per_s * (1.0 - EVEN_SHARE) + slack.rate(), burst, now);
         }
     }
 
     /// Adds an entry host's overflow since its last report to the pools; `totals` count from the start of the
-    /// incarnation `run`.
+    /// incarnation.
     ///
     /// The first totals of an incarnation only set the baseline, since a previous leader may have collected them.
-    pub fn collect_overflow(&mut self, node: &NodeId, run: u64, totals: BTreeMap<String, u64>) {
-        let before = self.spares.get(node).filter(|(known, _)| *known == run);
+    pub fn collect_overflow(&mut self, node: &NodeId, incarnation: u64, totals: BTreeMap<String, u64>) {
+        let before = self.overflows.get(node).filter(|(known, _)| *known == incarnation);
         if let Some((_, before)) = before {
             for (account, total) in &totals {
-                let new = total.saturating_sub(before.get(account).copied().unwrap_or(0));
+                let added = total.saturating_sub(before.get(account).copied().unwrap_or(0));
                 if let Some(pool) = self.pools.get_mut(account) {
-                    pool.refund(new as f64);
+                    pool.refund(added as f64);
                 }
             }
         }
-        self.spares.insert(node.clone(), (run, totals));
+        self.overflows.insert(node.clone(), (incarnation, totals));
     }
 
     /// Lends units of an account's quota; returns whether the pool had as many.
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -9,21 +9,21 @@
 
 /// Share of the longest allowed pause that a prefill may take: an event carries the tokens of several steps, and their
 /// time is added to the pause.
-const PAUSE: f64 = 0.67;
+const PAUSE_SHARE: f64 = 0.67;
 /// Cost of a millisecond by which a prefill exceeds the allowed pause, for each running request, in milliseconds of the
 /// new request's own wait. With a larger value more long prompts start late; with a smaller one more running answers
 /// pause for too long.
-const HARM: f64 = 0.25;
+const STALL_WEIGHT: f64 = 0.25;
 /// Share of the slots up to which an upstream counts as not crowded. With a larger value, prompts may find no free
 /// slot. With a smaller one, entry hosts that read the same outdated reports leave busy homes together and overload the
 /// same other upstreams.
-const CROWDED: f64 = 0.75;
+const CROWDED_FILL: f64 = 0.75;
 /// Extra cost of another data centre, in milliseconds. It breaks ties and saves traffic between data centres.
 const DISTANCE_MS: f64 = 2.0;
 /// Time after its last use for which a prompt part is assumed to be cached.
-const CACHED: Duration = Duration::from_mins(1);
+const CACHE_TIME: Duration = Duration::from_mins(1);
 /// Most prompt parts recorded for one upstream; more than its cache holds at common sizes.
-const MAX_PARTS: usize = 4_096;
+const MAX_RECORDED_PARTS: usize = 4_096;
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
             self.used.insert(part.key, now);
             self.order.push_back((now, part.key));
         }
-        while self.order.len() > MAX_PARTS {
+        while self.order.len() > MAX_RECORDED_PARTS {
             self.forget_oldest();
         }
     }
@@ -56,8 +56,8 @@
     /// Returns the number of tokens in the longest cached sequence of leading parts.
     #[must_use]
     pub fn tokens(&self, parts: &[PromptPart], now: Tick) -> u64 {
-        let held = |part: &&PromptPart| self.used.get(&part.key).is_some_and(|at| now.since(*at) < CACHED);
-        parts.iter().take_while(held).map(|part| part.tokens).sum()
+        let cached = |part: &&PromptPart| self.used.get(&part.key).is_some_and(|at| now.since(*at) < CACHE_TIME);
+        parts.iter().take_while(cached).map(|part| part.tokens).sum()
     }
 
     fn forget_oldest(&mut self) {
@@ -130,35 +130,32 @@
 
 /// Predicts the time until an upstream begins its answer.
 #[must_use]
-pub fn predict(option: &Candidate, wish: PromptNeed) -> Prediction {
-    let PromptNeed {
-        tokens,
-        max_pause_ms: pause_ms,
-    } = wish;
-    let slots = option.slots.max(1.0);
-    let queued = (option.load + 1.0 - slots).max(0.0);
-    let filled = (option.load / slots).min(1.0);
+pub fn predict(candidate: &Candidate, need: PromptNeed) -> Prediction {
+    let PromptNeed { tokens, max_pause_ms } = need;
+    let slots = candidate.slots.max(1.0);
+    let queued = (candidate.load + 1.0 - slots).max(0.0);
+    let filled = (candidate.load / slots).min(1.0);
     // Prompts go to their home unless it is crowded. Reports are up to two heartbeats old, and many entry hosts read
     // the same ones: if small differences counted, all of them would send to the upstream that was idle then.
     let crowd = if tokens == 0 {
         filled
     } else {
-        ((filled - CROWDED) / (1.0 - CROWDED)).max(0.0)
+        ((filled - CROWDED_FILL) / (1.0 - CROWDED_FILL)).max(0.0)
     };
-    let reading_ms = option.rates.prefill_ms(option.prefill(tokens));
+    let prefill_ms = candidate.rates.prefill_ms(candidate.prefill(tokens));
     // Time until one of the slots becomes free; a crowded upstream may be full when the request arrives.
-    let slot_ms = option.rates.run_ms / slots;
-    let ms = reading_ms * (1.0 + crowd)
+    let slot_ms = candidate.rates.run_ms / slots;
+    let ms = prefill_ms * (1.0 + crowd)
         + (crowd * crowd + queued) * slot_ms
-        + if option.near { 0.0 } else { DISTANCE_MS }
-        + option.backlog_ms;
-    let held_up = (option.backlog_ms + reading_ms - pause_ms * PAUSE).max(0.0);
+        + if candidate.near { 0.0 } else { DISTANCE_MS }
+        + candidate.backlog_ms;
+    let excess_ms = (candidate.backlog_ms + prefill_ms - max_pause_ms * PAUSE_SHARE).max(0.0);
     Prediction {
-        at: option.at,
+        at: candidate.at,
         ms,
-        prefill_ms: reading_ms,
-        backlog_ms: option.backlog_ms,
-        stall_ms: held_up * option.load * HARM,
+        prefill_ms,
+        backlog_ms: candidate.backlog_ms,
+        stall_ms: excess_ms * candidate.load * STALL_WEIGHT,
         has_slot: queued == 0.0,
     }
 }
@@ -166,14 +163,19 @@
 /// Returns the upstream with the lowest predicted time and stall cost. Among those within `close_ms` of it, the highest
 /// weight wins.
 #[must_use]
-pub fn choose(options: &[Candidate], wish: PromptNeed, close_ms: f64) -> Option<Prediction> {
-    let predicted: Vec<(Prediction, u64)> = options
+pub fn choose(candidates: &[Candidate], need: PromptNeed, close_ms: f64) -> Option<Prediction> {
+    let predictions: Vec<(Prediction, u64)> = candidates
         .iter()
-        .map(|option| (predict(option, wish), option.weight))
+        .map(|candidate| (predict(candidate, need), candidate.weight))
         .collect();
-    let cost = |one: &Prediction| one.ms + one.stall_ms;
-    let least = predicted.iter().map(|(one, _)| cost(one)).min_by(f64::total_cmp)?;
-    let close = predicted.iter().filter(|(one, _)| cost(one) <= least + close_ms);
-    let best = close.max_by(|(_, a), (_, b)| a.cmp(b).then(Ordering::Equal));
-    best.map(|(one, _)| *one)
+    let cost = |prediction: &Prediction| prediction.ms + prediction.stall_ms;
+    let lowest = predictions
+        .iter()
+        .map(|(prediction, _)| cost(prediction))
+        .min_by(f64::total_cmp)?;
+    let near_lowest = predictions
+        .iter()
+        .filter(|(prediction, _)| cost(prediction) <= lowest + close_ms);
+    let best = near_lowest.max_by(|(_, a), (_, b)| a.cmp(b).then(Ordering::Equal));
+    best.map(|(prediction, _)| *prediction)
 }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -16,7 +16,7 @@
 pub use queue::{WeightLoad, next_loads};
 
 /// Most starts for one model in one plan; the next plan adds more.
-const MOST_STEPS: usize = 64;
+const MAX_STARTS: usize = 64;
 
 /// Parameters of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -84,7 +84,7 @@
         /// Whether it can be reclaimed.
         class: MachineClass,
         /// Why it is started.
-        why: Why,
+        why: StepReason,
     },
     /// Drains a host, which is stopped once nothing runs on it.
     #[display("drain {host}: {why}")]
@@ -92,13 +92,13 @@
         /// The host to drain.
         host: HostId,
         /// Why it is drained.
-        why: Why,
+        why: StepReason,
     },
 }
 
 /// Why a step is taken.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Why {
+pub enum StepReason {
     /// An operator's rule asks for it.
     #[display("an operator's rule")]
     Rule,
@@ -122,13 +122,13 @@
     needs: &[ModelNeed],
     held: &[HeldHost],
     pools: &[HostPool],
-    said: &BTreeMap<String, HostRule>,
+    operator_rules: &BTreeMap<String, HostRule>,
     rules: &ScalingRules,
     calm: bool,
 ) -> Vec<Step> {
     let mut steps = Vec::new();
     for need in needs {
-        let mut model = Model::new(need, held, pools, said, rules);
+        let mut model = Model::new(need, held, pools, operator_rules, rules);
         steps.extend(model.exceeding());
         steps.extend(model.grow());
         if calm && steps.is_empty() {
@@ -144,7 +144,7 @@
     held: Vec<&'a HeldHost>,
     started: Vec<(Zone, MachineClass)>,
     pools: &'a [HostPool],
-    said: Vec<&'a HostRule>,
+    operator_rules: Vec<&'a HostRule>,
     rules: &'a ScalingRules,
 }
 
@@ -153,7 +153,7 @@
         need: &'a ModelNeed,
         held: &'a [HeldHost],
         pools: &'a [HostPool],
-        said: &'a BTreeMap<String, HostRule>,
+        operator_rules: &'a BTreeMap<String, HostRule>,
         rules: &'a ScalingRules,
     ) -> Self {
         Self {
@@ -161,7 +161,10 @@
             held: held.iter().filter(|one| one.model == need.model).collect(),
             started: Vec::new(),
             pools,
-            said: said.values().filter(|rule| rule.model == need.model).collect(),
+            operator_rules: operator_rules
+                .values()
+                .filter(|rule| rule.model == need.model)
+                .collect(),
             rules,
         }
     }
@@ -214,7 +217,7 @@
 
     fn rule(&self, zone: &Zone, class: MachineClass) -> Option<&'a HostRule> {
         let fits = |rule: &&&HostRule| rule.zone == *zone && rule.class == class;
-        self.said.iter().find(fits).copied()
+        self.operator_rules.iter().find(fits).copied()
     }
 
     fn may_add(&self, pool: &HostPool) -> bool {
@@ -230,7 +233,7 @@
     /// Drains the hosts beyond an operator's limits.
     fn exceeding(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
-        for rule in self.said.clone() {
+        for rule in self.operator_rules.clone() {
             while self.in_pool(&rule.zone, rule.class) > rule.most {
                 let inside = |one: &HeldHost| one.zone == rule.zone && one.class == rule.class;
                 let idlest = (0..self.held.len())
@@ -238,7 +241,10 @@
                     .min_by(|a, b| self.held[*a].busy.total_cmp(&self.held[*b].busy));
                 let Some(at) = idlest else { break };
                 let host = self.held.remove(at).host.clone();
-                steps.push(Step::Drain { host, why: Why::Rule });
+                steps.push(Step::Drain {
+                    host,
+                    why: StepReason::Rule,
+                });
             }
         }
         steps
@@ -246,7 +252,7 @@
 
     fn grow(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
-        while steps.len() < MOST_STEPS
+        while steps.len() < MAX_STARTS
             && let Some((zone, class, why)) = self.next_start()
         {
             self.started.push((zone.clone(), class));
@@ -261,24 +267,24 @@
         steps
     }
 
-    fn next_start(&self) -> Option<(Zone, MachineClass, Why)> {
+    fn next_start(&self) -> Option<(Zone, MachineClass, StepReason)> {
         let short = |pool: &&HostPool| {
             let rule = self.rule(&pool.zone, pool.class);
             pool.open && rule.is_some_and(|rule| self.in_pool(&pool.zone, pool.class) < rule.least)
         };
         if let Some(pool) = self.pools.iter().find(short) {
-            return Some((pool.zone.clone(), pool.class, Why::Rule));
+            return Some((pool.zone.clone(), pool.class, StepReason::Rule));
         }
         if self.on_demand() < self.floor()
             && let Some(zone) = self.best(MachineClass::OnDemand)
         {
-            return Some((zone, MachineClass::OnDemand, Why::Floor));
+            return Some((zone, MachineClass::OnDemand, StepReason::Floor));
         }
         let loses = self.after_loss() < self.base();
         let why = if self.total() < self.want(self.rules.grow) {
-            Why::Load
+            StepReason::Load
         } else if loses {
-            Why::Spread
+            StepReason::Spread
         } else {
             return None;
         };
@@ -289,7 +295,7 @@
             .map(|zone| (zone, MachineClass::Reclaimable));
         let dear = || self.best(MachineClass::OnDemand).filter(|_| at_stake);
         let (zone, class) = cheap.or_else(|| dear().map(|zone| (zone, MachineClass::OnDemand)))?;
-        let helps = why != Why::Spread || self.spreads_with(&zone);
+        let helps = why != StepReason::Spread || self.spreads_with(&zone);
         helps.then_some((zone, class, why))
     }
 
@@ -320,7 +326,7 @@
             order.then(a.busy.total_cmp(&b.busy))
         });
         let host = spare.first()?.host.clone();
-        let why = Why::Surplus;
+        let why = StepReason::Surplus;
         Some(Step::Drain { host, why })
     }
 
@@ -328,7 +334,7 @@
         let mut rest = Model {
             held: self.held.clone(),
             started: self.started.clone(),
-            said: self.said.clone(),
+            operator_rules: self.operator_rules.clone(),
             ..*self
         };
         rest.held.retain(|one| one.host != host.host);
--- a/crates/policy/src/plan/backoff.rs
+++ b/crates/policy/src/plan/backoff.rs
@@ -16,11 +16,11 @@
 /// in which another zone would have provided a host.
 #[derive(Debug, Default)]
 pub struct Backoff {
-    refused: HashMap<(Zone, MachineClass), Refused>,
+    refused: HashMap<(Zone, MachineClass), RefusedStart>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Refused {
+struct RefusedStart {
     times: u32,
     until: Tick,
 }
@@ -33,7 +33,7 @@
         let pause = PAUSE.0.saturating_mul(2_u32.saturating_pow(times)).min(PAUSE.1);
         self.refused.insert(
             key,
-            Refused {
+            RefusedStart {
                 times: times + 1,
                 until: now + pause,
             },
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -9,15 +9,15 @@
 use crate::Tick;
 
 /// Words in one block.
-pub const BLOCK: usize = 16;
+pub const BLOCK_WORDS: usize = 16;
 /// Most blocks of one prompt that are indexed; words beyond them count as not cached.
 pub const MAX_BLOCKS: usize = 4_096;
 /// Most upstreams recorded for one block.
-const HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 /// Entries in one set of the index; a new block replaces the least recently used entry of its set.
 const WAYS: usize = 8;
 /// Marks an unused holder of an entry.
-const NOBODY: u32 = u32::MAX;
+const NO_HOLDER: u32 = u32::MAX;
 
 /// The hashes of a prompt's complete blocks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -49,7 +49,7 @@
                 block.push(' ');
             }
             block.push_str(word);
-            if prefix.words.is_multiple_of(BLOCK as u64) {
+            if prefix.words.is_multiple_of(BLOCK_WORDS as u64) {
                 hash = xxh3_64_with_seed(block.as_bytes(), hash);
                 block.clear();
                 if prefix.blocks.len() < MAX_BLOCKS {
@@ -108,22 +108,22 @@
 /// The memory is allocated once: 32 bytes for each block.
 #[derive(Debug)]
 pub struct PrefixIndex {
-    sets: Vec<[Place; WAYS]>,
+    sets: Vec<[Entry; WAYS]>,
 }
 
 /// Entry of one block, with its holders by last use, newest first.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Entry {
     hash: u64,
-    holders: [u32; HOLDERS],
+    holders: [u32; MAX_HOLDERS],
     used_ms: u32,
     /// Whether a holder was dropped because there were too many, so that absence from `holders` proves nothing.
     crowded: bool,
 }
 
-const EMPTY: Place = Place {
+const EMPTY_ENTRY: Entry = Entry {
     hash: 0,
-    holders: [NOBODY; HOLDERS],
+    holders: [NO_HOLDER; MAX_HOLDERS],
     used_ms: 0,
     crowded: false,
 };
@@ -134,14 +134,14 @@
     pub fn new(blocks: usize) -> Self {
         let sets = blocks.div_ceil(WAYS).next_power_of_two();
         Self {
-            sets: vec![[EMPTY; WAYS]; sets],
+            sets: vec![[EMPTY_ENTRY; WAYS]; sets],
         }
     }
 
     /// Returns the allocated memory in bytes.
     #[must_use]
     pub const fn bytes(&self) -> usize {
-        self.sets.len() * size_of::<[Place; WAYS]>()
+        self.sets.len() * size_of::<[Entry; WAYS]>()
     }
 
     /// Records that an upstream has cached every block of a prefix.
@@ -154,70 +154,72 @@
     /// Records that an upstream has cached a block.
     pub fn store_block(&mut self, hash: u64, upstream: u32, now: Tick) {
         let set = self.set(hash);
-        let at = set.iter().position(|place| place.is(hash)).unwrap_or_else(|| {
-            let oldest = (0..WAYS).min_by_key(|at| (set[*at].is_used(), set[*at].used_ms));
-            let at = oldest.unwrap_or_default();
-            set[at] = Place { hash, ..EMPTY };
-            at
+        let index = set.iter().position(|entry| entry.is(hash)).unwrap_or_else(|| {
+            let oldest = (0..WAYS).min_by_key(|index| (set[*index].is_used(), set[*index].used_ms));
+            let index = oldest.unwrap_or_default();
+            set[index] = Entry { hash, ..EMPTY_ENTRY };
+            index
         });
-        set[at].add(upstream, now);
+        set[index].add(upstream, now);
     }
 
     /// Records that an upstream has evicted a block.
     pub fn evict_block(&mut self, hash: u64, upstream: u32) {
-        if let Some(place) = self.set(hash).iter_mut().find(|place| place.is(hash)) {
-            place.remove(upstream);
+        if let Some(entry) = self.set(hash).iter_mut().find(|entry| entry.is(hash)) {
+            entry.remove(upstream);
         }
     }
 
     /// Removes an upstream, for example after a restart with an empty cache.
     pub fn forget(&mut self, upstream: u32) {
-        for place in self.sets.iter_mut().flatten() {
-            place.remove(upstream);
+        for entry in self.sets.iter_mut().flatten() {
+            entry.remove(upstream);
         }
     }
 
     /// Returns the upstreams that have cached the longest prefixes of a prompt, longest first.
     #[must_use]
     pub fn holders(&self, prefix: &Prefix) -> Vec<PrefixHolder> {
-        let mut held: Vec<PrefixHolder> = Vec::with_capacity(HOLDERS);
-        let known: Vec<&Place> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
+        let mut found: Vec<PrefixHolder> = Vec::with_capacity(MAX_HOLDERS);
+        let known: Vec<&Entry> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
         // The last blocks are the rarest and best identify the upstreams that served the conversation.
-        for place in known.iter().rev() {
-            for upstream in place.holders.iter().filter(|holder| **holder != NOBODY) {
-                if held.len() < 2 * HOLDERS && held.iter().all(|other| other.upstream != *upstream) {
-                    let words = depth(&known, *upstream) * BLOCK as u64;
-                    held.push(PrefixHolder {
+        for entry in known.iter().rev() {
+            for upstream in entry.holders.iter().filter(|holder| **holder != NO_HOLDER) {
+                if found.len() < 2 * MAX_HOLDERS && found.iter().all(|other| other.upstream != *upstream) {
+                    let words = cached_blocks(&known, *upstream) * BLOCK_WORDS as u64;
+                    found.push(PrefixHolder {
                         upstream: *upstream,
                         words,
                     });
                 }
             }
-            if held.len() >= 2 * HOLDERS {
+            if found.len() >= 2 * MAX_HOLDERS {
                 break;
             }
         }
-        held.sort_by_key(|holder| std::cmp::Reverse(holder.words));
-        held.truncate(HOLDERS);
-        held
+        found.sort_by_key(|holder| std::cmp::Reverse(holder.words));
+        found.truncate(MAX_HOLDERS);
+        found
     }
 
     /// Returns the words at the start of a prompt that each of `upstreams` is assumed to have cached, in their order.
     #[must_use]
     pub fn cached_words(&self, prefix: &Prefix, upstreams: &[u32]) -> Vec<u64> {
-        let known: Vec<&Place> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
-        let words = upstreams.iter().map(|number| depth(&known, *number) * BLOCK as u64);
+        let known: Vec<&Entry> = prefix.blocks.iter().map_while(|hash| self.find(*hash)).collect();
+        let words = upstreams
+            .iter()
+            .map(|number| cached_blocks(&known, *number) * BLOCK_WORDS as u64);
         words.collect()
     }
 
-    fn find(&self, hash: u64) -> Option<&Place> {
+    fn find(&self, hash: u64) -> Option<&Entry> {
         let set = &self.sets[self.position(hash)];
-        set.iter().find(|place| place.is(hash))
+        set.iter().find(|entry| entry.is(hash))
     }
 
-    fn set(&mut self, hash: u64) -> &mut [Place; WAYS] {
-        let at = self.position(hash);
-        &mut self.sets[at]
+    fn set(&mut self, hash: u64) -> &mut [Entry; WAYS] {
+        let index = self.position(hash);
+        &mut self.sets[index]
     }
 
     const fn position(&self, hash: u64) -> usize {
@@ -229,40 +231,40 @@
 ///
 /// A crowded block does not end the count, since the upstream may have been dropped from it. The count ends after the
 /// last block that names the upstream as a holder.
-fn depth(known: &[&Place], upstream: u32) -> u64 {
-    let mut certain = 0;
-    for (at, place) in known.iter().enumerate() {
-        if place.holders.contains(&upstream) {
-            certain = at as u64 + 1;
-        } else if !place.crowded {
+fn cached_blocks(known: &[&Entry], upstream: u32) -> u64 {
+    let mut confirmed = 0;
+    for (index, entry) in known.iter().enumerate() {
+        if entry.holders.contains(&upstream) {
+            confirmed = index as u64 + 1;
+        } else if !entry.crowded {
             break;
         }
     }
-    certain
+    confirmed
 }
 
-impl Place {
+impl Entry {
     fn is(&self, hash: u64) -> bool {
         self.hash == hash && self.is_used()
     }
 
     fn is_used(&self) -> bool {
-        self.holders[0] != NOBODY
+        self.holders[0] != NO_HOLDER
     }
 
     fn add(&mut self, upstream: u32, now: Tick) {
         let known = self.holders.iter().position(|holder| *holder == upstream);
-        let last = known.unwrap_or(HOLDERS - 1);
-        self.crowded |= known.is_none() && self.holders[last] != NOBODY;
+        let last = known.unwrap_or(MAX_HOLDERS - 1);
+        self.crowded |= known.is_none() && self.holders[last] != NO_HOLDER;
         self.holders.copy_within(..last, 1);
         self.holders[0] = upstream;
         self.used_ms = now.0.as_millis() as u32;
     }
 
     fn remove(&mut self, upstream: u32) {
-        if let Some(at) = self.holders.iter().position(|holder| *holder == upstream) {
-            self.holders.copy_within(at + 1.., at);
-            self.holders[HOLDERS - 1] = NOBODY;
+        if let Some(index) = self.holders.iter().position(|holder| *holder == upstream) {
+            self.holders.copy_within(index + 1.., index);
+            self.holders[MAX_HOLDERS - 1] = NO_HOLDER;
         }
     }
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -4,23 +4,23 @@
 
 /// Share of the burst that must be available for a request larger than it. Otherwise a request larger than the whole
 /// burst could never be admitted; the bucket then goes below zero, which delays the next requests.
-const LARGE: f64 = 0.5;
+const MIN_FILL_SHARE: f64 = 0.5;
 
 /// Share of the burst that is available at the start. All processes of a system may be restarted twice within the
 /// window of a quota before this exceeds the slack.
-const FIRST: f64 = 0.4;
+const INITIAL_SHARE: f64 = 0.4;
 
 /// A token bucket that fills at the rate of the entry host's share.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     units: f64,
-    at: Tick,
+    updated: Tick,
     /// Units per second.
     rate: f64,
     /// Most units that can be saved up.
     burst: f64,
     /// Units that arrived while the bucket was full, since the start.
-    spare: f64,
+    overflow: f64,
 }
 
 /// A request that exceeds the quota.
@@ -43,11 +43,11 @@
     #[must_use]
     pub fn new(burst: f64, now: Tick) -> Self {
         Self {
-            units: burst * FIRST,
-            at: now,
+            units: burst * INITIAL_SHARE,
+            updated: now,
             rate: 0.0,
             burst,
-            spare: 0.0,
+            overflow: 0.0,
         }
     }
 
@@ -65,7 +65,7 @@
     /// Returns the time to wait if there is no room for the request.
     pub fn take(&mut self, units: f64, now: Tick) -> Result<(), OverQuota> {
         self.fill(now);
-        let needed = units.min(self.burst * LARGE);
+        let needed = units.min(self.burst * MIN_FILL_SHARE);
         if self.units < needed || self.rate <= 0.0 {
             let wait_s = (needed - self.units) / self.rate.max(f64::MIN_POSITIVE);
             return Err(OverQuota {
@@ -103,14 +103,14 @@
     /// Returns the units that arrived while the bucket was full, since the start; other entry hosts may use them.
     #[must_use]
     pub const fn overflow(&self) -> f64 {
-        self.spare
+        self.overflow
     }
 
     fn fill(&mut self, now: Tick) {
-        let passed = now.since(self.at).as_secs_f64();
-        let filled = self.units + passed * self.rate;
+        let elapsed = now.since(self.updated).as_secs_f64();
+        let filled = self.units + elapsed * self.rate;
         self.units = filled.min(self.burst);
-        self.spare += filled - self.units;
-        self.at = now;
+        self.overflow += filled - self.units;
+        self.updated = now;
     }
 }
--- a/crates/policy/src/reach.rs
+++ b/crates/policy/src/reach.rs
@@ -13,42 +13,45 @@
 /// centres takes a few milliseconds, and streams send an event every 30.
 pub const SILENCE: Duration = Duration::from_millis(300);
 /// Time for which repeatable requests avoid a silent data centre; the first one after it is the probe.
-const AVOIDED: Duration = Duration::from_secs(1);
+const AVOID_TIME: Duration = Duration::from_secs(1);
 /// The same for requests that may run only once: whatever of them is lost cannot be repeated.
-const AVOIDED_ONCE: Duration = Duration::from_secs(4);
+const AVOID_TIME_ONCE: Duration = Duration::from_secs(4);
 
 /// Reachability of one data centre.
 #[derive(Debug, Default)]
 pub struct Reachability {
-    heard: Cell<Tick>,
-    silent: Cell<Option<Tick>>,
+    last_received: Cell<Tick>,
+    silent_since: Cell<Option<Tick>>,
 }
 
 impl Reachability {
     /// Records that anything was received from the data centre.
     pub fn record_received(&self, now: Tick) {
-        self.heard.set(now);
+        self.last_received.set(now);
     }
 
     /// Records that a request sent at `sent` has had no response so far.
     pub fn record_wait(&self, sent: Tick, now: Tick) {
-        if sent > self.heard.get() && now.since(sent) >= SILENCE {
-            self.silent.set(Some(now));
+        if sent > self.last_received.get() && now.since(sent) >= SILENCE {
+            self.silent_since.set(Some(now));
         }
     }
 
     /// Records that a connection attempt timed out.
     pub fn record_connect_timeout(&self, now: Tick) {
-        if now.since(self.heard.get()) >= SILENCE {
-            self.silent.set(Some(now));
+        if now.since(self.last_received.get()) >= SILENCE {
+            self.silent_since.set(Some(now));
         }
     }
 
     /// Returns whether requests should avoid the data centre; `once` stands for requests that may run only once.
     #[must_use]
     pub fn is_silent(&self, once: bool, now: Tick) -> bool {
-        let avoided = if once { AVOIDED_ONCE } else { AVOIDED };
-        let silent = self.silent.get().filter(|silent| *silent > self.heard.get());
-        silent.is_some_and(|silent| now.since(silent) < avoided)
+        let avoid_time = if once { AVOID_TIME_ONCE } else { AVOID_TIME };
+        let silent_since = self
+            .silent_since
+            .get()
+            .filter(|silent_since| *silent_since > self.last_received.get());
+        silent_since.is_some_and(|silent_since| now.since(silent_since) < avoid_time)
     }
 }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -12,7 +12,7 @@
 use crate::Tick;
 
 /// Time for which a reported reclaim overrides the list: the list lags by up to a second and is read twice a second.
-const AHEAD: Duration = Duration::from_millis(1_600);
+const LIST_LAG: Duration = Duration::from_millis(1_600);
 
 /// Reclaimable upstreams that are reclaimed together.
 pub type ReclaimGroup = (ServiceName, Zone);
@@ -20,47 +20,50 @@
 /// Reclaims that the list may not show yet.
 #[derive(Clone, Debug, Default)]
 pub struct ReportedReclaims {
-    told: BTreeMap<ReclaimGroup, Told>,
+    reports: BTreeMap<ReclaimGroup, Report>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    at: Tick,
+struct Report {
+    reported: Tick,
     ends: Tick,
 }
 
 impl ReportedReclaims {
     /// Records a reclaim that was reported by engines; `ends` is the announced end.
     pub fn record(&mut self, group: ReclaimGroup, ends: Tick, now: Tick) {
-        self.told.entry(group).or_insert(Told { at: now, ends });
+        self.reports.entry(group).or_insert(Report { reported: now, ends });
     }
 
     /// Returns whether a reclaim of the group was reported lately.
     #[must_use]
     pub fn contains(&self, group: &ReclaimGroup, now: Tick) -> bool {
-        self.told.get(group).is_some_and(|told| told.is_ahead(now))
+        self.reports.get(group).is_some_and(|report| report.is_current(now))
     }
 
-    /// Marks the upstreams of reported reclaims as leaving in a list that was requested at `asked`.
-    pub fn apply(&mut self, list: &mut [Listed], asked: Tick) {
-        self.told.retain(|_, told| told.is_ahead(asked));
-        for one in list.iter_mut().filter(|one| one.reclaimable && !one.leaving) {
-            if let Some(told) = self.told.get(&group(one)) {
-                one.leaving = true;
-                one.left = Some(told.ends.since(asked));
+    /// Marks the upstreams of reported reclaims as leaving in a list; `requested` is when the list was requested.
+    pub fn apply(&mut self, list: &mut [Listed], requested: Tick) {
+        self.reports.retain(|_, report| report.is_current(requested));
+        for upstream in list
+            .iter_mut()
+            .filter(|upstream| upstream.reclaimable && !upstream.leaving)
+        {
+            if let Some(report) = self.reports.get(&group_of(upstream)) {
+                upstream.leaving = true;
+                upstream.left = Some(report.ends.since(requested));
             }
         }
     }
 }
 
-impl Told {
-    fn is_ahead(&self, now: Tick) -> bool {
-        now.since(self.at) < AHEAD
+impl Report {
+    fn is_current(&self, now: Tick) -> bool {
+        now.since(self.reported) < LIST_LAG
     }
 }
 
-fn group(one: &Listed) -> ReclaimGroup {
-    (one.service.clone(), one.zone.clone())
+fn group_of(upstream: &Listed) -> ReclaimGroup {
+    (upstream.service.clone(), upstream.zone.clone())
 }
 
 /// Returns the upstreams of each group to probe in a turn: the first, and a second one that must confirm its report.
@@ -68,15 +71,15 @@
 #[must_use]
 pub fn engines_to_probe(list: &[Listed], turn: usize) -> Vec<(ReclaimGroup, Vec<&Listed>)> {
     let mut groups: BTreeMap<ReclaimGroup, Vec<&Listed>> = BTreeMap::new();
-    for one in list.iter().filter(|one| one.reclaimable && !one.leaving) {
-        groups.entry(group(one)).or_default().push(one);
+    for upstream in list.iter().filter(|upstream| upstream.reclaimable && !upstream.leaving) {
+        groups.entry(group_of(upstream)).or_default().push(upstream);
     }
     groups
         .into_iter()
-        .map(|(group, all)| (group, two(&all, turn)))
+        .map(|(group, all)| (group, pair(&all, turn)))
         .collect()
 }
 
-fn two<'a>(all: &[&'a Listed], turn: usize) -> Vec<&'a Listed> {
+fn pair<'a>(all: &[&'a Listed], turn: usize) -> Vec<&'a Listed> {
     (0..all.len().min(2)).map(|at| all[(turn + at) % all.len()]).collect()
 }
--- a/crates/policy/src/rescue.rs
+++ b/crates/policy/src/rescue.rs
@@ -13,11 +13,11 @@
 use derive_more::Display;
 
 /// Fewest tokens that are worth a copy: less than two blocks are prefilled faster than a copy is requested.
-const FEWEST: u64 = 32;
+const MIN_COPY_TOKENS: u64 = 32;
 /// Safety margin before the announced end, since clocks and notices are inexact.
-const SAFETY: Duration = Duration::from_millis(200);
+const SAFETY_MARGIN: Duration = Duration::from_millis(200);
 /// Factor on the remaining time of a stream, since batches slow down when other streams of the host finish there too.
-const SLOWER: f64 = 1.25;
+const SLOWDOWN: f64 = 1.25;
 
 /// What to do with a stream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -67,46 +67,49 @@
 /// Decides for all streams together; returns their indices with the action, in the order of execution.
 #[must_use]
 pub fn plan<S: Copy + Eq + Hash>(streams: &[Stream<S>], rates: &MoveRates) -> Vec<(usize, StreamAction)> {
-    let (finish, mut rest): (Vec<usize>, Vec<usize>) = (0..streams.len()).partition(|at| fits(&streams[*at]));
+    let (finish, mut rest): (Vec<usize>, Vec<usize>) =
+        (0..streams.len()).partition(|index| ends_in_time(&streams[*index]));
     rest.sort_by(|a, b| {
         let (a, b) = (&streams[*a], &streams[*b]);
-        let late = |stream: &Stream<S>| !misses(stream, rates);
-        let per_token = |stream: &Stream<S>| stream.time_left.as_secs_f64() / stream.tokens.max(1) as f64;
-        late(a).cmp(&late(b)).then(per_token(a).total_cmp(&per_token(b)))
+        let replay_fits = |stream: &Stream<S>| !misses_target(stream, rates);
+        let time_per_token = |stream: &Stream<S>| stream.time_left.as_secs_f64() / stream.tokens.max(1) as f64;
+        replay_fits(a)
+            .cmp(&replay_fits(b))
+            .then(time_per_token(a).total_cmp(&time_per_token(b)))
     });
-    let mut links: HashMap<S, Duration> = HashMap::new();
-    let mut decide = |at: usize| {
-        let stream = &streams[at];
-        let busy = links.entry(stream.source).or_default();
+    let mut link_times: HashMap<S, Duration> = HashMap::new();
+    let mut decide = |index: usize| {
+        let stream = &streams[index];
+        let busy = link_times.entry(stream.source).or_default();
         let Some(copy) = copy_time(stream, rates) else {
-            return (at, StreamAction::Replay);
+            return (index, StreamAction::Replay);
         };
-        if *busy + copy + SAFETY > stream.time_left {
-            return (at, StreamAction::Replay);
+        if *busy + copy + SAFETY_MARGIN > stream.time_left {
+            return (index, StreamAction::Replay);
         }
         *busy += copy;
-        (at, StreamAction::Export)
+        (index, StreamAction::Export)
     };
-    let mut steps: Vec<(usize, StreamAction)> = rest.into_iter().map(&mut decide).collect();
-    steps.extend(finish.into_iter().map(|at| (at, StreamAction::Finish)));
-    steps
+    let mut actions: Vec<(usize, StreamAction)> = rest.into_iter().map(&mut decide).collect();
+    actions.extend(finish.into_iter().map(|index| (index, StreamAction::Finish)));
+    actions
 }
 
 /// Returns whether a stream ends before its host does.
-fn fits<S>(stream: &Stream<S>) -> bool {
+fn ends_in_time<S>(stream: &Stream<S>) -> bool {
     let steps = u32::try_from(stream.remaining).unwrap_or(u32::MAX);
-    stream.token_interval.saturating_mul(steps).as_secs_f64() * SLOWER + SAFETY.as_secs_f64()
+    stream.token_interval.saturating_mul(steps).as_secs_f64() * SLOWDOWN + SAFETY_MARGIN.as_secs_f64()
         <= stream.time_left.as_secs_f64()
 }
 
 /// Returns whether a replay would make a stream miss its target.
-fn misses<S>(stream: &Stream<S>, rates: &MoveRates) -> bool {
+fn misses_target<S>(stream: &Stream<S>, rates: &MoveRates) -> bool {
     rates.prefill.as_secs_f64() * stream.tokens as f64 > stream.slack.as_secs_f64()
 }
 
 /// Returns the time to copy a stream's cache; `None` if a copy is impossible or not worth it.
 fn copy_time<S>(stream: &Stream<S>, rates: &MoveRates) -> Option<Duration> {
-    let worth = stream.tokens >= FEWEST && stream.failed_copies < MAX_COPY_FAILURES;
-    let export = rates.export.filter(|_| worth)?;
+    let worthwhile = stream.tokens >= MIN_COPY_TOKENS && stream.failed_copies < MAX_COPY_FAILURES;
+    let export = rates.export.filter(|_| worthwhile)?;
     Some(export.mul_f64(stream.tokens as f64))
 }
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -10,7 +10,7 @@
 
 /// Share of the budget that is used. Requests counted at the edges of a window, and entry hosts that join while others
 /// are not forgotten yet, would otherwise exceed the bound.
-const USED: f64 = 0.6;
+const USED_SHARE: f64 = 0.6;
 
 /// Bounds on the retries of all entry hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,31 +27,31 @@
 #[derive(Clone, Debug, Default)]
 pub struct RetryWindow {
     requests: VecDeque<Tick>,
-    repeats: VecDeque<Tick>,
+    retries: VecDeque<Tick>,
 }
 
 impl RetryWindow {
     /// Records a caller's request to the service.
     pub fn record_request(&mut self, now: Tick, bounds: &RetryBounds) {
-        forget(&mut self.requests, bounds.window, now);
+        drop_expired(&mut self.requests, bounds.window, now);
         self.requests.push_back(now);
     }
 
     /// Takes a retry from the share of one of `entries` entry hosts; returns whether one was left.
     pub fn take(&mut self, now: Tick, bounds: &RetryBounds, entries: u32) -> bool {
-        forget(&mut self.requests, bounds.window, now);
-        forget(&mut self.repeats, bounds.window, now);
+        drop_expired(&mut self.requests, bounds.window, now);
+        drop_expired(&mut self.retries, bounds.window, now);
         let fixed = bounds.extra / f64::from(entries.max(1));
-        let most = USED * (fixed + bounds.ratio * self.requests.len() as f64);
-        let left = (self.repeats.len() as f64) + 1.0 <= most;
-        if left {
-            self.repeats.push_back(now);
+        let limit = USED_SHARE * (fixed + bounds.ratio * self.requests.len() as f64);
+        let allowed = (self.retries.len() as f64) + 1.0 <= limit;
+        if allowed {
+            self.retries.push_back(now);
         }
-        left
+        allowed
     }
 }
 
-fn forget(times: &mut VecDeque<Tick>, window: Duration, now: Tick) {
+fn drop_expired(times: &mut VecDeque<Tick>, window: Duration, now: Tick) {
     while times.front().is_some_and(|at| now.since(*at) > window) {
         times.pop_front();
     }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -8,23 +8,23 @@
 use crate::Tick;
 
 /// Most versions whose publication times are kept.
-const REMEMBERED: usize = 64;
+const MAX_VERSIONS: usize = 64;
 /// Time without heartbeat after which a host no longer counts: it is stopped or cut off.
-const HEARD: Duration = Duration::from_secs(2);
+const HEARTBEAT_EXPIRY: Duration = Duration::from_secs(2);
 /// Lag from which a host counts as late.
-pub const LATE: Duration = Duration::from_secs(1);
+pub const LATE_LAG: Duration = Duration::from_secs(1);
 /// Shortest interval between two reports of late hosts.
-const REPORT: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time without confirmation after which a newer version may have been acknowledged. Hosts are confirmed every half
 /// second while they reach a state node that hears the leader.
-const CONFIRMED: Duration = Duration::from_secs(2);
+const CONFIRMATION_EXPIRY: Duration = Duration::from_secs(2);
 
 /// Returns whether a route or key that is missing in an entry host's catalog is known not to exist. Otherwise it may
 /// have been added in a version that the host lacks, and callers must not be told that it does not exist.
 #[must_use]
 pub fn is_current(held: u64, newest: u64, confirmed: Option<Tick>, now: Tick) -> bool {
-    held >= newest && confirmed.is_some_and(|at| now.since(at) < CONFIRMED)
+    held >= newest && confirmed.is_some_and(|at| now.since(at) < CONFIRMATION_EXPIRY)
 }
 
 /// The leader's view of the catalog versions on the entry hosts.
@@ -37,7 +37,7 @@
     complete: u64,
     /// Newest version at the start of this leader.
     inherited: u64,
-    reported: Option<Tick>,
+    last_report: Option<Tick>,
 }
 
 /// A reportable change of a rollout.
@@ -73,7 +73,7 @@
             self.inherited = version;
         }
         self.published.push_back((version, now));
-        if self.published.len() > REMEMBERED {
+        if self.published.len() > MAX_VERSIONS {
             self.published.pop_front();
         }
     }
@@ -92,7 +92,7 @@
 
     /// Returns the progress to report since the last call.
     pub fn report(&mut self, now: Tick) -> Option<Progress> {
-        self.hosts.retain(|_, (_, heard)| now.since(*heard) <= HEARD);
+        self.hosts.retain(|_, (_, heard)| now.since(*heard) <= HEARTBEAT_EXPIRY);
         let (version, published) = *self.published.back()?;
         if self.hosts.is_empty() || self.complete == version {
             return None;
@@ -113,14 +113,14 @@
     }
 
     fn report_late(&mut self, version: u64, now: Tick) -> Option<Progress> {
-        if self.reported.is_some_and(|at| now.since(at) < REPORT) {
+        if self.last_report.is_some_and(|at| now.since(at) < REPORT_INTERVAL) {
             return None;
         }
         let lags = self.live(now).map(|(host, held)| (host, held, self.lag(held, now)));
-        let late: Vec<_> = lags.filter(|(_, _, lag)| *lag >= LATE).collect();
+        let late: Vec<_> = lags.filter(|(_, _, lag)| *lag >= LATE_LAG).collect();
         let lag = late.iter().map(|(_, _, lag)| *lag).max()?;
         let hosts = late.into_iter().map(|(host, held, _)| (host.clone(), held)).collect();
-        self.reported = Some(now);
+        self.last_report = Some(now);
         Some(Progress::Late { version, lag, hosts })
     }
 
@@ -138,7 +138,7 @@
         let live = self
             .hosts
             .iter()
-            .filter(move |(_, (_, heard))| now.since(*heard) <= HEARD);
+            .filter(move |(_, (_, heard))| now.since(*heard) <= HEARTBEAT_EXPIRY);
         live.map(|(host, (version, _))| (host, *version))
     }
 }
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -4,23 +4,27 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SharedPlaces {
     total: usize,
-    own: usize,
-    lanes: usize,
+    reserved: usize,
+    queues: usize,
 }
 
 impl SharedPlaces {
     /// Divides `total` places among the queues, with at least one reserved place for each.
     #[must_use]
-    pub fn new(total: usize, lanes: usize) -> Self {
-        let lanes = lanes.max(1);
-        let own = (total / 2 / lanes).max(1);
-        Self { total, own, lanes }
+    pub fn new(total: usize, queues: usize) -> Self {
+        let queues = queues.max(1);
+        let reserved = (total / 2 / queues).max(1);
+        Self {
+            total,
+            reserved,
+            queues,
+        }
     }
 
     /// Returns whether a queue that uses `used` places may use one more; `all` are the places used by every queue.
     #[must_use]
     pub fn has_place(&self, used: usize, all: impl Iterator<Item = usize>) -> bool {
-        let shared = self.total.saturating_sub(self.own * self.lanes);
-        used < self.own || all.map(|used| used.saturating_sub(self.own)).sum::<usize>() < shared
+        let shared = self.total.saturating_sub(self.reserved * self.queues);
+        used < self.reserved || all.map(|used| used.saturating_sub(self.reserved)).sum::<usize>() < shared
     }
 }
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -6,7 +6,7 @@
 use super::{Ablation, Candidate, RequestNeed, RoutingRules};
 
 /// Weight of the newest sample in the moving averages.
-const WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// Weight of the newest request in the share of those that continue a conversation.
 const FOLLOW_WEIGHT: f64 = 0.03;
 /// Factors on the prefill time after a faster and after a slower sample; the estimate settles where one sample in five
@@ -17,15 +17,15 @@
 /// Fewest prefilled tokens of a usable sample; with fewer, most of the time is spent on the connection.
 const PREFILL_TOKENS: u64 = 64;
 /// Wait before the first token that does not count as overload, in milliseconds.
-const EASY_MS: f64 = 150.0;
+const ACCEPTED_WAIT_MS: f64 = 150.0;
 /// Share of an answer's pauses that may be longer than its target.
 const LATE_PAUSES: f64 = 0.05;
 /// Changes of the usable share of the slots: factor after a request that did badly, increment after a good one, and
 /// lower bound.
-const EASE: (f64, f64, f64) = (0.97, 0.01, 0.25);
+const USABLE_SHARE_STEPS: (f64, f64, f64) = (0.97, 0.01, 0.25);
 /// Additional time to answer of a fully used upstream over an idle one, in milliseconds; it spreads requests between
 /// otherwise equal upstreams.
-const CROWD_MS: f64 = 20.0;
+const CROWDED_MS: f64 = 20.0;
 /// Share of its slots that an upstream without a valid report is assumed to use, in addition to the own requests there.
 const UNKNOWN_LOAD: f64 = 0.5;
 /// Cost of one micro-dollar, in milliseconds.
@@ -73,7 +73,7 @@
 impl ServiceRates {
     /// Records how long a request kept its slot.
     pub fn record_hold(&mut self, ms: f64) {
-        self.hold_ms += WEIGHT * (ms - self.hold_ms);
+        self.hold_ms += SAMPLE_WEIGHT * (ms - self.hold_ms);
     }
 
     /// Records the time to the first token of a request with `fresh` tokens to prefill.
@@ -94,10 +94,10 @@
                 self.prefill_token_ms * step
             };
         }
-        self.first_token_ms += WEIGHT * (ms - self.first_token_ms);
+        self.first_token_ms += SAMPLE_WEIGHT * (ms - self.first_token_ms);
         let own = fresh as f64 * self.prefill_token_ms;
-        self.own_prefill_ms += WEIGHT * (own - self.own_prefill_ms);
-        self.judge(ms - own <= own.max(EASY_MS));
+        self.own_prefill_ms += SAMPLE_WEIGHT * (own - self.own_prefill_ms);
+        self.adapt_usable_share(ms - own <= own.max(ACCEPTED_WAIT_MS));
     }
 
     /// Records the number of pauses between the tokens of an answer, and how many of them exceeded the target.
@@ -106,16 +106,16 @@
     /// target pauses do, every answer of a full batch is complete but late.
     pub fn record_pauses(&mut self, pauses: u32, late: u32) {
         if pauses > 0 {
-            self.judge(f64::from(late) <= f64::from(pauses) * LATE_PAUSES);
+            self.adapt_usable_share(f64::from(late) <= f64::from(pauses) * LATE_PAUSES);
         }
     }
 
     /// Adapts the usable share of the slots to the outcome of one request.
-    fn judge(&mut self, good: bool) {
-        self.usable_share = if good {
-            (self.usable_share + EASE.1).min(1.0)
+    fn adapt_usable_share(&mut self, succeeded: bool) {
+        self.usable_share = if succeeded {
+            (self.usable_share + USABLE_SHARE_STEPS.1).min(1.0)
         } else {
-            (self.usable_share * EASE.0).max(EASE.2)
+            (self.usable_share * USABLE_SHARE_STEPS.0).max(USABLE_SHARE_STEPS.2)
         };
     }
 
@@ -126,7 +126,7 @@
 
     /// Records the share of the earlier words that a conversation's home had cached.
     pub fn record_cached(&mut self, share: f64) {
-        self.cached_share += WEIGHT * (share.clamp(0.0, 1.0) - self.cached_share);
+        self.cached_share += SAMPLE_WEIGHT * (share.clamp(0.0, 1.0) - self.cached_share);
     }
 }
 
@@ -175,34 +175,34 @@
         } else {
             prefill + answer
         };
-        let count = |part, value: f64| if rules.with(part) { value } else { 0.0 };
+        let if_enabled = |part, value: f64| if rules.with(part) { value } else { 0.0 };
         let reclaims = match candidate.class {
             MachineClass::Reclaimable => candidate.reclaims_per_hour,
             MachineClass::OnDemand => 0.0,
         };
         // A reclaim halfway through repeats the prefill, and half of the answer if its cache cannot be moved.
-        let redo = need.prompt_tokens as f64 * rates.prefill_token_ms + answer / 2.0;
-        let chance = (reclaims * hold / MS_PER_HOUR).min(1.0);
+        let repeated_ms = need.prompt_tokens as f64 * rates.prefill_token_ms + answer / 2.0;
+        let reclaim_probability = (reclaims * hold / MS_PER_HOUR).min(1.0);
         let rent = candidate.price as f64 * hold / MS_PER_HOUR / slots;
         // Engines prefill one prompt after the other: those already there and not prefilled yet go first.
-        let before = if need.answer_tokens == 0 {
+        let queued_prefills = if need.answer_tokens == 0 {
             0.0
         } else {
             load.min(slots) * rates.own_prefill_ms / rates.hold_ms.max(1.0)
         };
-        let crowd = (load / slots).min(1.0) * CROWD_MS;
+        let crowd = (load / slots).min(1.0) * CROWDED_MS;
         Self {
             load,
-            wait: queued / slots * rates.hold_ms + crowd + before * rates.own_prefill_ms,
+            wait: queued / slots * rates.hold_ms + crowd + queued_prefills * rates.own_prefill_ms,
             prefill,
             stray: if candidate.home {
                 0.0
             } else {
                 rates.follow_share * need.prompt_tokens as f64 * rates.prefill_token_ms * (1.0 + beside)
             },
-            price: count(Ablation::Price, rent * MS_PER_MICRODOLLAR),
-            risk: count(Ablation::Risk, chance * redo),
-            distance: count(Ablation::Distance, if candidate.near { 0.0 } else { DISTANCE_MS }),
+            price: if_enabled(Ablation::Price, rent * MS_PER_MICRODOLLAR),
+            risk: if_enabled(Ablation::Risk, reclaim_probability * repeated_ms),
+            distance: if_enabled(Ablation::Distance, if candidate.near { 0.0 } else { DISTANCE_MS }),
         }
     }
 
--- a/crates/policy/src/route/group.rs
+++ b/crates/policy/src/route/group.rs
@@ -6,15 +6,15 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Most candidates for one request.
-pub const CANDIDATES: usize = 12;
+pub const MAX_CANDIDATES: usize = 12;
 /// Candidates from rendezvous hashing within the data centre of this host.
-const NEAR: usize = 2;
+const NEAR_CANDIDATES: usize = 2;
 /// Homes of one conversation: the second one takes over while the first is excluded.
 pub const HOMES: usize = 2;
 /// Candidates drawn at random.
-const SAMPLED: usize = 3;
+const SAMPLED_CANDIDATES: usize = 3;
 /// Fewest and most points of the rendezvous table, which leading prefixes are mapped to.
-const POINTS: (usize, usize) = (1_024, 8_192);
+const TABLE_POINTS: (usize, usize) = (1_024, 8_192);
 
 /// What a request is addressed to.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -85,31 +85,34 @@
 /// table, whatever the size of the group.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamGroup {
-    places: Vec<GroupMember>,
+    members: Vec<GroupMember>,
     by_number: Vec<(u32, u32)>,
     near: Vec<u32>,
-    seeds: Vec<u64>,
-    points: Vec<[u32; NEAR + HOMES]>,
+    name_hashes: Vec<u64>,
+    points: Vec<[u32; NEAR_CANDIDATES + HOMES]>,
 }
 
 impl UpstreamGroup {
     /// Creates a group; the index of a member is its position in `members`.
     #[must_use]
-    pub fn new(places: Vec<GroupMember>) -> Self {
-        let mut by_number: Vec<(u32, u32)> = (0_u32..).zip(&places).map(|(at, place)| (place.number, at)).collect();
+    pub fn new(members: Vec<GroupMember>) -> Self {
+        let mut by_number: Vec<(u32, u32)> = (0_u32..)
+            .zip(&members)
+            .map(|(at, member)| (member.number, at))
+            .collect();
         by_number.sort_unstable();
-        let all: Vec<u32> = (0..places.len() as u32).collect();
-        let near: Vec<u32> = all.iter().copied().filter(|at| places[*at as usize].near).collect();
+        let all: Vec<u32> = (0..members.len() as u32).collect();
+        let near: Vec<u32> = all.iter().copied().filter(|at| members[*at as usize].near).collect();
         let near = if near.is_empty() { all } else { near };
         let mut group = Self {
-            places,
+            members,
             by_number,
             near,
-            seeds: Vec::new(),
+            name_hashes: Vec::new(),
             points: Vec::new(),
         };
-        group.seeds = group.seeds();
-        if group.places.len() > CANDIDATES {
+        group.name_hashes = group.name_hashes();
+        if group.members.len() > MAX_CANDIDATES {
             group.points = group.rendezvous();
         }
         group
@@ -118,7 +121,7 @@
     /// Returns the members by index.
     #[must_use]
     pub fn members(&self) -> &[GroupMember] {
-        &self.places
+        &self.members
     }
 
     /// Returns the index of an upstream by its number; `None` if it is not a member.
@@ -136,11 +139,11 @@
     #[must_use]
     pub fn homes(&self, key: u64) -> [usize; HOMES] {
         if self.points.is_empty() {
-            let all: Vec<u32> = (0..self.places.len() as u32).collect();
-            return best_of(&all, &self.seeds, xxh3_64(&key.to_le_bytes())).map(|at| at as usize);
+            let all: Vec<u32> = (0..self.members.len() as u32).collect();
+            return best_of(&all, &self.name_hashes, xxh3_64(&key.to_le_bytes())).map(|at| at as usize);
         }
         let point = &self.points[key as usize & (self.points.len() - 1)];
-        [point[NEAR] as usize, point[NEAR + 1] as usize]
+        [point[NEAR_CANDIDATES] as usize, point[NEAR_CANDIDATES + 1] as usize]
     }
 
     /// Proposes at most [`CANDIDATES`] members for a request.
@@ -150,14 +153,14 @@
     #[must_use]
     pub fn propose(&self, homes: &[usize], lead: Option<u64>, holders: &[u32], turn: u64) -> Vec<ProposedCandidate> {
         let reason = Reason::All;
-        if self.places.len() <= CANDIDATES {
-            return (0..self.places.len())
+        if self.members.len() <= MAX_CANDIDATES {
+            return (0..self.members.len())
                 .map(|at| ProposedCandidate { at, reason })
                 .collect();
         }
-        let mut found: Vec<ProposedCandidate> = Vec::with_capacity(CANDIDATES);
+        let mut found: Vec<ProposedCandidate> = Vec::with_capacity(MAX_CANDIDATES);
         let mut add = |at: usize, reason| {
-            if found.len() < CANDIDATES && found.iter().all(|other| other.at != at) {
+            if found.len() < MAX_CANDIDATES && found.iter().all(|other| other.at != at) {
                 found.push(ProposedCandidate { at, reason });
             }
         };
@@ -173,12 +176,12 @@
                 add(*at as usize, Reason::Rendezvous);
             }
         }
-        for draw in 0..SAMPLED as u64 {
+        for draw in 0..SAMPLED_CANDIDATES as u64 {
             let random = xxh3_64_with_seed(&turn.to_le_bytes(), draw);
             let near = self.near[random as usize % self.near.len()] as usize;
             // One draw covers all data centres, so that a group that is better off elsewhere is noticed.
             let at = if draw == 0 {
-                random as usize % self.places.len()
+                random as usize % self.members.len()
             } else {
                 near
             };
@@ -190,30 +193,32 @@
     /// Returns the next members in rotation, for the baselines; the next one itself is at index `turn % CANDIDATES`.
     #[must_use]
     pub fn rotation(&self, turn: u64) -> Vec<ProposedCandidate> {
-        let count = self.places.len();
-        let base = if count > CANDIDATES {
-            turn as usize - turn as usize % CANDIDATES
+        let count = self.members.len();
+        let base = if count > MAX_CANDIDATES {
+            turn as usize - turn as usize % MAX_CANDIDATES
         } else {
             0
         };
-        let positions = (0..count.min(CANDIDATES)).map(|step| (base + step) % count);
+        let positions = (0..count.min(MAX_CANDIDATES)).map(|step| (base + step) % count);
         let reason = Reason::All;
         positions.map(|at| ProposedCandidate { at, reason }).collect()
     }
 
-    fn seeds(&self) -> Vec<u64> {
-        let names = self.places.iter().map(|place| place.id.as_str());
+    fn name_hashes(&self) -> Vec<u64> {
+        let names = self.members.iter().map(|member| member.id.as_str());
         names.map(|name| xxh3_64(name.as_bytes())).collect()
     }
 
     /// Returns the two best members of this data centre and the two best of all, for each point.
-    fn rendezvous(&self) -> Vec<[u32; NEAR + HOMES]> {
-        let points = (2 * self.places.len()).next_power_of_two().clamp(POINTS.0, POINTS.1);
-        let all: Vec<u32> = (0..self.places.len() as u32).collect();
+    fn rendezvous(&self) -> Vec<[u32; NEAR_CANDIDATES + HOMES]> {
+        let points = (2 * self.members.len())
+            .next_power_of_two()
+            .clamp(TABLE_POINTS.0, TABLE_POINTS.1);
+        let all: Vec<u32> = (0..self.members.len() as u32).collect();
         let point = |point: u64| {
-            let salt = xxh3_64(&point.to_le_bytes());
-            let [first, second] = best_of(&self.near, &self.seeds, salt);
-            let [home, other] = best_of(&all, &self.seeds, salt);
+            let point_hash = xxh3_64(&point.to_le_bytes());
+            let [first, second] = best_of(&self.near, &self.name_hashes, point_hash);
+            let [home, other] = best_of(&all, &self.name_hashes, point_hash);
             [first, second, home, other]
         };
         (0..points as u64).map(point).collect()
@@ -221,10 +226,10 @@
 }
 
 /// Returns the two members with the highest weight for a salt.
-fn best_of(members: &[u32], seeds: &[u64], salt: u64) -> [u32; 2] {
+fn best_of(members: &[u32], name_hashes: &[u64], point_hash: u64) -> [u32; 2] {
     let mut best = [(0, 0); 2];
     for at in members {
-        let weight = weight(seeds[*at as usize], salt);
+        let weight = weight(name_hashes[*at as usize], point_hash);
         if weight > best[0].0 {
             best = [(weight, *at), best[0]];
         } else if weight > best[1].0 {
@@ -235,8 +240,8 @@
 }
 
 /// Returns the weight of a member at a point; both inputs are hashes already.
-const fn weight(seed: u64, salt: u64) -> u64 {
-    const ODD: u128 = 0x9e37_79b9_7f4a_7c15;
-    let product = (seed ^ salt) as u128 * ODD;
+const fn weight(name_hash: u64, point_hash: u64) -> u64 {
+    const MULTIPLIER: u128 = 0x9e37_79b9_7f4a_7c15;
+    let product = (name_hash ^ point_hash) as u128 * MULTIPLIER;
     (product >> 64) as u64 ^ product as u64
 }
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use cost::{Cost, ServiceRates};
-pub use group::{CANDIDATES, GroupMember, HOMES, ProposedCandidate, Reason, Target, UpstreamGroup};
+pub use group::{GroupMember, HOMES, MAX_CANDIDATES, ProposedCandidate, Reason, Target, UpstreamGroup};
 pub use record::{Choice, Exclusion, NotChosen, ScoredCandidate};
 
 use contract::{MachineClass, UpstreamId};
@@ -81,17 +81,17 @@
 
 /// The name given is not a term of the routing decision.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{name} is no part of the routing decision")]
-pub struct UnknownPart {
+#[display("{name} is not a term of the routing decision")]
+pub struct UnknownAblation {
     name: String,
 }
 
 impl std::str::FromStr for Ablation {
-    type Err = UnknownPart;
+    type Err = UnknownAblation;
 
-    fn from_str(text: &str) -> Result<Self, UnknownPart> {
-        let found = ABLATIONS.into_iter().find(|part| part.to_string() == text);
-        found.ok_or_else(|| UnknownPart { name: text.to_owned() })
+    fn from_str(text: &str) -> Result<Self, UnknownAblation> {
+        let found = ABLATIONS.into_iter().find(|term| term.to_string() == text);
+        found.ok_or_else(|| UnknownAblation { name: text.to_owned() })
     }
 }
 
@@ -107,8 +107,8 @@
 impl RoutingRules {
     /// Returns whether a term is enabled.
     #[must_use]
-    pub fn with(&self, part: Ablation) -> bool {
-        !self.without.contains(&part)
+    pub fn with(&self, term: Ablation) -> bool {
+        !self.without.contains(&term)
     }
 }
 
@@ -175,12 +175,12 @@
     // The first of equal candidates wins, and the starting index rotates with every choice.
     let chosen = open.min_by(|a, b| rank(a).total_cmp(&rank(b)))?;
     let best = rank(&chosen);
-    let lost = |at: usize| match candidates[at].exclusion {
+    let not_chosen = |at: usize| match candidates[at].exclusion {
         _ if at == chosen => None,
         Some(why) => Some(NotChosen::Barred(why)),
         None => Some(NotChosen::Behind { by: rank(&at) - best }),
     };
-    let weighed = candidates.iter().enumerate().map(|(at, candidate)| ScoredCandidate {
+    let scored = candidates.iter().enumerate().map(|(at, candidate)| ScoredCandidate {
         upstream: candidate.id.clone(),
         reason: candidate.reason,
         cost_ms: candidate.exclusion.is_none().then(|| costs[at].total()),
@@ -188,7 +188,7 @@
         cached: candidate.cached,
         report_age_ms: candidate.load.age.map(|age| age.as_millis() as u64),
         expired: candidate.load.age.is_some() && candidate.load.reported.is_none(),
-        lost: lost(at),
+        lost: not_chosen(at),
     });
     Some(Choice {
         routing: rules.routing,
@@ -196,6 +196,6 @@
         cached: candidates[chosen].cached,
         prompt_tokens: need.prompt_tokens,
         answer_tokens: need.answer_tokens,
-        weighed: weighed.collect(),
+        weighed: scored.collect(),
     })
 }
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -11,7 +11,7 @@
 use crate::Tick;
 
 /// Time for which a node that failed is only asked if all others have failed too.
-const AVOIDED: Duration = Duration::from_secs(5);
+const AVOID_TIME: Duration = Duration::from_secs(5);
 
 /// Chooses among the state nodes.
 #[derive(Debug, Default)]
@@ -34,15 +34,15 @@
     /// lacks.
     #[must_use]
     pub fn pick(&self, nodes: &BTreeSet<SocketAddr>, leader: Option<SocketAddr>, now: Tick) -> Option<SocketAddr> {
-        let sound = |node: &SocketAddr| self.failed.get(node).is_none_or(|at| now.since(*at) >= AVOIDED);
-        if let Some(leader) = leader.filter(sound) {
+        let usable = |node: &SocketAddr| self.failed.get(node).is_none_or(|at| now.since(*at) >= AVOID_TIME);
+        if let Some(leader) = leader.filter(usable) {
             return Some(leader);
         }
         let count = nodes.len();
         let first = self.turn.checked_rem(count)?;
         let order = || nodes.iter().cycle().skip(first).take(count);
         let longest_ago = || order().min_by_key(|node| self.failed.get(node));
-        order().find(|node| sound(node)).or_else(longest_ago).copied()
+        order().find(|node| usable(node)).or_else(longest_ago).copied()
     }
 
     /// Records that a node did not answer, or answered with outdated data.
--- a/crates/policy/tests/breaker_probe.rs
+++ b/crates/policy/tests/breaker_probe.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use policy::Tick;
-use policy::breaker::{Breaker, FAILURES, PAUSE};
+use policy::breaker::{Breaker, FAILURE_THRESHOLD, OPEN_TIME};
 use quickcheck::{Gen, QuickCheck};
 
-fn opened(now: Tick) -> Breaker {
+fn open_breaker(now: Tick) -> Breaker {
     let mut breaker = Breaker::default();
-    for _ in 0..FAILURES {
+    for _ in 0..FAILURE_THRESHOLD {
         assert!(breaker.claim(now));
         breaker.failed(now);
     }
@@ -22,12 +22,12 @@
 fn single_probe() {
     fn holds(steps: Vec<(u8, u8)>) -> bool {
         let mut now = Tick::from_millis(1_000);
-        let mut breaker = opened(now);
+        let mut breaker = open_breaker(now);
         let mut last: Option<Tick> = None;
         for (wait, late) in steps {
             now = now + Duration::from_millis(u64::from(wait) * 4);
             let passed = (0..5).filter(|_| breaker.claim(now)).count();
-            if passed > 1 || (passed == 1 && last.is_some_and(|at| now.since(at) < PAUSE.0)) {
+            if passed > 1 || (passed == 1 && last.is_some_and(|at| now.since(at) < OPEN_TIME.0)) {
                 return false;
             }
             if passed == 1 {
@@ -50,12 +50,12 @@
 #[test]
 fn late_failures() {
     let now = Tick::from_millis(1_000);
-    let mut breaker = opened(now);
+    let mut breaker = open_breaker(now);
     for _ in 0..100 {
         breaker.failed(now + Duration::from_millis(10));
     }
-    assert_eq!(breaker.probe_at(), Some(now + PAUSE.0));
-    assert!(breaker.claim(now + PAUSE.0));
+    assert_eq!(breaker.probe_at(), Some(now + OPEN_TIME.0));
+    assert!(breaker.claim(now + OPEN_TIME.0));
     breaker.succeeded();
     assert_eq!(breaker.probe_at(), None);
 }
@@ -63,10 +63,10 @@
 #[test]
 fn pause_bounded() {
     let mut now = Tick::default();
-    let mut breaker = opened(now);
+    let mut breaker = open_breaker(now);
     for _ in 0..40 {
         let next = breaker.probe_at().unwrap();
-        assert!(next.since(now) <= PAUSE.1);
+        assert!(next.since(now) <= OPEN_TIME.1);
         now = next;
         assert!(breaker.claim(now));
         breaker.failed(now);
--- a/crates/policy/tests/capacity_plan.rs
+++ b/crates/policy/tests/capacity_plan.rs
@@ -5,7 +5,9 @@
 
 use contract::{HostRule, MachineClass, Zone};
 use policy::Tick;
-use policy::plan::{Backoff, HeldHost, HostPool, ModelNeed, ScalingRules, Step, WeightLoad, Why, next_loads, plan};
+use policy::plan::{
+    Backoff, HeldHost, HostPool, ModelNeed, ScalingRules, Step, StepReason, WeightLoad, next_loads, plan,
+};
 use quickcheck::{Gen, QuickCheck};
 
 const RULES: ScalingRules = ScalingRules {
@@ -31,16 +33,16 @@
         .collect()
 }
 
-fn need(busy: f64, floor: u32) -> Vec<ModelNeed> {
+fn need(busy: f64, guaranteed: u32) -> Vec<ModelNeed> {
     vec![ModelNeed {
         model: "m".into(),
         busy,
-        guaranteed: floor,
+        guaranteed,
     }]
 }
 
 /// Applies the steps of a plan to the hosts.
-fn carry_out(held: &mut Vec<HeldHost>, steps: &[Step], pools: &[HostPool]) {
+fn apply(held: &mut Vec<HeldHost>, steps: &[Step], pools: &[HostPool]) {
     for step in steps {
         match step {
             Step::Start { model, zone, class, .. } => {
@@ -60,19 +62,19 @@
     }
 }
 
-fn settle(
+fn apply_until_stable(
     held: &mut Vec<HeldHost>,
     needs: &[ModelNeed],
     pools: &[HostPool],
-    said: &BTreeMap<String, HostRule>,
+    operator_rules: &BTreeMap<String, HostRule>,
 ) -> usize {
     let mut rounds = 0;
     loop {
-        let steps = plan(needs, held, pools, said, &RULES, true);
+        let steps = plan(needs, held, pools, operator_rules, &RULES, true);
         if steps.is_empty() {
             return rounds;
         }
-        carry_out(held, &steps, pools);
+        apply(held, &steps, pools);
         rounds += 1;
         assert!(rounds < 1_000, "the plan never comes to rest");
     }
@@ -98,14 +100,14 @@
 /// of the contracts, since new hosts take far longer to start.
 #[test]
 fn zone_lost() {
-    fn enough(busy: u16, floor: u8, zones: u8) -> bool {
+    fn enough(busy: u16, guaranteed: u8, zones: u8) -> bool {
         let zones = zones % 4 + 2;
-        let (busy, floor) = (f64::from(busy % 150), u32::from(floor));
+        let (busy, guaranteed) = (f64::from(busy % 150), u32::from(guaranteed));
         let mut held = Vec::new();
-        settle(&mut held, &need(busy, floor), &pools(zones), &BTreeMap::new());
+        apply_until_stable(&mut held, &need(busy, guaranteed), &pools(zones), &BTreeMap::new());
         let on_demand = held.iter().filter(|one| one.class == MachineClass::OnDemand).count();
         let slots = |hosts: usize| (hosts * 10) as f64;
-        slots(after_loss(&held, zones)) >= busy.max(f64::from(floor)) && slots(on_demand) >= f64::from(floor)
+        slots(after_loss(&held, zones)) >= busy.max(f64::from(guaranteed)) && slots(on_demand) >= f64::from(guaranteed)
     }
     check(enough);
 }
@@ -114,12 +116,17 @@
 /// they load their weights and serve nobody.
 #[test]
 fn no_flapping() {
-    fn still(busy: u16, floor: u8, wobble: u8) -> bool {
+    fn still(busy: u16, guaranteed: u8, wobble: u8) -> bool {
         let busy = f64::from(busy % 150) + 20.0;
         let mut held = Vec::new();
-        settle(&mut held, &need(busy, u32::from(floor)), &pools(3), &BTreeMap::new());
+        apply_until_stable(
+            &mut held,
+            &need(busy, u32::from(guaranteed)),
+            &pools(3),
+            &BTreeMap::new(),
+        );
         let moved = busy * (0.95 + f64::from(wobble) / 255.0 * 0.05);
-        let needs = need(moved, u32::from(floor));
+        let needs = need(moved, u32::from(guaranteed));
         plan(&needs, &held, &pools(3), &BTreeMap::new(), &RULES, true).is_empty()
     }
     check(still);
@@ -127,14 +134,24 @@
 
 /// Hosts are drained in steps. After each the model must be as safe against the loss of a zone as with a new plan.
 #[test]
-fn shrinks_safely() {
-    fn safe(busy: u16, floor: u8, less: u8) -> bool {
+fn safe_shrink() {
+    fn safe(busy: u16, guaranteed: u8, less: u8) -> bool {
         let busy = f64::from(busy % 150);
         let mut held = Vec::new();
-        settle(&mut held, &need(busy, u32::from(floor)), &pools(3), &BTreeMap::new());
+        apply_until_stable(
+            &mut held,
+            &need(busy, u32::from(guaranteed)),
+            &pools(3),
+            &BTreeMap::new(),
+        );
         let busy = busy * f64::from(less) / 255.0;
-        settle(&mut held, &need(busy, u32::from(floor)), &pools(3), &BTreeMap::new());
-        (after_loss(&held, 3) * 10) as f64 >= busy.max(f64::from(floor))
+        apply_until_stable(
+            &mut held,
+            &need(busy, u32::from(guaranteed)),
+            &pools(3),
+            &BTreeMap::new(),
+        );
+        (after_loss(&held, 3) * 10) as f64 >= busy.max(f64::from(guaranteed))
     }
     check(safe);
 }
@@ -148,13 +165,13 @@
         pool.open = false;
     }
     let mut held = Vec::new();
-    settle(&mut held, &need(40.0, 0), &few, &BTreeMap::new());
+    apply_until_stable(&mut held, &need(40.0, 0), &few, &BTreeMap::new());
     assert!(held.iter().all(|one| one.class == MachineClass::OnDemand));
     assert_eq!((held.len(), after_loss(&held, 2)), (8, 4));
 }
 
 #[test]
-fn operators_first() {
+fn operator_rules_first() {
     let rule = HostRule {
         model: "m".into(),
         zone: "zone-1".into(),
@@ -162,19 +179,25 @@
         least: 3,
         most: 3,
     };
-    let mut said = BTreeMap::from([(rule.key(), rule.clone())]);
+    let mut operator_rules = BTreeMap::from([(rule.key(), rule.clone())]);
     let mut held = Vec::new();
-    settle(&mut held, &need(0.0, 0), &pools(2), &said);
+    apply_until_stable(&mut held, &need(0.0, 0), &pools(2), &operator_rules);
     assert_eq!(held.len(), 3);
-    assert!(plan(&need(0.0, 0), &held, &pools(2), &said, &RULES, true).is_empty());
+    assert!(plan(&need(0.0, 0), &held, &pools(2), &operator_rules, &RULES, true).is_empty());
     let none = HostRule {
         least: 0,
         most: 0,
         ..rule
     };
-    said.insert(none.key(), none);
-    let steps = plan(&need(0.0, 0), &held, &pools(2), &said, &RULES, false);
-    assert!(matches!(steps[0], Step::Drain { why: Why::Rule, .. }));
+    operator_rules.insert(none.key(), none);
+    let steps = plan(&need(0.0, 0), &held, &pools(2), &operator_rules, &RULES, false);
+    assert!(matches!(
+        steps[0],
+        Step::Drain {
+            why: StepReason::Rule,
+            ..
+        }
+    ));
     assert_eq!(steps.len(), 3);
 }
 
--- a/crates/policy/tests/early_reclaim.rs
+++ b/crates/policy/tests/early_reclaim.rs
@@ -24,7 +24,7 @@
 /// One engine of a data centre hangs. If it was the one that is always probed, a reclaim of the data centre would go
 /// unnoticed.
 #[test]
-fn taking_turns() {
+fn probes_rotate() {
     let list = [
         listed("a", "y", true),
         listed("b", "z", true),
@@ -32,20 +32,20 @@
         listed("d", "z", true),
         listed("e", "z", false),
     ];
-    let asked = |turn| -> Vec<Vec<String>> {
+    let probed = |turn| -> Vec<Vec<String>> {
         let groups = engines_to_probe(&list, turn).into_iter();
         groups
-            .map(|(_, two)| two.iter().map(|one| one.id.clone()).collect())
+            .map(|(_, engines)| engines.iter().map(|one| one.id.clone()).collect())
             .collect()
     };
-    assert_eq!(asked(0), [vec!["a"], vec!["b", "c"]]);
-    assert_eq!(asked(2), [vec!["a"], vec!["d", "b"]]);
+    assert_eq!(probed(0), [vec!["a"], vec!["b", "c"]]);
+    assert_eq!(probed(2), [vec!["a"], vec!["d", "b"]]);
 }
 
 /// A data centre gets new reclaimable engines seconds after a reclaim took the old ones. The reported reclaim must not
 /// mark the new ones as leaving.
 #[test]
-fn newcomers_stay() {
+fn new_engines_stay() {
     let mut reclaims = ReportedReclaims::default();
     let group = (ServiceName::from("m"), Zone::from("z"));
     reclaims.record(group.clone(), Tick::from_millis(2_000), Tick::from_millis(1_000));
--- a/crates/policy/tests/fair_queue.rs
+++ b/crates/policy/tests/fair_queue.rs
@@ -7,11 +7,11 @@
 use policy::fair::{FairQueue, RefusalReason, Ticket};
 use quickcheck::{Gen, QuickCheck};
 
-fn ticket(id: u64, customer: &str, share: u32) -> Ticket {
+fn ticket(id: u64, customer: &str, weight: u32) -> Ticket {
     Ticket {
         id,
         customer: customer.into(),
-        weight: share,
+        weight,
         tokens: 100.0,
         latest_start: Tick::from_millis(1_000),
         shed_order: 0,
@@ -55,21 +55,25 @@
 /// customers, each divided by its weight, may differ by no more than one of the largest requests for each.
 #[test]
 fn weights_hold() {
-    fn holds(shares: Vec<u8>, sizes: Vec<u16>) -> bool {
-        let shares: Vec<u32> = shares.iter().take(8).map(|share| u32::from(share % 20) + 1).collect();
+    fn holds(weights: Vec<u8>, sizes: Vec<u16>) -> bool {
+        let weights: Vec<u32> = weights
+            .iter()
+            .take(8)
+            .map(|weight| u32::from(weight % 20) + 1)
+            .collect();
         let sizes: Vec<f64> = sizes
             .iter()
             .map(|size| f64::from(size % 4_000) + 1.0)
             .chain([100.0])
             .collect();
         let mut queue = FairQueue::new(100_000);
-        let mut served = vec![0.0; shares.len()];
+        let mut served = vec![0.0; weights.len()];
         for id in 0..200_u64 {
-            for (number, share) in shares.iter().enumerate() {
+            for (number, weight) in weights.iter().enumerate() {
                 let tokens = sizes[(id as usize + number) % sizes.len()];
                 let ticket = Ticket {
                     tokens,
-                    ..ticket(id * 100 + number as u64, &number.to_string(), *share)
+                    ..ticket(id * 100 + number as u64, &number.to_string(), *weight)
                 };
                 queue.push(ticket, Tick::default()).unwrap();
             }
@@ -79,7 +83,7 @@
         for _ in 0..200 {
             let Some(ticket) = queue.pop() else { break };
             let number: usize = ticket.customer.as_str().parse().unwrap();
-            served[number] += ticket.tokens / f64::from(shares[number]);
+            served[number] += ticket.tokens / f64::from(weights[number]);
             let low = served.iter().fold(f64::MAX, |a, b| a.min(*b));
             let high = served.iter().fold(0.0_f64, |a, b| a.max(*b));
             if high - low > 2.0 * largest {
@@ -94,22 +98,25 @@
 /// One customer is idle while the other gets everything. When it returns it must get its share at once, and no more: it
 /// must neither wait behind the other's queue nor be repaid for its idle time.
 #[test]
-fn lent_share_returns() {
+fn idle_share_returns() {
     let mut queue = FairQueue::new(10_000);
     for id in 0..1_000 {
         queue.push(ticket(id, "busy", 1), Tick::default()).unwrap();
     }
-    let alone: Vec<Ticket> = (0..500).filter_map(|_| queue.pop()).collect();
-    assert_eq!(alone.len(), 500);
+    let served_alone: Vec<Ticket> = (0..500).filter_map(|_| queue.pop()).collect();
+    assert_eq!(served_alone.len(), 500);
     for id in 0..100 {
         queue.push(ticket(5_000 + id, "back", 1), Tick::default()).unwrap();
     }
-    let mut back = 0;
+    let mut returned = 0;
     for served in 1..=80 {
         let ticket = queue.pop().unwrap();
-        back += usize::from(ticket.customer.as_str() == "back");
+        returned += usize::from(ticket.customer.as_str() == "back");
         // Half of all at any time, and one request more at most.
-        assert!(2 * back >= served && 2 * back <= served + 2, "{back} of {served}");
+        assert!(
+            2 * returned >= served && 2 * returned <= served + 2,
+            "{returned} of {served}"
+        );
     }
 }
 
@@ -117,17 +124,17 @@
 /// the prediction at its arrival; otherwise it would starve, or be refused for a wait that would not happen.
 #[test]
 fn wait_predicted() {
-    fn holds(others: Vec<(u8, u16, u8)>, share: u8, size: u16) -> bool {
+    fn holds(others: Vec<(u8, u16, u8)>, weight: u8, size: u16) -> bool {
         let mut queue = FairQueue::new(100_000);
         let mut largest = 0.0_f64;
-        for (id, (who, size, share)) in (0..).zip(&others) {
+        for (id, (customer, size, weight)) in (0..).zip(&others) {
             let tokens = f64::from(size % 4_000) + 1.0;
             largest = largest.max(tokens);
-            let who = who % 5;
+            let customer = customer % 5;
             let ticket = Ticket {
                 tokens,
-                latest_start: Tick::from_millis(1_000 + u64::from(*share)),
-                ..ticket(id, &who.to_string(), u32::from(who) + 1)
+                latest_start: Tick::from_millis(1_000 + u64::from(*weight)),
+                ..ticket(id, &customer.to_string(), u32::from(customer) + 1)
             };
             queue.push(ticket, Tick::default()).unwrap();
             if id % 3 == 0 {
@@ -136,7 +143,7 @@
         }
         let small = Ticket {
             tokens: f64::from(size % 4_000) + 1.0,
-            ..ticket(1_000_000, "small", u32::from(share % 3) + 1)
+            ..ticket(1_000_000, "small", u32::from(weight % 3) + 1)
         };
         let ahead = queue.work_ahead(&small);
         queue.push(small, Tick::default()).unwrap();
@@ -158,7 +165,7 @@
         let mut open: BTreeMap<u64, Ticket> = BTreeMap::new();
         let mut ended: BTreeSet<u64> = BTreeSet::new();
         let mut now = Tick::default();
-        for (id, (what, who, shed, time)) in (0..).zip(steps) {
+        for (id, (what, customer, shed, time)) in (0..).zip(steps) {
             let some = open.values().next().cloned();
             let mut end = |ticket: &Ticket| open.remove(&ticket.id).is_some() && ended.insert(ticket.id);
             let good = match what % 8 {
@@ -166,7 +173,7 @@
                     let new = Ticket {
                         latest_start: now + std::time::Duration::from_millis(u64::from(time)),
                         shed_order: shed % 4,
-                        ..ticket(id, &(who % 4).to_string(), u32::from(who % 4) + 1)
+                        ..ticket(id, &(customer % 4).to_string(), u32::from(customer % 4) + 1)
                     };
                     match queue.push(new.clone(), now) {
                         Ok(victim) => {
@@ -196,7 +203,7 @@
 /// One customer floods the queue with requests that can wait, then another sends an urgent one. The urgent request must
 /// be queued and one of the flood dropped, not the last arrival.
 #[test]
-fn flood_sheds_itself() {
+fn flood_drops_itself() {
     let mut queue = FairQueue::new(10);
     for id in 0..10 {
         let notice = Ticket {
--- a/crates/policy/tests/fleet_plan.rs
+++ b/crates/policy/tests/fleet_plan.rs
@@ -21,20 +21,20 @@
     }
 }
 
-fn present(counts: [(u32, u32, bool); 4]) -> BTreeMap<Zone, ZoneSupply> {
+fn supplies(counts: [(u32, u32, bool); 4]) -> BTreeMap<Zone, ZoneSupply> {
     let zones = ["a", "b", "c", "d"].into_iter().map(Zone::from);
-    let there = counts.into_iter().map(|(on_demand, reclaimable, dry)| ZoneSupply {
+    let counted = counts.into_iter().map(|(on_demand, reclaimable, scarce)| ZoneSupply {
         on_demand,
         reclaimable,
-        scarce: dry,
+        scarce,
         reclaimed: false,
-        backing_off: dry,
+        backing_off: scarce,
     });
-    zones.zip(there).collect()
+    zones.zip(counted).collect()
 }
 
-fn sum(wanted: &BTreeMap<Zone, ZoneTarget>, of: impl Fn(&ZoneTarget) -> u32) -> u32 {
-    wanted.values().map(of).sum()
+fn sum(targets: &BTreeMap<Zone, ZoneTarget>, of: impl Fn(&ZoneTarget) -> u32) -> u32 {
+    targets.values().map(of).sum()
 }
 
 const START: [(u32, u32, bool); 4] = [(3, 0, false), (2, 0, false), (2, 0, false), (2, 0, false)];
@@ -43,43 +43,43 @@
 /// those are given up as soon as the load allows it, they must be ordered again when it grows, and a fifth of all
 /// answers is late until they serve.
 #[test]
-fn wave_keeps() {
+fn wave_keeps_hosts() {
     let wave = [(3, 0, true), (3, 4, true), (3, 0, true), (3, 3, true)];
-    let wanted = plan(&present(wave), &scaling(0.16), 10.0);
-    assert!(sum(&wanted, |one| one.on_demand) >= 9, "{wanted:?}");
+    let targets = plan(&supplies(wave), &scaling(0.16), 10.0);
+    assert!(sum(&targets, |one| one.on_demand) >= 9, "{targets:?}");
 }
 
 /// All upstreams are on-demand at the start. They must stay until reclaimable ones serve, and then shrink to the floor.
 #[test]
-fn moves_to_cheap() {
+fn moves_to_reclaimable() {
     let busy = 5.0;
-    let first = plan(&present(START), &scaling(0.16), busy);
+    let first = plan(&supplies(START), &scaling(0.16), busy);
     assert!(sum(&first, |one| one.on_demand) >= 5, "{first:?}");
     assert!(sum(&first, |one| one.reclaimable) >= 10, "{first:?}");
     let later = [(3, 3, false), (2, 3, false), (2, 2, false), (2, 2, false)];
-    let later = plan(&present(later), &scaling(0.16), busy);
+    let later = plan(&supplies(later), &scaling(0.16), busy);
     assert_eq!(sum(&later, |one| one.on_demand), 2, "{later:?}");
 }
 
 /// The reclaimable upstreams of a data centre are lost, and none are available anywhere. On-demand ones must replace
 /// them as far as the load needs it; otherwise the others stay overloaded for as long as the shortage lasts.
 #[test]
-fn dry_spell() {
+fn scarce_supply() {
     let busy = 7.0;
-    let dry = [(0, 2, true), (1, 0, true), (0, 2, true), (0, 0, true)];
-    let wanted = plan(&present(dry), &scaling(0.16), busy);
-    assert!(sum(&wanted, |one| one.on_demand) >= 3, "{wanted:?}");
-    let kept = ["a", "c"].map(|zone| wanted[&Zone::from(zone)].reclaimable);
-    assert_eq!(kept, [2, 2], "what is there is not given up");
+    let scarce = [(0, 2, true), (1, 0, true), (0, 2, true), (0, 0, true)];
+    let targets = plan(&supplies(scarce), &scaling(0.16), busy);
+    assert!(sum(&targets, |one| one.on_demand) >= 3, "{targets:?}");
+    let kept = ["a", "c"].map(|zone| targets[&Zone::from(zone)].reclaimable);
+    assert_eq!(kept, [2, 2], "existing upstreams are kept");
 }
 
 /// Two of four data centres are reclaimed within seconds, and the other two may follow. What the load needs must remain
 /// after the next loss too, since an on-demand upstream takes four seconds to start.
 #[test]
-fn wave_goes_on() {
+fn wave_continues() {
     let wave = [(0, 2, true), (1, 2, true), (0, 0, true), (0, 0, true)];
-    let wanted = plan(&present(wave), &scaling(0.16), 4.0);
-    assert!(sum(&wanted, |one| one.on_demand) >= 2, "{wanted:?}");
+    let targets = plan(&supplies(wave), &scaling(0.16), 4.0);
+    assert!(sum(&targets, |one| one.on_demand) >= 2, "{targets:?}");
 }
 
 /// Three data centres are reclaimed within nine seconds. An on-demand upstream ordered at the second loss starts after
@@ -87,7 +87,7 @@
 /// many, since they cost as much as the whole fleet.
 #[test]
 fn quick_wave() {
-    let mut wave = present([(0, 0, true), (1, 0, true), (0, 3, true), (0, 3, true)]);
+    let mut wave = supplies([(0, 0, true), (1, 0, true), (0, 3, true), (0, 3, true)]);
     let slow = plan(&wave, &scaling(0.16), 4.0);
     assert_eq!(sum(&slow, |one| one.on_demand), 1, "{slow:?}");
     for zone in ["a", "b"] {
@@ -108,7 +108,7 @@
 /// Requests queue up behind an overload. Upstreams must not be ordered for that queue: they would start after it has
 /// drained, and cost as much as the rest of the day.
 #[test]
-fn pile_is_bounded() {
+fn queue_bounded() {
     assert!(upstreams_needed(500.0, 1.4, 64) < 9.0);
 }
 
@@ -117,14 +117,14 @@
 #[test]
 fn keeps_starting() {
     let starting = [(2, 2, false), (1, 0, false), (2, 2, false), (1, 0, false)];
-    let wanted = plan(&present(starting), &scaling(0.16), 7.0);
-    assert!(sum(&wanted, |one| one.on_demand) >= 3, "{wanted:?}");
+    let targets = plan(&supplies(starting), &scaling(0.16), 7.0);
+    assert!(sum(&targets, |one| one.on_demand) >= 3, "{targets:?}");
 }
 
 /// Ten requests with long prompts need more upstreams than their number suggests. A hundred with short ones raise the
 /// need too, but only within the bound for queued requests.
 #[test]
-fn prompts_count() {
+fn long_prompts_count() {
     assert!(upstreams_needed(100.0, 0.16, 64) > 3.0);
     assert!(upstreams_needed(10.0, 2.8, 64) > 6.0);
 }
@@ -132,9 +132,9 @@
 /// If reclaimable upstreams are no cheaper, none are ordered.
 #[test]
 fn no_discount() {
-    let wanted = plan(&present(START), &scaling(1.0), 3.0);
-    assert_eq!(sum(&wanted, |one| one.reclaimable), 0);
-    assert_eq!(sum(&wanted, |one| one.on_demand), 4);
+    let targets = plan(&supplies(START), &scaling(1.0), 3.0);
+    assert_eq!(sum(&targets, |one| one.reclaimable), 0);
+    assert_eq!(sum(&targets, |one| one.on_demand), 4);
 }
 
 quickcheck! {
@@ -142,11 +142,11 @@
     /// scarce.
     fn within_bounds(counts: Vec<(u8, u8, bool)>, busy: u16) -> bool {
         let mut all = [(0, 0, false); 4];
-        for (at, (a, b, dry)) in counts.into_iter().take(4).enumerate() {
-            all[at] = (u32::from(a % 4), u32::from(b % 4), dry);
+        for (at, (a, b, scarce)) in counts.into_iter().take(4).enumerate() {
+            all[at] = (u32::from(a % 4), u32::from(b % 4), scarce);
         }
-        let wanted = plan(&present(all), &scaling(0.16), f64::from(busy % 60));
-        wanted.values().all(|one| (1..=6).contains(&(one.on_demand + one.reclaimable)) || all.iter().any(|one| one.2))
-            && wanted.values().all(|one| one.on_demand + one.reclaimable <= 6)
+        let targets = plan(&supplies(all), &scaling(0.16), f64::from(busy % 60));
+        targets.values().all(|one| (1..=6).contains(&(one.on_demand + one.reclaimable)) || all.iter().any(|one| one.2))
+            && targets.values().all(|one| one.on_demand + one.reclaimable <= 6)
     }
 }
--- a/crates/policy/tests/host_life.rs
+++ b/crates/policy/tests/host_life.rs
@@ -8,17 +8,17 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct TimedEvent {
     host: u8,
     incarnation: u64,
-    sign: HostEvent,
+    kind: HostEvent,
     after_ms: u64,
 }
 
-impl Arbitrary for Heard {
+impl Arbitrary for TimedEvent {
     fn arbitrary(g: &mut Gen) -> Self {
         let left = u64::arbitrary(g) % 60_000;
-        let signs = [
+        let kinds = [
             HostEvent::Leaves { left: None },
             HostEvent::Leaves {
                 left: Some(Duration::from_millis(left)),
@@ -31,7 +31,7 @@
         Self {
             host: u8::arbitrary(g) % 3,
             incarnation: u64::arbitrary(g) % 3,
-            sign: *g.choose(&signs).expect("signs"),
+            kind: *g.choose(&kinds).expect("kinds"),
             after_ms: u64::arbitrary(g) % 5_000,
         }
     }
@@ -41,11 +41,11 @@
     HostId::from(format!("host-{host}"))
 }
 
-fn tells_end(sign: HostEvent) -> bool {
-    matches!(sign, HostEvent::Leaves { .. } | HostEvent::Gone)
+fn tells_end(kind: HostEvent) -> bool {
+    matches!(kind, HostEvent::Leaves { .. } | HostEvent::Gone)
 }
 
-fn check(property: fn(Vec<Heard>) -> bool) {
+fn check(property: fn(Vec<TimedEvent>) -> bool) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 11))
         .tests(3_000)
@@ -56,18 +56,21 @@
 /// for a while. From the first notice on, no new work may go there whatever arrives later; otherwise requests are lost
 /// with the host.
 #[test]
-fn never_back() {
-    fn holds(all: Vec<Heard>) -> bool {
-        let mut lives = HostStates::default();
+fn never_serves_again() {
+    fn holds(all: Vec<TimedEvent>) -> bool {
+        let mut states = HostStates::default();
         let mut now = Tick::default();
-        let mut ended = Vec::new();
-        for heard in all {
-            now = now + Duration::from_millis(heard.after_ms);
-            lives.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
-            if tells_end(heard.sign) {
-                ended.push((heard.host, heard.incarnation));
+        let mut ended_hosts = Vec::new();
+        for event in all {
+            now = now + Duration::from_millis(event.after_ms);
+            states.apply_event(&name(event.host), event.incarnation, event.kind, now);
+            if tells_end(event.kind) {
+                ended_hosts.push((event.host, event.incarnation));
             }
-            if ended.iter().any(|(host, which)| lives.takes_work(&name(*host), *which)) {
+            if ended_hosts
+                .iter()
+                .any(|(host, which)| states.takes_work(&name(*host), *which))
+            {
                 return false;
             }
         }
@@ -78,14 +81,14 @@
 
 /// Events arrive twice, for example from the capacity service and from the cloud. The second one must change nothing.
 #[test]
-fn doubled_signs() {
-    fn same(all: Vec<Heard>) -> bool {
+fn doubled_events() {
+    fn same(all: Vec<TimedEvent>) -> bool {
         let (mut once, mut twice) = (HostStates::default(), HostStates::default());
-        for heard in &all {
+        for event in &all {
             let now = Tick::default();
-            once.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
-            twice.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
-            twice.apply_event(&name(heard.host), heard.incarnation, heard.sign, now);
+            once.apply_event(&name(event.host), event.incarnation, event.kind, now);
+            twice.apply_event(&name(event.host), event.incarnation, event.kind, now);
+            twice.apply_event(&name(event.host), event.incarnation, event.kind, now);
         }
         (0..3).all(|host| (0..3).all(|which| once.stage(&name(host), which) == twice.stage(&name(host), which)))
     }
@@ -96,44 +99,44 @@
 /// second.
 #[test]
 fn new_incarnation() {
-    fn fresh(all: Vec<Heard>) -> bool {
-        let mut lives = HostStates::default();
+    fn fresh(all: Vec<TimedEvent>) -> bool {
+        let mut states = HostStates::default();
         let last = |host| {
             all.iter()
-                .filter(|heard| heard.host == host)
-                .map(|heard| heard.incarnation)
+                .filter(|event| event.host == host)
+                .map(|event| event.incarnation)
                 .max()
         };
-        for heard in &all {
-            lives.apply_event(&name(heard.host), heard.incarnation, heard.sign, Tick::default());
+        for event in &all {
+            states.apply_event(&name(event.host), event.incarnation, event.kind, Tick::default());
         }
-        (0..3).all(|host| lives.takes_work(&name(host), last(host).map_or(0, |last| last + 1)))
+        (0..3).all(|host| states.takes_work(&name(host), last(host).map_or(0, |last| last + 1)))
     }
     check(fresh);
 }
 
 #[test]
 fn earliest_end() {
-    let mut lives = HostStates::default();
+    let mut states = HostStates::default();
     let now = Tick::from_millis(1_000);
     let host = name(0);
     for left in [30_000, 5_000, 20_000] {
         let left = Some(Duration::from_millis(left));
-        lives.apply_event(&host, 0, HostEvent::Leaves { left }, now);
+        states.apply_event(&host, 0, HostEvent::Leaves { left }, now);
     }
-    let AnyHostState::Leaving(life) = lives.stage(&host, 0) else {
+    let AnyHostState::Leaving(state) = states.stage(&host, 0) else {
         panic!("not leaving");
     };
-    assert_eq!(life.gone_at(), Some(Tick::from_millis(6_000)));
+    assert_eq!(state.gone_at(), Some(Tick::from_millis(6_000)));
 }
 
 /// A host refuses connections without any notice. No new work may go there until it answers again.
 #[test]
 fn refused_host() {
-    let mut lives = HostStates::default();
+    let mut states = HostStates::default();
     let host = name(0);
-    lives.apply_event(&host, 4, HostEvent::Refused, Tick::default());
-    assert!(!lives.takes_work(&host, 4));
-    lives.apply_event(&host, 4, HostEvent::Answered, Tick::default());
-    assert!(lives.takes_work(&host, 4));
+    states.apply_event(&host, 4, HostEvent::Refused, Tick::default());
+    assert!(!states.takes_work(&host, 4));
+    states.apply_event(&host, 4, HostEvent::Answered, Tick::default());
+    assert!(states.takes_work(&host, 4));
 }
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -1,6 +1,6 @@
 //! Simulation of entry hosts that exchange demand and loans over a network that delays, loses, doubles and splits.
 
-pub mod cut;
+pub mod faults;
 
 use std::collections::VecDeque;
 
@@ -9,12 +9,12 @@
 use policy::limits::{CustomerShare, LimitAmounts, PeerDemand, owned_part};
 
 /// Steps between two rounds of datagrams of one host.
-const ROUND: u64 = 5;
+const ROUND_STEPS: u64 = 5;
 
 /// All entry hosts and the network between them.
 pub struct Hosts {
     all: Vec<Host>,
-    wires: VecDeque<(u64, usize, usize, Message)>,
+    in_flight: VecDeque<(u64, usize, usize, Message)>,
     limits: Limits,
     step: u64,
     now: Tick,
@@ -41,7 +41,7 @@
     incarnation: u64,
     sequence: u64,
     heard: Option<(u64, u64)>,
-    told: PeerDemand,
+    reported: PeerDemand,
     lent: LimitAmounts,
 }
 
@@ -60,7 +60,7 @@
         };
         Self {
             all: (0..count).map(host).collect(),
-            wires: VecDeque::new(),
+            in_flight: VecDeque::new(),
             limits,
             step: 0,
             now,
@@ -84,28 +84,28 @@
     }
 
     /// Sends the whole demand, in requests per second, to one host.
-    pub fn turn(&mut self, to: usize, demand: f64) {
+    pub fn move_callers(&mut self, to: usize, demand: f64) {
         for host in 0..self.all.len() {
-            self.ask(host, if host == to { demand } else { 0.0 });
+            self.set_demand(host, if host == to { demand } else { 0.0 });
         }
     }
 
     /// Sets the demand of one host's callers, in requests per second.
-    pub fn ask(&mut self, host: usize, demand: f64) {
+    pub fn set_demand(&mut self, host: usize, demand: f64) {
         self.all[host].wanted = LimitAmounts::from([demand, demand * 40.0, demand / 5.0]);
     }
 
     /// Returns the demand of each host's callers, in requests per second.
-    pub fn asked(&self) -> Vec<f64> {
+    pub fn demands(&self) -> Vec<f64> {
         self.all.iter().map(|host| host.wanted.requests).collect()
     }
 
     /// Cuts off the hosts whose bit is set from the others; zero ends the split.
-    pub fn cut(&mut self, sides: u64) {
+    pub fn split(&mut self, sides: u64) {
         self.sides = sides;
     }
 
-    pub fn die(&mut self, host: usize) {
+    pub fn crash(&mut self, host: usize) {
         self.all[host].alive = false;
     }
 
@@ -128,13 +128,13 @@
     }
 
     /// Returns what each host may admit, in requests per second.
-    pub fn parts(&self) -> Vec<f64> {
-        (0..self.all.len()).map(|host| self.allowed(host).requests).collect()
+    pub fn rates(&self) -> Vec<f64> {
+        (0..self.all.len()).map(|host| self.usable_by(host).requests).collect()
     }
 
     /// Returns what all hosts together may admit: requests and tokens per second, and concurrent requests.
     pub fn usable(&self) -> [f64; 3] {
-        let all = (0..self.all.len()).map(|host| self.allowed(host).to_array());
+        let all = (0..self.all.len()).map(|host| self.usable_by(host).to_array());
         all.fold([0.0; 3], |sum, part| std::array::from_fn(|at| sum[at] + part[at]))
     }
 
@@ -143,14 +143,14 @@
         self.step += 1;
         self.now = Tick::from_millis(self.step * ms);
         for from in 0..self.all.len() {
-            if self.all[from].alive && (self.step + from as u64).is_multiple_of(ROUND) {
+            if self.all[from].alive && (self.step + from as u64).is_multiple_of(ROUND_STEPS) {
                 self.send(from);
             }
         }
         self.deliver();
     }
 
-    fn allowed(&self, host: usize) -> LimitAmounts {
+    fn usable_by(&self, host: usize) -> LimitAmounts {
         if !self.all[host].alive {
             return LimitAmounts::default();
         }
@@ -174,33 +174,33 @@
                 incarnation: host.incarnation,
                 sequence: host.sequence,
                 heard: host.heard[to],
-                told: PeerDemand {
+                reported: PeerDemand {
                     wanted: host.wanted,
                     running: host.running,
                 },
                 lent,
             };
-            for _ in 0..=u64::from(self.draw().is_multiple_of(8)) {
-                let delay = self.draw() % (self.delay + 1);
-                if self.draw() % 256 >= u64::from(self.loss) {
-                    self.wires.push_back((self.step + delay, from, to, message));
+            for _ in 0..=u64::from(self.next_random().is_multiple_of(8)) {
+                let delay = self.next_random() % (self.delay + 1);
+                if self.next_random() % 256 >= u64::from(self.loss) {
+                    self.in_flight.push_back((self.step + delay, from, to, message));
                 }
             }
         }
     }
 
     fn deliver(&mut self) {
-        let due = std::mem::take(&mut self.wires);
+        let due = std::mem::take(&mut self.in_flight);
         for (at, from, to, message) in due {
             if at > self.step {
-                self.wires.push_back((at, from, to, message));
+                self.in_flight.push_back((at, from, to, message));
             } else if (self.sides >> from) & 1 == (self.sides >> to) & 1 && self.all[to].alive {
-                self.all[to].hear(from, &message, self.now);
+                self.all[to].receive(from, &message, self.now);
             }
         }
     }
 
-    fn draw(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.random = self
             .random
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -210,18 +210,18 @@
 }
 
 impl Host {
-    fn hear(&mut self, from: usize, message: &Message, now: Tick) {
+    fn receive(&mut self, from: usize, message: &Message, now: Tick) {
         let newest = (message.incarnation, message.sequence);
         if self.heard[from].is_some_and(|before| before >= newest) {
             return;
         }
         self.heard[from] = Some(newest);
-        self.share.record_demand(from as u32, message.told, now);
+        self.share.record_demand(from as u32, message.reported, now);
         if let Some((incarnation, sequence)) = message.heard
             && incarnation == self.incarnation
         {
-            let asked = self.sent[sequence as usize - 1];
-            self.share.borrow(from as u32, message.lent, asked);
+            let sent_at = self.sent[sequence as usize - 1];
+            self.share.borrow(from as u32, message.lent, sent_at);
         }
     }
 }
--- a/crates/policy/tests/learnt_pace.rs
+++ b/crates/policy/tests/learnt_pace.rs
@@ -32,44 +32,44 @@
     }
 }
 
-fn seen(rates: &EngineRates, reading: PrefillWork, rng: &mut StdRng) -> f64 {
-    (rates.base_ms + rates.prefill_ms(reading)) * rng.random_range(0.95..1.1)
+fn answer_ms(rates: &EngineRates, prefill: PrefillWork, rng: &mut StdRng) -> f64 {
+    (rates.base_ms + rates.prefill_ms(prefill)) * rng.random_range(0.95..1.1)
 }
 
 /// Returns the largest factor by which the estimated prefill time differs from the real one, over common prompt sizes.
-fn error(learnt: &EngineRates, real: &EngineRates) -> f64 {
+fn error_factor(estimated: &EngineRates, real: &EngineRates) -> f64 {
     let sizes = [(0, 1_500), (0, 8_000), (12_000, 4_000), (0, 25_000)];
     let ratio = |(cached, fresh)| {
-        let reading = PrefillWork { cached, fresh };
-        (learnt.prefill_ms(reading) / real.prefill_ms(reading)).ln().abs()
+        let prefill = PrefillWork { cached, fresh };
+        (estimated.prefill_ms(prefill) / real.prefill_ms(prefill)).ln().abs()
     };
     sizes.into_iter().map(ratio).fold(0.0, f64::max).exp()
 }
 
 /// Returns the remaining error of an estimate from answers of which one in ten came much later, because it was queued
 /// behind prompts of other entry hosts.
-fn learnt_error(seed: u64) -> f64 {
+fn estimate_error(seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let real = engine(&mut rng);
-    let mut pace = SpeedEstimate::default();
+    let mut estimate = SpeedEstimate::default();
     for _ in 0..ANSWERS {
-        let reading = prompt(&mut rng);
-        let spoiled = if rng.random_bool(0.1) {
+        let prefill = prompt(&mut rng);
+        let delay_factor = if rng.random_bool(0.1) {
             rng.random_range(2.0..50.0)
         } else {
             1.0
         };
-        let ms = seen(&real, reading, &mut rng) * spoiled;
-        pace.learn(reading, ms, 1.0);
+        let ms = answer_ms(&real, prefill, &mut rng) * delay_factor;
+        estimate.learn(prefill, ms, 1.0);
     }
-    error(&pace.rates(), &real)
+    error_factor(&estimate.rates(), &real)
 }
 
 /// Engines differ in speed by a factor of eight. With an estimate that is off by two, half of the fleet would be
 /// superfluous or missing.
 #[test]
 fn finds_speed() {
-    let mut errors: Vec<f64> = (0..500).map(learnt_error).collect();
+    let mut errors: Vec<f64> = (0..500).map(estimate_error).collect();
     errors.sort_by(f64::total_cmp);
     let (median, worst) = (errors[250], errors[499]);
     assert!(median < 1.15 && worst < 2.0, "median {median}, worst {worst}");
@@ -78,15 +78,15 @@
 quickcheck! {
     /// Whatever the answers, rates stay finite and positive: zero or infinity would send all prompts to one engine.
     fn stays_finite(answers: Vec<(u32, u32, u32)>) -> bool {
-        let mut pace = SpeedEstimate::default();
-        let mut own = RelativeSpeed::default();
+        let mut estimate = SpeedEstimate::default();
+        let mut relative = RelativeSpeed::default();
         for (cached, fresh, ms) in answers {
-            let reading = PrefillWork { cached: u64::from(cached), fresh: u64::from(fresh) };
-            pace.learn(reading, f64::from(ms), own.factor());
-            own.learn(f64::from(ms), pace.rates().prefill_ms(reading));
+            let prefill = PrefillWork { cached: u64::from(cached), fresh: u64::from(fresh) };
+            estimate.learn(prefill, f64::from(ms), relative.factor());
+            relative.learn(f64::from(ms), estimate.rates().prefill_ms(prefill));
         }
-        let EngineRates { base_ms, token_ms, attention_ms: pairs_ms, .. } = pace.rates();
-        [base_ms, token_ms, pairs_ms, own.factor()].iter().all(|rate| rate.is_finite() && *rate > 0.0)
+        let EngineRates { base_ms, token_ms, attention_ms, .. } = estimate.rates();
+        [base_ms, token_ms, attention_ms, relative.factor()].iter().all(|rate| rate.is_finite() && *rate > 0.0)
     }
 }
 
@@ -94,7 +94,7 @@
 #[test]
 fn speed_changes() {
     let mut rng = StdRng::seed_from_u64(4);
-    let mut pace = SpeedEstimate::default();
+    let mut estimate = SpeedEstimate::default();
     let mut real = EngineRates {
         base_ms: 14.0,
         token_ms: 0.01,
@@ -104,11 +104,15 @@
     for round in 0..2 {
         // Sixty answers: what one entry host gets in about eight seconds.
         for _ in 0..60 {
-            let reading = prompt(&mut rng);
-            let ms = seen(&real, reading, &mut rng);
-            pace.learn(reading, ms, 1.0);
+            let prefill = prompt(&mut rng);
+            let ms = answer_ms(&real, prefill, &mut rng);
+            estimate.learn(prefill, ms, 1.0);
         }
-        assert!(error(&pace.rates(), &real) < 1.6, "round {round}: {:?}", pace.rates());
+        assert!(
+            error_factor(&estimate.rates(), &real) < 1.6,
+            "round {round}: {:?}",
+            estimate.rates()
+        );
         real = real.scaled(4.0);
     }
 }
@@ -118,13 +122,13 @@
 #[test]
 fn one_slower() {
     let mut rng = StdRng::seed_from_u64(5);
-    let mut own = RelativeSpeed::default();
+    let mut relative = RelativeSpeed::default();
     for _ in 0..40 {
-        own.learn(300.0 * rng.random_range(0.9..1.1), 100.0);
+        relative.learn(300.0 * rng.random_range(0.9..1.1), 100.0);
     }
-    assert!((2.2..3.5).contains(&own.factor()), "{}", own.factor());
+    assert!((2.2..3.5).contains(&relative.factor()), "{}", relative.factor());
     for _ in 0..40 {
-        own.learn(100.0 * rng.random_range(0.9..1.1), 100.0);
+        relative.learn(100.0 * rng.random_range(0.9..1.1), 100.0);
     }
-    assert!((0.7..1.3).contains(&own.factor()), "{}", own.factor());
+    assert!((0.7..1.3).contains(&relative.factor()), "{}", relative.factor());
 }
--- a/crates/policy/tests/limit_parts.rs
+++ b/crates/policy/tests/limit_parts.rs
@@ -4,7 +4,7 @@
 
 use contract::Limits;
 use hosts::Hosts;
-use hosts::cut::{Fault, Way, run};
+use hosts::faults::{Fault, Method, run};
 use policy::Tick;
 use policy::limits::{BURST, Bucket, LEASE};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -18,49 +18,49 @@
 
 /// An event in the history of the hosts.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum HistoryEvent {
     /// All callers use one host.
-    Turn(u8, u8),
+    MoveCallers(u8, u8),
     /// The network splits into two sides.
-    Cut(u8),
+    Split(u8),
     /// The network is whole again.
     Heal,
     /// A host dies.
-    Die(u8),
+    Crash(u8),
     /// A host restarts without its state.
-    Return(u8),
+    Restart(u8),
     /// Datagrams are delayed by a number of steps, and some are lost.
     Network(u8, u8),
     /// Nothing happens for a number of steps.
     Wait(u8),
 }
 
-impl Arbitrary for Happening {
+impl Arbitrary for HistoryEvent {
     fn arbitrary(g: &mut Gen) -> Self {
         let (a, b) = (u8::arbitrary(g), u8::arbitrary(g));
         match u8::arbitrary(g) % 10 {
-            0 | 1 => Self::Turn(a, b),
-            2 => Self::Cut(a),
+            0 | 1 => Self::MoveCallers(a, b),
+            2 => Self::Split(a),
             3 => Self::Heal,
-            4 => Self::Die(a),
-            5 => Self::Return(a),
+            4 => Self::Crash(a),
+            5 => Self::Restart(a),
             6 => Self::Network(a % 30, b),
             _ => Self::Wait(a % 60),
         }
     }
 }
 
-fn apply(hosts: &mut Hosts, happening: Happening) -> u64 {
+fn apply(hosts: &mut Hosts, event: HistoryEvent) -> u64 {
     let count = hosts.count();
     let host = |number: u8| usize::from(number) % count;
-    match happening {
-        Happening::Turn(to, demand) => hosts.turn(host(to), f64::from(demand)),
-        Happening::Cut(side) => hosts.cut(u64::from(side)),
-        Happening::Heal => hosts.cut(0),
-        Happening::Die(who) => hosts.die(host(who)),
-        Happening::Return(who) => hosts.restart(host(who)),
-        Happening::Network(delay, loss) => hosts.network(u64::from(delay), loss),
-        Happening::Wait(steps) => return u64::from(steps),
+    match event {
+        HistoryEvent::MoveCallers(to, demand) => hosts.move_callers(host(to), f64::from(demand)),
+        HistoryEvent::Split(side) => hosts.split(u64::from(side)),
+        HistoryEvent::Heal => hosts.split(0),
+        HistoryEvent::Crash(who) => hosts.crash(host(who)),
+        HistoryEvent::Restart(who) => hosts.restart(host(who)),
+        HistoryEvent::Network(delay, loss) => hosts.network(u64::from(delay), loss),
+        HistoryEvent::Wait(steps) => return u64::from(steps),
     }
     1
 }
@@ -69,11 +69,11 @@
 /// and callers move. If the parts in use exceeded the limit, a customer would get and pay for more than its contract
 /// allows, at the expense of others.
 #[test]
-fn never_above() {
-    fn holds(count: u8, seed: u64, history: Vec<Happening>) -> bool {
+fn never_exceeded() {
+    fn holds(count: u8, seed: u64, history: Vec<HistoryEvent>) -> bool {
         let mut hosts = Hosts::new(usize::from(count % 7) + 2, LIMIT, seed);
-        for happening in history {
-            for _ in 0..apply(&mut hosts, happening) {
+        for event in history {
+            for _ in 0..apply(&mut hosts, event) {
                 hosts.step(STEP_MS);
                 let used = hosts.usable();
                 let limits = [LIMIT.requests_per_s, LIMIT.tokens_per_s, f64::from(LIMIT.concurrency)];
@@ -88,27 +88,27 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(80, 61))
         .tests(300)
-        .quickcheck(holds as fn(u8, u64, Vec<Happening>) -> bool);
+        .quickcheck(holds as fn(u8, u64, Vec<HistoryEvent>) -> bool);
 }
 
 /// Every host admits as many requests as its bucket allows while parts move between hosts. Over any time, no more may
 /// be admitted than the limit, one second's burst of it, and one request for each host.
 #[test]
-fn admitted_bound() {
-    fn holds(count: u8, seed: u64, history: Vec<Happening>) -> bool {
+fn admissions_bounded() {
+    fn holds(count: u8, seed: u64, history: Vec<HistoryEvent>) -> bool {
         let mut hosts = Hosts::new(usize::from(count % 7) + 2, LIMIT, seed);
         let all = hosts.count();
         let mut buckets: Vec<Bucket> = hosts
-            .parts()
+            .rates()
             .iter()
-            .map(|part| Bucket::new(*part, Tick::default()))
+            .map(|rate| Bucket::new(*rate, Tick::default()))
             .collect();
         let mut admitted = 0.0;
-        for happening in history {
-            for _ in 0..apply(&mut hosts, happening) {
+        for event in history {
+            for _ in 0..apply(&mut hosts, event) {
                 hosts.step(STEP_MS);
-                for (bucket, part) in buckets.iter_mut().zip(hosts.parts()) {
-                    bucket.set_rate(part, hosts.now());
+                for (bucket, rate) in buckets.iter_mut().zip(hosts.rates()) {
+                    bucket.set_rate(rate, hosts.now());
                     while bucket.take(1.0, hosts.now()).is_ok() {
                         admitted += 1.0;
                     }
@@ -121,7 +121,7 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 62))
         .tests(100)
-        .quickcheck(holds as fn(u8, u64, Vec<Happening>) -> bool);
+        .quickcheck(holds as fn(u8, u64, Vec<HistoryEvent>) -> bool);
 }
 
 /// All callers of a customer use one entry host, then all use another, for example when the balancer loses one. If the
@@ -131,29 +131,29 @@
     let mut hosts = Hosts::new(8, LIMIT, 1);
     hosts.network(2, 0);
     for target in [0, 5] {
-        hosts.turn(target, 400.0);
+        hosts.move_callers(target, 400.0);
         for _ in 0..100 {
             hosts.step(STEP_MS);
         }
-        let part = hosts.parts()[target];
+        let rate = hosts.rates()[target];
         assert!(
-            part > 0.9 * LIMIT.requests_per_s,
-            "host {target} may admit {part} a second"
+            rate > 0.9 * LIMIT.requests_per_s,
+            "host {target} may admit {rate} a second"
         );
     }
     // The callers return to a host that has lent nearly all it owns: it must have its own part again after one lease.
-    hosts.turn(0, 400.0);
+    hosts.move_callers(0, 400.0);
     for _ in 0..(LEASE.as_millis() as u64 / STEP_MS + 15) {
         hosts.step(STEP_MS);
     }
-    assert!(hosts.parts()[0] >= LIMIT.requests_per_s / 8.0);
+    assert!(hosts.rates()[0] >= LIMIT.requests_per_s / 8.0);
 }
 
 /// A quarter or half of the hosts are cut off for half a minute, or a host dies and its callers move to others. With
 /// loans the limit must never be exceeded. What is refused below it is printed (with --nocapture) beside the results of
 /// two other methods.
 #[test]
-fn cut_figures() {
+fn fault_comparison() {
     let demands = [
         ("even, 1.5 times the limit", [18.75; 8]),
         ("even, 0.8 of the limit", [10.0; 8]),
@@ -171,17 +171,17 @@
         ("4 of 8 hosts cut off", Fault::Cut(0b1111)),
         ("1 of 8 hosts dies", Fault::Death),
     ];
-    println!("fault | demand | way | before: over, below | during | after (in % of what is due)");
+    println!("fault | demand | method | before: over, below | during | after (in % of what is due)");
     for (fault_name, fault) in faults {
         for (demand_name, demand) in &demands {
-            for way in [Way::Equal, Way::Heard, Way::Loans] {
-                let phases = run(LIMIT, demand, fault, way);
+            for method in [Method::Equal, Method::Heard, Method::Loans] {
+                let phases = run(LIMIT, demand, fault, method);
                 let [before, during, after] = phases.map(|phase| {
-                    let percent = |part: f64| 100.0 * part / phase.due;
+                    let percent = |rate: f64| 100.0 * rate / phase.due;
                     format!("{:.1}, {:.1}", percent(phase.over), percent(phase.below))
                 });
-                println!("{fault_name} | {demand_name} | {way:?} | {before} | {during} | {after}");
-                if way == Way::Loans {
+                println!("{fault_name} | {demand_name} | {method:?} | {before} | {during} | {after}");
+                if method == Method::Loans {
                     let admitted: f64 = phases.iter().map(|phase| phase.admitted).sum();
                     let most = LIMIT.requests_per_s * (90.0 + BURST.as_secs_f64()) + 8.0;
                     assert!(admitted <= most, "{admitted} admitted, {most} allowed");
--- a/crates/policy/tests/prefix_history.rs
+++ b/crates/policy/tests/prefix_history.rs
@@ -2,7 +2,7 @@
 
 use policy::Tick;
 use policy::cache::{CacheEvent, CacheTrust, EventCursor};
-use policy::prefix::{BLOCK, Prefix, PrefixIndex};
+use policy::prefix::{BLOCK_WORDS, Prefix, PrefixIndex};
 use quickcheck::{Gen, QuickCheck};
 
 fn words(count: usize, seed: usize) -> Vec<String> {
@@ -14,52 +14,55 @@
 }
 
 #[test]
-fn grows_along() {
-    let mut history = PrefixIndex::new(1_024);
+fn grows_with_prompt() {
+    let mut index = PrefixIndex::new(1_024);
     let mut text = words(100, 1);
-    history.store(&prefix(&text), 7, Tick::default());
+    index.store(&prefix(&text), 7, Tick::default());
     text.extend(words(50, 2));
-    let held = history.holders(&prefix(&text));
-    assert_eq!(held.len(), 1);
-    assert_eq!((held[0].upstream, held[0].words), (7, 96));
-    assert_eq!(history.cached_words(&prefix(&text), &[6, 7]), [0, 96]);
-    assert_eq!(history.cached_words(&prefix(&words(100, 3)), &[7]), [0]);
+    let holders = index.holders(&prefix(&text));
+    assert_eq!(holders.len(), 1);
+    assert_eq!((holders[0].upstream, holders[0].words), (7, 96));
+    assert_eq!(index.cached_words(&prefix(&text), &[6, 7]), [0, 96]);
+    assert_eq!(index.cached_words(&prefix(&words(100, 3)), &[7]), [0]);
 }
 
 /// Hundreds of engines have cached the same system prompt, more than are recorded for one block. The one that has the
 /// rest of the conversation must still be found.
 #[test]
 fn crowded_start() {
-    let mut history = PrefixIndex::new(4_096);
-    let start = words(5 * BLOCK, 1);
+    let mut index = PrefixIndex::new(4_096);
+    let start = words(5 * BLOCK_WORDS, 1);
     let mut session = start.clone();
-    session.extend(words(20 * BLOCK, 2));
-    history.store(&prefix(&session), 1_000, Tick::default());
+    session.extend(words(20 * BLOCK_WORDS, 2));
+    index.store(&prefix(&session), 1_000, Tick::default());
     for upstream in 0..100 {
-        history.store(&prefix(&start), upstream, Tick::from_millis(u64::from(upstream)));
+        index.store(&prefix(&start), upstream, Tick::from_millis(u64::from(upstream)));
     }
-    let held = history.holders(&prefix(&session));
-    assert_eq!((held[0].upstream, held[0].words), (1_000, 25 * BLOCK as u64));
+    let holders = index.holders(&prefix(&session));
+    assert_eq!(
+        (holders[0].upstream, holders[0].words),
+        (1_000, 25 * BLOCK_WORDS as u64)
+    );
 }
 
 #[test]
 fn bounded_memory() {
-    let mut history = PrefixIndex::new(1_000);
-    let bytes = history.bytes();
+    let mut index = PrefixIndex::new(1_000);
+    let bytes = index.bytes();
     assert_eq!(bytes, 1_024 * 32);
     for seed in 0..1_000 {
-        history.store(&prefix(&words(160, seed)), seed as u32, Tick::from_millis(seed as u64));
+        index.store(&prefix(&words(160, seed)), seed as u32, Tick::from_millis(seed as u64));
     }
-    assert_eq!(history.bytes(), bytes);
+    assert_eq!(index.bytes(), bytes);
     let newest = prefix(&words(160, 999));
-    assert_eq!(history.holders(&newest)[0].upstream, 999);
+    assert_eq!(index.holders(&newest)[0].upstream, 999);
 }
 
 /// The network repeats and reorders the events of an engine. However the events of one block are spread over answers,
 /// the last one published must decide.
 #[test]
 fn doubled_events() {
-    fn holds(stored: Vec<bool>, cuts: Vec<u8>, order: Vec<u16>) -> bool {
+    fn holds(stored: Vec<bool>, read_ends: Vec<u8>, order: Vec<u16>) -> bool {
         let block = 5;
         let events: Vec<CacheEvent> = (1..)
             .zip(&stored)
@@ -70,10 +73,10 @@
             })
             .collect();
         let mut cursor = EventCursor::default();
-        let mut believed = None;
+        let mut last_stored = None;
         let mut read = 0;
-        for cut in cuts.iter().map(|cut| usize::from(*cut)).chain([usize::MAX]) {
-            read = read.max(cut.min(events.len()));
+        for end in read_ends.iter().map(|end| usize::from(*end)).chain([usize::MAX]) {
+            read = read.max(end.min(events.len()));
             let after = cursor.after() as usize;
             let mut answer: Vec<CacheEvent> = events[after.min(read)..read].to_vec();
             answer.extend(answer.clone());
@@ -85,9 +88,9 @@
             if applied.lost > 0 || applied.restarted {
                 return false;
             }
-            believed = applied.fresh.last().map_or(believed, |event| Some(event.stored));
+            last_stored = applied.fresh.last().map_or(last_stored, |event| Some(event.stored));
         }
-        believed == stored.last().copied()
+        last_stored == stored.last().copied()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 31))
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn trust_follows() {
+fn trust_adapts() {
     let mut trust = CacheTrust::default();
     for _ in 0..50 {
         trust.record_count(1_000, 0);
--- a/crates/policy/tests/quota_bucket.rs
+++ b/crates/policy/tests/quota_bucket.rs
@@ -7,17 +7,17 @@
 quickcheck! {
     /// Whatever is requested with `take_whole`, no more is admitted than the initial units and what the rate has added
     /// since.
-    fn never_over(asks: Vec<(u16, u16)>) -> bool {
+    fn never_exceeds(requests: Vec<(u16, u16)>) -> bool {
         let (rate, burst) = (1_000.0, 5_000.0);
         let mut bucket = Bucket::new(0.0, Tick::default());
         bucket.set(rate, burst, Tick::default());
-        let (mut now, mut passed) = (0, 0.0);
-        asks.into_iter().all(|(units, pause)| {
+        let (mut now, mut admitted) = (0, 0.0);
+        requests.into_iter().all(|(units, pause)| {
             now += u64::from(pause);
             if bucket.take_whole(f64::from(units), Tick::from_millis(now)).is_ok() {
-                passed += f64::from(units);
+                admitted += f64::from(units);
             }
-            passed <= rate * now as f64 / 1_000.0 + 1e-6
+            admitted <= rate * now as f64 / 1_000.0 + 1e-6
         })
     }
 }
@@ -25,7 +25,7 @@
 /// A process is killed again and again. If each start had a full burst, an account would get many times its quota; with
 /// an empty bucket, callers within their quota would be refused after every restart.
 #[test]
-fn starts_with_less() {
+fn partial_start() {
     let mut bucket = Bucket::new(1_000.0, Tick::default());
     bucket.set(100.0, 1_000.0, Tick::default());
     assert!(bucket.take_whole(500.0, Tick::default()).is_err());
--- a/crates/policy/tests/repeat_budget.rs
+++ b/crates/policy/tests/repeat_budget.rs
@@ -18,36 +18,32 @@
 #[test]
 fn all_fail() {
     let mut hosts = vec![RetryWindow::default(); HOSTS];
-    let mut repeats: Vec<u64> = Vec::new();
+    let mut retries: Vec<u64> = Vec::new();
     for ms in (0..40_000).step_by(10) {
         let host = &mut hosts[ms as usize / 10 % HOSTS];
         host.record_request(Tick::from_millis(ms), &BOUNDS);
         if host.take(Tick::from_millis(ms), &BOUNDS, HOSTS as u32) {
-            repeats.push(ms);
+            retries.push(ms);
         }
     }
     for begin in (0..30_000).step_by(500) {
-        let inside = repeats
+        let inside = retries
             .iter()
             .filter(|at| (begin..begin + 10_000).contains(*at))
             .count() as f64;
         assert!(inside <= 0.2 * 1_000.0 + 56.0, "{inside} from {begin} ms on");
     }
-    assert!(
-        repeats.len() > 100,
-        "a budget that is never given out helps nobody: {}",
-        repeats.len()
-    );
+    assert!(retries.len() > 100, "the budget granted few retries: {}", retries.len());
 }
 
 quickcheck! {
     fn one_host(pauses: Vec<u8>) -> bool {
         let mut host = RetryWindow::default();
-        let (mut now, mut given) = (0, 0_u32);
+        let (mut now, mut granted) = (0, 0_u32);
         for pause in pauses {
             now += u64::from(pause);
-            given += u32::from(host.take(Tick::from_millis(now), &BOUNDS, HOSTS as u32));
+            granted += u32::from(host.take(Tick::from_millis(now), &BOUNDS, HOSTS as u32));
         }
-        f64::from(given) <= 56.0 / 8.0 * (1.0 + now as f64 / 10_000.0)
+        f64::from(granted) <= 56.0 / 8.0 * (1.0 + now as f64 / 10_000.0)
     }
 }
--- a/crates/policy/tests/rescue_plan.rs
+++ b/crates/policy/tests/rescue_plan.rs
@@ -7,9 +7,9 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Copy, Debug)]
-struct Any(Stream<u8>);
+struct AnyStream(Stream<u8>);
 
-impl Arbitrary for Any {
+impl Arbitrary for AnyStream {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut up_to = |most: u64| u64::arbitrary(g) % most;
         Self(Stream {
@@ -31,13 +31,13 @@
     }
 }
 
-fn planned(all: &[Any], export: bool) -> (Vec<Stream<u8>>, Vec<(usize, StreamAction)>) {
+fn planned(all: &[AnyStream], export: bool) -> (Vec<Stream<u8>>, Vec<(usize, StreamAction)>) {
     let streams: Vec<Stream<u8>> = all.iter().map(|any| any.0).collect();
-    let steps = plan(&streams, &rates(export));
-    (streams, steps)
+    let actions = plan(&streams, &rates(export));
+    (streams, actions)
 }
 
-fn check(property: fn(Vec<Any>) -> bool) {
+fn check(property: fn(Vec<AnyStream>) -> bool) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(80, 23))
         .tests(2_000)
@@ -46,9 +46,9 @@
 
 #[test]
 fn each_once() {
-    fn once(all: Vec<Any>) -> bool {
-        let (streams, steps) = planned(&all, true);
-        let mut seen: Vec<usize> = steps.iter().map(|(at, _)| *at).collect();
+    fn once(all: Vec<AnyStream>) -> bool {
+        let (streams, actions) = planned(&all, true);
+        let mut seen: Vec<usize> = actions.iter().map(|(at, _)| *at).collect();
         seen.sort_unstable();
         seen == (0..streams.len()).collect::<Vec<_>>()
     }
@@ -59,12 +59,12 @@
 /// copies would be cut off, their streams replayed late, and the time for them lost.
 #[test]
 fn links_suffice() {
-    fn fits(all: Vec<Any>) -> bool {
-        let (streams, steps) = planned(&all, true);
+    fn within_link_times(all: Vec<AnyStream>) -> bool {
+        let (streams, actions) = planned(&all, true);
         let mut busy: HashMap<u8, Duration> = HashMap::new();
-        steps
+        actions
             .iter()
-            .filter(|(_, how)| *how == StreamAction::Export)
+            .filter(|(_, action)| *action == StreamAction::Export)
             .all(|(at, _)| {
                 let stream = &streams[*at];
                 let sum = busy.entry(stream.source).or_default();
@@ -72,17 +72,17 @@
                 *sum <= stream.time_left
             })
     }
-    check(fits);
+    check(within_link_times);
 }
 
 #[test]
 fn finishes_in_time() {
-    fn in_time(all: Vec<Any>) -> bool {
-        let (streams, steps) = planned(&all, true);
-        steps.iter().all(|(at, how)| {
+    fn in_time(all: Vec<AnyStream>) -> bool {
+        let (streams, actions) = planned(&all, true);
+        actions.iter().all(|(at, action)| {
             let stream = &streams[*at];
             let needs = stream.token_interval * stream.remaining as u32;
-            *how != StreamAction::Finish || needs <= stream.time_left
+            *action != StreamAction::Finish || needs <= stream.time_left
         })
     }
     check(in_time);
@@ -90,10 +90,10 @@
 
 #[test]
 fn targets_first() {
-    fn first(all: Vec<Any>) -> bool {
-        let (streams, steps) = planned(&all, true);
+    fn first(all: Vec<AnyStream>) -> bool {
+        let (streams, actions) = planned(&all, true);
         let misses = |at: &usize| Duration::from_micros(250).mul_f64(streams[*at].tokens as f64) > streams[*at].slack;
-        let moves = steps.iter().filter(|(_, how)| *how != StreamAction::Finish);
+        let moves = actions.iter().filter(|(_, action)| *action != StreamAction::Finish);
         let order: Vec<bool> = moves.map(|(at, _)| misses(at)).collect();
         order.is_sorted_by(|a, b| a >= b)
     }
@@ -102,9 +102,9 @@
 
 #[test]
 fn export_off() {
-    fn never(all: Vec<Any>) -> bool {
-        let (_, steps) = planned(&all, false);
-        steps.iter().all(|(_, how)| *how != StreamAction::Export)
+    fn never(all: Vec<AnyStream>) -> bool {
+        let (_, actions) = planned(&all, false);
+        actions.iter().all(|(_, action)| *action != StreamAction::Export)
     }
     check(never);
 }
@@ -120,9 +120,9 @@
         slack: Duration::from_mins(1),
         failed_copies: 0,
     };
-    let steps = plan(&[stream(500), stream(13_000), stream(20)], &rates(true));
+    let actions = plan(&[stream(500), stream(13_000), stream(20)], &rates(true));
     assert_eq!(
-        steps,
+        actions,
         [
             (1, StreamAction::Export),
             (0, StreamAction::Export),
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Retries cannot amplify an outage.
 
-use policy::budget::{MOST, RetryBudget};
+use policy::budget::{MAX_SAVED, RetryBudget};
 use quickcheck::{Gen, QuickCheck};
 
 /// Every engine fails and every request is retried. Without a bound on the retries, recovering engines would get a
@@ -11,14 +11,14 @@
         let mut budget = RetryBudget::new(0.1);
         let mut succeeded = 0.0;
         let mut retries = 0.0;
-        for good in outcomes {
-            if good {
+        for succeeds in outcomes {
+            if succeeds {
                 budget.succeeded();
                 succeeded += 1.0;
             } else if budget.take() {
                 retries += 1.0;
             }
-            if retries > MOST + 0.1 * succeeded + 1e-6 {
+            if retries > MAX_SAVED + 0.1 * succeeded + 1e-6 {
                 return false;
             }
         }
@@ -35,7 +35,7 @@
 fn outage_amplification() {
     let mut budget = RetryBudget::new(0.1);
     let sent: u32 = (0..1_000).map(|_| 1 + u32::from(budget.take())).sum();
-    assert!(f64::from(sent) <= 1_000.0 + MOST);
+    assert!(f64::from(sent) <= 1_000.0 + MAX_SAVED);
     for _ in 0..10 {
         budget.succeeded();
     }
--- a/crates/policy/tests/rollout_lag.rs
+++ b/crates/policy/tests/rollout_lag.rs
@@ -12,7 +12,7 @@
 
 /// Guards against reporting a rollout as complete while a host still serves an older version.
 #[test]
-fn late_named() {
+fn late_hosts_named() {
     let mut rollout = Rollout::default();
     rollout.publish(14, Tick::from_millis(0));
     rollout.publish(17, Tick::from_millis(500));
@@ -33,7 +33,7 @@
     assert_eq!(
         rollout.report(Tick::from_millis(1_600)),
         None,
-        "late hosts are told once a second"
+        "late hosts are reported once a second"
     );
     rollout.record_version(&host("b"), 17, Tick::from_millis(1_700));
     let complete = rollout.report(Tick::from_millis(1_700));
@@ -72,6 +72,6 @@
     rollout.record_version(&host("a"), 5, Tick::from_millis(60));
     let took = Duration::from_millis(40);
     assert!(
-        matches!(rollout.report(Tick::from_millis(60)), Some(Progress::Complete { took: told, .. }) if told == took)
+        matches!(rollout.report(Tick::from_millis(60)), Some(Progress::Complete { took: time, .. }) if time == took)
     );
 }
