--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -6,8 +6,8 @@
 use policy::Tick;
 use policy::load::{LoadEstimate, LoadReport, PredictedLoad};
 use policy::route::{
-    Ablation, CANDIDATES, Candidate, GroupMember, NotChosen, Reason, RequestNeed, Routing, RoutingRules, ServiceRates,
-    UpstreamGroup, choose,
+    Ablation, Candidate, GroupMember, MAX_CANDIDATES, NotChosen, Reason, RequestNeed, Routing, RoutingRules,
+    ServiceRates, UpstreamGroup, choose,
 };
 use quickcheck::{Gen, QuickCheck};
 
@@ -40,18 +40,18 @@
 }
 
 fn group(count: u32) -> UpstreamGroup {
-    let place = |number| GroupMember {
+    let member = |number| GroupMember {
         number,
         id: format!("engine-{number}").into(),
         near: number % 4 == 0,
     };
-    UpstreamGroup::new((0..count).map(place).collect())
+    UpstreamGroup::new((0..count).map(member).collect())
 }
 
 /// A long conversation continues with one more turn. An engine that never saw it would have to prefill all of it; its
 /// previous engine is worse only behind a long queue.
 #[test]
-fn session_stays() {
+fn session_affinity() {
     let (home, other) = (UpstreamId::from("home"), UpstreamId::from("other"));
     let rules = RoutingRules::default();
     let rates = ServiceRates::default();
@@ -69,8 +69,8 @@
 /// reclaimed next.
 #[test]
 fn wave_avoided() {
-    let (zone, calm) = (UpstreamId::from("zone"), UpstreamId::from("calm"));
-    let mut candidates = [candidate(&zone, 0.0, 1_984), candidate(&calm, 0.0, 1_000)];
+    let (zone, other) = (UpstreamId::from("zone"), UpstreamId::from("other"));
+    let mut candidates = [candidate(&zone, 0.0, 1_984), candidate(&other, 0.0, 1_000)];
     candidates[0].reclaims_per_hour = 60.0;
     let long = RequestNeed {
         answer_tokens: 1_000,
@@ -81,7 +81,7 @@
         choose(&RoutingRules::default(), &candidates, &long, &rates)
             .unwrap()
             .chosen,
-        calm
+        other
     );
     let rules = RoutingRules {
         without: vec![Ablation::Risk],
@@ -153,8 +153,8 @@
         positions.dedup();
         let again = group.propose(&[], Some(lead), &holders, turn);
         positions.len() == found.len()
-            && found.len() <= CANDIDATES
-            && (count as usize > CANDIDATES || found.len() == count as usize)
+            && found.len() <= MAX_CANDIDATES
+            && (count as usize > MAX_CANDIDATES || found.len() == count as usize)
             && found == again
     }
     QuickCheck::new()
@@ -166,11 +166,11 @@
 /// One engine of many is removed. Only prompts that were hashed to it may move; if all moved, every cached prefix of
 /// the model would be computed again at once.
 #[test]
-fn few_move() {
+fn few_prefixes_move() {
     let before = group(101);
     let after = {
-        let places = before.members().iter().filter(|place| place.number != 40);
-        UpstreamGroup::new(places.cloned().collect())
+        let members = before.members().iter().filter(|member| member.number != 40);
+        UpstreamGroup::new(members.cloned().collect())
     };
     let first = |group: &UpstreamGroup, lead: u64| {
         let found = group.propose(&[], Some(lead), &[], 0);
@@ -186,7 +186,7 @@
 #[test]
 fn baselines_rotate() {
     let group = group(30);
-    let ids: Vec<UpstreamId> = group.members().iter().map(|place| place.id.clone()).collect();
+    let ids: Vec<UpstreamId> = group.members().iter().map(|member| member.id.clone()).collect();
     let rules = RoutingRules {
         routing: Routing::RoundRobin,
         ..RoutingRules::default()
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -8,12 +8,12 @@
 use quickcheck::{Gen, QuickCheck};
 
 fn group(numbers: &[u32], near: u32) -> UpstreamGroup {
-    let place = |number: &u32| GroupMember {
+    let member = |number: &u32| GroupMember {
         number: *number,
         id: format!("engine-{number}").into(),
         near: number % 4 == near,
     };
-    UpstreamGroup::new(numbers.iter().map(place).collect())
+    UpstreamGroup::new(numbers.iter().map(member).collect())
 }
 
 fn pick(loads: &[f64], home: usize, rules: &RoutingRules) -> Choice {
@@ -49,8 +49,8 @@
 fn hosts_agree() {
     fn holds(count: u16, key: u64) -> bool {
         let numbers: Vec<u32> = (0..2 + u32::from(count % 400)).collect();
-        let turned: Vec<u32> = numbers.iter().rev().copied().collect();
-        let (one, other) = (group(&numbers, 0), group(&turned, 3));
+        let reversed: Vec<u32> = numbers.iter().rev().copied().collect();
+        let (one, other) = (group(&numbers, 0), group(&reversed, 3));
         let names = |group: &UpstreamGroup| group.homes(key).map(|at| group.members()[at].id.clone());
         let homes = names(&one);
         homes == names(&other) && homes[0] != homes[1]
--- a/crates/policy/tests/slot_ease.rs
+++ b/crates/policy/tests/slot_ease.rs
@@ -6,7 +6,7 @@
 /// An engine prefills one prompt after the other. Admitted by the number of slots alone, requests wait in the engine
 /// for their first token until all are late. The usable share must fall, and rise again once first tokens are on time.
 #[test]
-fn falls_and_returns() {
+fn falls_and_recovers() {
     let mut rates = ServiceRates::default();
     for _ in 0..200 {
         rates.record_first_token(400, 5_000.0);
@@ -23,7 +23,7 @@
 /// Each additional request in a batch lengthens the pauses of all others. If more than one pause in twenty exceeds the
 /// target, the answer is late even when complete.
 #[test]
-fn pauses_count() {
+fn long_pauses_count() {
     let mut rates = ServiceRates::default();
     rates.record_pauses(0, 0);
     assert!((rates.usable_share - 1.0).abs() < f64::EPSILON);
@@ -38,7 +38,7 @@
 /// Most first tokens arrive after a wait in the engine. If the wait counted as prefill, a cached prefix would seem to
 /// be worth many times its value, and conversations would stay at full engines.
 #[test]
-fn prefill_found() {
+fn prefill_estimated() {
     fn holds(waits: Vec<u16>) -> bool {
         let mut rates = ServiceRates::default();
         let waits: Vec<f64> = waits.iter().map(|wait| f64::from(wait % 4_000)).chain([0.0]).collect();
--- a/crates/policy/tests/zone_silence.rs
+++ b/crates/policy/tests/zone_silence.rs
@@ -12,24 +12,24 @@
 /// ends the silence at once.
 #[test]
 fn cut_off() {
-    let reach = Reachability::default();
-    reach.record_received(at(1_000));
-    reach.record_wait(at(1_010), at(1_200));
-    assert!(!reach.is_silent(true, at(1_200)));
-    reach.record_wait(at(1_010), at(1_350));
-    assert!(reach.is_silent(false, at(1_400)) && reach.is_silent(true, at(1_400)));
-    assert!(!reach.is_silent(false, at(2_400)) && reach.is_silent(true, at(2_400)));
-    reach.record_received(at(2_500));
-    assert!(!reach.is_silent(true, at(2_501)));
+    let reachability = Reachability::default();
+    reachability.record_received(at(1_000));
+    reachability.record_wait(at(1_010), at(1_200));
+    assert!(!reachability.is_silent(true, at(1_200)));
+    reachability.record_wait(at(1_010), at(1_350));
+    assert!(reachability.is_silent(false, at(1_400)) && reachability.is_silent(true, at(1_400)));
+    assert!(!reachability.is_silent(false, at(2_400)) && reachability.is_silent(true, at(2_400)));
+    reachability.record_received(at(2_500));
+    assert!(!reachability.is_silent(true, at(2_501)));
 }
 
 /// One upstream hangs, or prefills a long prompt, while others of its data centre answer. The data centre must not
 /// count as silent.
 #[test]
 fn one_hangs() {
-    let reach = Reachability::default();
-    reach.record_received(at(2_900));
-    reach.record_wait(at(1_000), at(3_000));
-    reach.record_connect_timeout(at(3_000));
-    assert!(!reach.is_silent(true, at(3_000)));
+    let reachability = Reachability::default();
+    reachability.record_received(at(2_900));
+    reachability.record_wait(at(1_000), at(3_000));
+    reachability.record_connect_timeout(at(3_000));
+    assert!(!reachability.is_silent(true, at(3_000)));
 }
