--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -84,7 +84,7 @@
         .index
         .holders(prefix)
         .iter()
-        .map(|cached| cached.upstream)
+        .map(|holder| holder.upstream)
         .collect();
     let proposed = fleet.group.propose(
         &fleet.group.homes(prefix.leading_hash()),
--- a/crates/policy/src/cache.rs
+++ b/crates/policy/src/cache.rs
@@ -100,9 +100,9 @@
 
     /// Adjusts the trust by the cached words that an engine counted in a prompt, against the words assumed to be
     /// cached.
-    pub fn record_count(&mut self, believed: u64, cached: u64) {
-        if believed > 0 {
-            let share = (cached as f64 / believed as f64).min(1.0);
+    pub fn record_count(&mut self, assumed: u64, cached: u64) {
+        if assumed > 0 {
+            let share = (cached as f64 / assumed as f64).min(1.0);
             self.0 = (self.0 + COUNT_WEIGHT * (share - self.0)).max(MIN_TRUST);
         }
     }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -144,8 +144,8 @@
     pub fn expire(&mut self, now: Tick) -> Vec<Ticket> {
         let mut late = Vec::new();
         for queue in self.queues.values_mut() {
-            while let Some(&(latest, id)) = queue.by_deadline.first()
-                && latest < now
+            while let Some(&(deadline, id)) = queue.by_deadline.first()
+                && deadline < now
             {
                 late.extend(queue.take(id));
             }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -88,15 +88,15 @@
     let usable: u32 = supplies.values().map(|supply| supply.reclaimable).sum();
     let remaining = if scarce { usable - soon_lost(supplies) } else { usable };
     let missing = needed.saturating_sub(remaining).max(floor);
-    let held: u32 = supplies.values().map(|supply| supply.on_demand).sum();
+    let current: u32 = supplies.values().map(|supply| supply.on_demand).sum();
     // Existing upstreams are kept first: one that is replaced elsewhere loses its cache. During a wave of reclaims more
     // are kept than the current load needs, since a replacement takes seconds to start.
     let spare = if scarce { f64::from(needed) * KEPT_SHARE } else { 0.0 };
-    let keep = held.min(missing + spare.ceil() as u32);
+    let keep = current.min(missing + spare.ceil() as u32);
     add_on_demand(&mut targets, keep, &zones, |zone, target| {
         target.on_demand < supplies.get(zone).map_or(0, |supply| supply.on_demand)
     });
-    let more = if scarce || usable + held == 0 {
+    let more = if scarce || usable + current == 0 {
         missing.saturating_sub(keep)
     } else {
         floor.saturating_sub(keep)
--- a/crates/policy/src/limits/loans.rs
+++ b/crates/policy/src/limits/loans.rs
@@ -14,9 +14,9 @@
 /// It serves the first requests of returning callers until loans end. It is also all that a restarted host may use
 /// until every loan that its predecessor may have granted has ended.
 pub const RESERVE: f64 = 0.1;
-/// What a host keeps of its own part before it lends, relative to its current demand.
+/// What a lender keeps when there is too little for all, relative to its current demand.
 const KEEP_FACTOR: f64 = 1.05;
-/// What a host asks for, relative to its current demand.
+/// What a borrower has in total when there is enough for all, relative to its current demand.
 const WANT_FACTOR: f64 = 1.25;
 
 /// A host's part of one resource of a limit.
@@ -64,7 +64,9 @@
 /// What one host has lent and borrowed of one resource.
 #[derive(Clone, Debug)]
 pub struct Loans {
+    /// When all loans of earlier processes of this host have ended.
     settled_at: Tick,
+    /// Running loans to each peer, oldest and largest first.
     lent: BTreeMap<u32, VecDeque<Loan>>,
     borrowed: BTreeMap<u32, Loan>,
 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -26,8 +26,9 @@
 /// Smallest and largest step of one answer. The largest corrects a wrong start within seconds; the smallest averages
 /// over about thirty answers.
 const STEP_RANGE: (f64, f64) = (0.015, 0.3);
-/// Factors on the step after an error in the same direction as the one before, and after one in the other direction.
+/// Factor on the step after an error in the same direction as the one before.
 const STEP_GROWTH: f64 = 1.5;
+/// Factor on the step after an error in the other direction.
 const STEP_SHRINK: f64 = 0.6;
 /// Share by which an upstream's relative speed returns to 1 with each answer; otherwise it and the service's rates
 /// could drift apart in opposite directions.
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -25,7 +25,7 @@
 /// Most prompt parts recorded for one upstream; more than its cache holds at common sizes.
 const MAX_RECORDED_PARTS: usize = 4_096;
 
-/// One part of a prompt.
+/// A part of a prompt, which other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
     /// Identifies the part together with all parts before it.
@@ -37,7 +37,9 @@
 /// The prompt parts that an upstream is assumed to have cached.
 #[derive(Clone, Debug, Default)]
 pub struct CachedParts {
+    /// Time of the last use of each part, by key.
     used: HashMap<u64, Tick>,
+    /// All recorded uses, oldest first.
     order: VecDeque<(Tick, u64)>,
 }
 
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -129,7 +129,7 @@
     let mut steps = Vec::new();
     for need in needs {
         let mut model = Model::new(need, held, pools, operator_rules, rules);
-        steps.extend(model.exceeding());
+        steps.extend(model.drain_excess());
         steps.extend(model.grow());
         if calm && steps.is_empty() {
             steps.extend(model.shrink());
@@ -158,7 +158,7 @@
     ) -> Self {
         Self {
             need,
-            held: held.iter().filter(|one| one.model == need.model).collect(),
+            held: held.iter().filter(|host| host.model == need.model).collect(),
             started: Vec::new(),
             pools,
             operator_rules: operator_rules
@@ -169,32 +169,32 @@
         }
     }
 
-    fn places(&self) -> impl Iterator<Item = (&Zone, MachineClass)> {
-        let held = self.held.iter().map(|one| (&one.zone, one.class));
+    fn locations(&self) -> impl Iterator<Item = (&Zone, MachineClass)> {
+        let held = self.held.iter().map(|host| (&host.zone, host.class));
         held.chain(self.started.iter().map(|(zone, class)| (zone, *class)))
     }
 
     fn total(&self) -> u32 {
-        self.places().count() as u32
+        self.locations().count() as u32
     }
 
     fn in_zone(&self, zone: &Zone) -> u32 {
-        self.places().filter(|(other, _)| *other == zone).count() as u32
+        self.locations().filter(|(other, _)| *other == zone).count() as u32
     }
 
     fn in_pool(&self, zone: &Zone, class: MachineClass) -> u32 {
-        self.places().filter(|place| *place == (zone, class)).count() as u32
+        self.locations().filter(|location| *location == (zone, class)).count() as u32
     }
 
     fn on_demand(&self) -> u32 {
-        self.places()
+        self.locations()
             .filter(|(_, class)| *class == MachineClass::OnDemand)
             .count() as u32
     }
 
     /// Returns the number of hosts that remain after the loss of the fullest zone.
     fn after_loss(&self) -> u32 {
-        let most = self.places().map(|(zone, _)| self.in_zone(zone)).max();
+        let most = self.locations().map(|(zone, _)| self.in_zone(zone)).max();
         self.total() - most.unwrap_or_default()
     }
 
@@ -207,17 +207,17 @@
     }
 
     /// Returns the number of hosts that must remain after the loss of any one zone.
-    fn base(&self) -> u32 {
+    fn required(&self) -> u32 {
         self.hosts_for(self.need.busy).max(self.floor())
     }
 
-    fn want(&self, factor: f64) -> u32 {
-        self.hosts_for(self.need.busy * factor).max(self.base())
+    fn wanted(&self, factor: f64) -> u32 {
+        self.hosts_for(self.need.busy * factor).max(self.required())
     }
 
     fn rule(&self, zone: &Zone, class: MachineClass) -> Option<&'a HostRule> {
-        let fits = |rule: &&&HostRule| rule.zone == *zone && rule.class == class;
-        self.operator_rules.iter().find(fits).copied()
+        let matches_pool = |rule: &&&HostRule| rule.zone == *zone && rule.class == class;
+        self.operator_rules.iter().find(matches_pool).copied()
     }
 
     fn may_add(&self, pool: &HostPool) -> bool {
@@ -231,13 +231,13 @@
     }
 
     /// Drains the hosts beyond an operator's limits.
-    fn exceeding(&mut self) -> Vec<Step> {
+    fn drain_excess(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
         for rule in self.operator_rules.clone() {
             while self.in_pool(&rule.zone, rule.class) > rule.most {
-                let inside = |one: &HeldHost| one.zone == rule.zone && one.class == rule.class;
+                let matches_rule = |host: &HeldHost| host.zone == rule.zone && host.class == rule.class;
                 let idlest = (0..self.held.len())
-                    .filter(|at| inside(self.held[*at]))
+                    .filter(|at| matches_rule(self.held[*at]))
                     .min_by(|a, b| self.held[*a].busy.total_cmp(&self.held[*b].busy));
                 let Some(at) = idlest else { break };
                 let host = self.held.remove(at).host.clone();
@@ -268,11 +268,11 @@
     }
 
     fn next_start(&self) -> Option<(Zone, MachineClass, StepReason)> {
-        let short = |pool: &&HostPool| {
+        let below_rule = |pool: &&HostPool| {
             let rule = self.rule(&pool.zone, pool.class);
             pool.open && rule.is_some_and(|rule| self.in_pool(&pool.zone, pool.class) < rule.least)
         };
-        if let Some(pool) = self.pools.iter().find(short) {
+        if let Some(pool) = self.pools.iter().find(below_rule) {
             return Some((pool.zone.clone(), pool.class, StepReason::Rule));
         }
         if self.on_demand() < self.floor()
@@ -280,21 +280,21 @@
         {
             return Some((zone, MachineClass::OnDemand, StepReason::Floor));
         }
-        let loses = self.after_loss() < self.base();
-        let why = if self.total() < self.want(self.rules.grow) {
+        let lacks_spread = self.after_loss() < self.required();
+        let why = if self.total() < self.wanted(self.rules.grow) {
             StepReason::Load
-        } else if loses {
+        } else if lacks_spread {
             StepReason::Spread
         } else {
             return None;
         };
         // Expensive hosts replace refused cheap ones only as far as targets are at risk.
-        let at_stake = self.total() < self.base() || loses;
-        let cheap = self
+        let targets_at_risk = self.total() < self.required() || lacks_spread;
+        let reclaimable = self
             .best(MachineClass::Reclaimable)
             .map(|zone| (zone, MachineClass::Reclaimable));
-        let dear = || self.best(MachineClass::OnDemand).filter(|_| at_stake);
-        let (zone, class) = cheap.or_else(|| dear().map(|zone| (zone, MachineClass::OnDemand)))?;
+        let on_demand = || self.best(MachineClass::OnDemand).filter(|_| targets_at_risk);
+        let (zone, class) = reclaimable.or_else(|| on_demand().map(|zone| (zone, MachineClass::OnDemand)))?;
         let helps = why != StepReason::Spread || self.spreads_with(&zone);
         helps.then_some((zone, class, why))
     }
@@ -319,9 +319,9 @@
 
     /// Drains one surplus host: the most expensive, then in the fullest zone, then the least busy.
     fn shrink(&self) -> Option<Step> {
-        let mut spare: Vec<&HeldHost> = self.held.iter().copied().filter(|one| self.is_spare(one)).collect();
+        let mut spare: Vec<&HeldHost> = self.held.iter().copied().filter(|host| self.is_spare(host)).collect();
         spare.sort_by(|a, b| {
-            let zone = |one: &HeldHost| self.in_zone(&one.zone);
+            let zone = |host: &HeldHost| self.in_zone(&host.zone);
             let order = b.price.cmp(&a.price).then(zone(b).cmp(&zone(a)));
             order.then(a.busy.total_cmp(&b.busy))
         });
@@ -337,10 +337,10 @@
             operator_rules: self.operator_rules.clone(),
             ..*self
         };
-        rest.held.retain(|one| one.host != host.host);
+        rest.held.retain(|other| other.host != host.host);
         self.may_remove(host)
-            && rest.total() >= self.want(self.rules.shrink)
-            && (rest.after_loss() >= self.base() || rest.after_loss() == self.after_loss())
+            && rest.total() >= self.wanted(self.rules.shrink)
+            && (rest.after_loss() >= self.required() || rest.after_loss() == self.after_loss())
             && rest.on_demand() >= self.floor().min(self.on_demand())
     }
 }
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -1,6 +1,6 @@
 //! Index of the prompt prefixes that each upstream is assumed to have cached, in bounded memory.
 //!
-//! A prompt is divided into blocks of [`BLOCK`] words. The hash of a block covers the prompt up to the end of the
+//! A prompt is divided into blocks of [`BLOCK_WORDS`] words. The hash of a block covers the prompt up to the end of the
 //! block, as in the cache events of the engines: XXH3 (64 bits) of the block's words joined by single spaces, seeded
 //! with the hash of the previous block, or zero for the first.
 
@@ -14,7 +14,7 @@
 pub const MAX_BLOCKS: usize = 4_096;
 /// Most upstreams recorded for one block.
 const MAX_HOLDERS: usize = 4;
-/// Entries in one set of the index; a new block replaces the least recently used entry of its set.
+/// Entries in one set of the set-associative index; a new block replaces the least recently used entry of its set.
 const WAYS: usize = 8;
 /// Marks an unused holder of an entry.
 const NO_HOLDER: u32 = u32::MAX;
--- a/crates/policy/src/reach.rs
+++ b/crates/policy/src/reach.rs
@@ -21,7 +21,8 @@
 #[derive(Debug, Default)]
 pub struct Reachability {
     last_received: Cell<Tick>,
-    silent_since: Cell<Option<Tick>>,
+    /// When the data centre was last found silent.
+    last_silence: Cell<Option<Tick>>,
 }
 
 impl Reachability {
@@ -33,14 +34,14 @@
     /// Records that a request sent at `sent` has had no response so far.
     pub fn record_wait(&self, sent: Tick, now: Tick) {
         if sent > self.last_received.get() && now.since(sent) >= SILENCE {
-            self.silent_since.set(Some(now));
+            self.last_silence.set(Some(now));
         }
     }
 
     /// Records that a connection attempt timed out.
     pub fn record_connect_timeout(&self, now: Tick) {
         if now.since(self.last_received.get()) >= SILENCE {
-            self.silent_since.set(Some(now));
+            self.last_silence.set(Some(now));
         }
     }
 
@@ -48,10 +49,10 @@
     #[must_use]
     pub fn is_silent(&self, once: bool, now: Tick) -> bool {
         let avoid_time = if once { AVOID_TIME_ONCE } else { AVOID_TIME };
-        let silent_since = self
-            .silent_since
+        let last_silence = self
+            .last_silence
             .get()
-            .filter(|silent_since| *silent_since > self.last_received.get());
-        silent_since.is_some_and(|silent_since| now.since(silent_since) < avoid_time)
+            .filter(|last_silence| *last_silence > self.last_received.get());
+        last_silence.is_some_and(|last_silence| now.since(last_silence) < avoid_time)
     }
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -32,6 +32,7 @@
 pub struct Rollout {
     /// Versions in ascending order, with their publication times.
     published: VecDeque<(u64, Tick)>,
+    /// Version that each host holds, with the time of its last heartbeat.
     hosts: BTreeMap<NodeId, (u64, Tick)>,
     /// Newest version that is in force on every host; versions up to it are not reported again.
     complete: u64,
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -15,11 +15,11 @@
 /// Slower samples mostly contain a wait in the engine.
 const PREFILL_STEPS: (f64, f64) = (0.92, 1.02);
 /// Fewest prefilled tokens of a usable sample; with fewer, most of the time is spent on the connection.
-const PREFILL_TOKENS: u64 = 64;
+const MIN_PREFILL_TOKENS: u64 = 64;
 /// Wait before the first token that does not count as overload, in milliseconds.
 const ACCEPTED_WAIT_MS: f64 = 150.0;
 /// Share of an answer's pauses that may be longer than its target.
-const LATE_PAUSES: f64 = 0.05;
+const LATE_PAUSE_SHARE: f64 = 0.05;
 /// Changes of the usable share of the slots: factor after a request that did badly, increment after a good one, and
 /// lower bound.
 const USABLE_SHARE_STEPS: (f64, f64, f64) = (0.97, 0.01, 0.25);
@@ -27,7 +27,7 @@
 /// otherwise equal upstreams.
 const CROWDED_MS: f64 = 20.0;
 /// Share of its slots that an upstream without a valid report is assumed to use, in addition to the own requests there.
-const UNKNOWN_LOAD: f64 = 0.5;
+const UNKNOWN_LOAD_SHARE: f64 = 0.5;
 /// Cost of one micro-dollar, in milliseconds.
 const MS_PER_MICRODOLLAR: f64 = 1.0;
 /// Additional round-trip time of a request to another data centre, in milliseconds.
@@ -83,7 +83,7 @@
     /// late. So the usable share of the slots falls while waits exceed the prefill itself, and rises while they are
     /// short.
     pub fn record_first_token(&mut self, fresh: u64, ms: f64) {
-        if fresh >= PREFILL_TOKENS {
+        if fresh >= MIN_PREFILL_TOKENS {
             let sample = ms / fresh as f64;
             let faster = sample < self.prefill_token_ms;
             let step = if faster { PREFILL_STEPS.0 } else { PREFILL_STEPS.1 };
@@ -106,13 +106,13 @@
     /// target pauses do, every answer of a full batch is complete but late.
     pub fn record_pauses(&mut self, pauses: u32, late: u32) {
         if pauses > 0 {
-            self.adapt_usable_share(f64::from(late) <= f64::from(pauses) * LATE_PAUSES);
+            self.adapt_usable_share(f64::from(late) <= f64::from(pauses) * LATE_PAUSE_SHARE);
         }
     }
 
     /// Adapts the usable share of the slots to the outcome of one request.
-    fn adapt_usable_share(&mut self, succeeded: bool) {
-        self.usable_share = if succeeded {
+    fn adapt_usable_share(&mut self, on_time: bool) {
+        self.usable_share = if on_time {
             (self.usable_share + USABLE_SHARE_STEPS.1).min(1.0)
         } else {
             (self.usable_share * USABLE_SHARE_STEPS.0).max(USABLE_SHARE_STEPS.2)
@@ -164,7 +164,7 @@
         let slots = f64::from(candidate.slots.max(1));
         // An expired report says nothing. A cautious constant replaces it: an upstream that stopped reporting while
         // idle must not attract all requests, and one that stopped while busy must not be avoided for ever.
-        let unknown = || slots * UNKNOWN_LOAD + f64::from(candidate.load.own_requests);
+        let unknown = || slots * UNKNOWN_LOAD_SHARE + f64::from(candidate.load.own_requests);
         let load = candidate.load.reported.unwrap_or_else(unknown);
         let queued = (load + 1.0 - slots).max(0.0);
         let fresh = need.prompt_tokens.saturating_sub(candidate.cached) as f64;
@@ -175,7 +175,7 @@
         } else {
             prefill + answer
         };
-        let if_enabled = |part, value: f64| if rules.with(part) { value } else { 0.0 };
+        let if_enabled = |term, value: f64| if rules.with(term) { value } else { 0.0 };
         let reclaims = match candidate.class {
             MachineClass::Reclaimable => candidate.reclaims_per_hour,
             MachineClass::OnDemand => 0.0,
@@ -183,7 +183,7 @@
         // A reclaim halfway through repeats the prefill, and half of the answer if its cache cannot be moved.
         let repeated_ms = need.prompt_tokens as f64 * rates.prefill_token_ms + answer / 2.0;
         let reclaim_probability = (reclaims * hold / MS_PER_HOUR).min(1.0);
-        let rent = candidate.price as f64 * hold / MS_PER_HOUR / slots;
+        let host_price = candidate.price as f64 * hold / MS_PER_HOUR / slots;
         // Engines prefill one prompt after the other: those already there and not prefilled yet go first.
         let queued_prefills = if need.answer_tokens == 0 {
             0.0
@@ -200,7 +200,7 @@
             } else {
                 rates.follow_share * need.prompt_tokens as f64 * rates.prefill_token_ms * (1.0 + beside)
             },
-            price: if_enabled(Ablation::Price, rent * MS_PER_MICRODOLLAR),
+            price: if_enabled(Ablation::Price, host_price * MS_PER_MICRODOLLAR),
             risk: if_enabled(Ablation::Risk, reclaim_probability * repeated_ms),
             distance: if_enabled(Ablation::Distance, if candidate.near { 0.0 } else { DISTANCE_MS }),
         }
--- a/crates/policy/src/route/group.rs
+++ b/crates/policy/src/route/group.rs
@@ -86,9 +86,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamGroup {
     members: Vec<GroupMember>,
+    /// Number and index of each member, sorted by number.
     by_number: Vec<(u32, u32)>,
+    /// Indices of the members in this data centre; of all members if there are none.
     near: Vec<u32>,
     name_hashes: Vec<u64>,
+    /// Rendezvous table: near candidates and homes of each point, by index; empty for a small group.
     points: Vec<[u32; NEAR_CANDIDATES + HOMES]>,
 }
 
@@ -146,7 +149,7 @@
         [point[NEAR_CANDIDATES] as usize, point[NEAR_CANDIDATES + 1] as usize]
     }
 
-    /// Proposes at most [`CANDIDATES`] members for a request.
+    /// Proposes at most [`MAX_CANDIDATES`] members for a request.
     ///
     /// `homes` are those of its conversation, if any. `lead` is the hash of its leading prefix, absent if prefixes do
     /// not matter. `turn` seeds the random draw.
@@ -190,7 +193,8 @@
         found
     }
 
-    /// Returns the next members in rotation, for the baselines; the next one itself is at index `turn % CANDIDATES`.
+    /// Returns the next members in rotation, for the baselines; the next one itself is at index
+    /// `turn % MAX_CANDIDATES`.
     #[must_use]
     pub fn rotation(&self, turn: u64) -> Vec<ProposedCandidate> {
         let count = self.members.len();
@@ -225,7 +229,7 @@
     }
 }
 
-/// Returns the two members with the highest weight for a salt.
+/// Returns the two members with the highest weight at a point.
 fn best_of(members: &[u32], name_hashes: &[u64], point_hash: u64) -> [u32; 2] {
     let mut best = [(0, 0); 2];
     for at in members {
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -28,7 +28,7 @@
     /// Fewest requests, own and reported.
     #[display("least-loaded")]
     LeastLoaded,
-    /// Round robin.
+    /// Each upstream in turn.
     #[display("round-robin")]
     RoundRobin,
 }
--- a/crates/policy/tests/admission_lane.rs
+++ b/crates/policy/tests/admission_lane.rs
@@ -68,6 +68,7 @@
     );
 }
 
+/// No upstream is available, so nothing predicts when a request could run: a fixed retry time is told.
 #[test]
 fn no_capacity() {
     let mut queue = AdmissionQueue::new(0, 10, false);
@@ -75,6 +76,7 @@
     assert_eq!(rejection.retry_after, NO_CAPACITY_RETRY);
 }
 
+/// Capacity changes while requests arrive and end. Starting more than the capacity would overload the upstreams.
 #[test]
 fn running_bounded() {
     fn holds(steps: Vec<(u8, u8)>) -> bool {
--- a/crates/policy/tests/breaker_probe.rs
+++ b/crates/policy/tests/breaker_probe.rs
@@ -60,6 +60,7 @@
     assert_eq!(breaker.probe_at(), None);
 }
 
+/// An upstream is down for a long time. If the pause grew without bound, it would stay unused long after its return.
 #[test]
 fn pause_bounded() {
     let mut now = Tick::default();
--- a/crates/policy/tests/capacity_plan.rs
+++ b/crates/policy/tests/capacity_plan.rs
@@ -76,7 +76,7 @@
         }
         apply(held, &steps, pools);
         rounds += 1;
-        assert!(rounds < 1_000, "the plan never comes to rest");
+        assert!(rounds < 1_000, "the plan does not become stable");
     }
 }
 
@@ -170,6 +170,8 @@
     assert_eq!((held.len(), after_loss(&held, 2)), (8, 4));
 }
 
+/// An operator asks for hosts that the load does not need, then for none. Both must be carried out, also while the
+/// plan is not calm.
 #[test]
 fn operator_rules_first() {
     let rule = HostRule {
@@ -201,6 +203,8 @@
     assert_eq!(steps.len(), 3);
 }
 
+/// Starts in one zone are refused again and again. Each refusal must double the pause, up to its limit, without
+/// blocking other zones.
 #[test]
 fn backs_off() {
     let mut backoff = Backoff::default();
--- a/crates/policy/tests/fair_queue.rs
+++ b/crates/policy/tests/fair_queue.rs
@@ -35,6 +35,7 @@
     assert!((148..=152).contains(&of_a), "a got {of_a} of 200");
 }
 
+/// Requests that cannot be on time, or find the queue full, must be refused at once instead of waiting in vain.
 #[test]
 fn refuses_late() {
     let mut queue = FairQueue::new(1);
--- a/crates/policy/tests/prefix_history.rs
+++ b/crates/policy/tests/prefix_history.rs
@@ -45,6 +45,7 @@
     );
 }
 
+/// An endless sequence of prompts must not grow the index; the oldest blocks give way to the newest.
 #[test]
 fn bounded_memory() {
     let mut index = PrefixIndex::new(1_000);
@@ -121,6 +122,7 @@
     assert_eq!(cursor.apply(&[event(1)]).fresh.len(), 1);
 }
 
+/// An engine finds nothing of what is assumed to be cached. The trust must fall, and rise again with its hits.
 #[test]
 fn trust_adapts() {
     let mut trust = CacheTrust::default();
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -183,6 +183,8 @@
     assert!(backlog.total_ms(Tick::from_millis(1_400)) < 1.0);
 }
 
+/// A cache only helps from the start of a prompt, and only for a while: parts after a gap, and old ones, must not
+/// count.
 #[test]
 fn prefixes_only() {
     let part = |key| PromptPart { key, tokens: 100 };
--- a/crates/policy/tests/quota_bucket.rs
+++ b/crates/policy/tests/quota_bucket.rs
@@ -43,6 +43,7 @@
     assert!((over.wait_s - 25.0).abs() < 1e-6, "{over:?}");
 }
 
+/// A quota is lowered. What was saved up under the old burst must not be spent.
 #[test]
 fn lower_burst() {
     let mut bucket = Bucket::new(0.0, Tick::default());
--- a/crates/policy/tests/rescue_plan.rs
+++ b/crates/policy/tests/rescue_plan.rs
@@ -75,6 +75,7 @@
     check(within_link_times);
 }
 
+/// A stream that is left to finish but does not end before its host is lost.
 #[test]
 fn finishes_in_time() {
     fn in_time(all: Vec<AnyStream>) -> bool {
@@ -88,6 +89,7 @@
     check(in_time);
 }
 
+/// The links are too slow for all streams. Those that a replay would make late must be copied first.
 #[test]
 fn targets_first() {
     fn first(all: Vec<AnyStream>) -> bool {
@@ -100,6 +102,7 @@
     check(first);
 }
 
+/// Engines cannot export caches. A planned copy would fail and delay the replay.
 #[test]
 fn export_off() {
     fn never(all: Vec<AnyStream>) -> bool {
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -142,6 +142,7 @@
         .quickcheck(holds as fn(Vec<u16>, u16, u16) -> bool);
 }
 
+/// The cost of a choice must not grow with the group, so the number of candidates is bounded and none occurs twice.
 #[test]
 fn bounded_candidates() {
     fn holds(count: u16, lead: u64, turn: u64, holders: Vec<u32>) -> bool {
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -62,6 +62,7 @@
         .quickcheck(holds as fn(u16, u64) -> bool);
 }
 
+/// Homes that are spread unevenly would overload some upstreams.
 #[test]
 fn homes_spread() {
     let group = group(&(0..10).collect::<Vec<_>>(), 0);
