--- a/crates/contract/src/catalog.rs
+++ b/crates/contract/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog: routes, services, client accounts and limits that one versioned document puts in force together.
+//! The gateway's catalog: one versioned document of routes, services, client accounts and caller limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,153 +6,154 @@
 
 use crate::{KeyHash, Problems, ServiceName, Zone};
 
-/// Everything that operators publish under one version.
+/// Gateway configuration that operators publish as one versioned document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Number of the document; the highest one is in force.
+    /// Version of the document; the highest published version is in force.
     pub version: u64,
-    /// Routes in the order of the document.
+    /// Routes, in document order.
     pub routes: Vec<Route>,
-    /// Services that the routes lead to.
+    /// Services that routes refer to.
     pub services: Vec<Service>,
-    /// Client accounts; without any, requests need no key.
+    /// Client accounts; when empty, requests need no API key.
     pub accounts: Vec<ClientAccount>,
-    /// What callers may send.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
 }
 
-/// What may be repeated of a route's requests.
+/// Whether, and how, the gateway may resend a route's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeatable {
-    /// A request may run more than once.
+    /// A request may run more than once without further effect.
     Idempotent,
-    /// A request runs at most once.
+    /// A request must run at most once.
     #[default]
     Once,
-    /// A stream that another upstream can continue after the last event that was passed on.
+    /// A streamed response that another upstream can resume after the last forwarded event.
     ResumableStream,
-    /// A stream that runs at most once.
+    /// A streamed response that can't be resumed; the request must run at most once.
     Stream,
 }
 
-/// One route: which requests it takes and how they are served.
+/// A route: matches requests by host and path prefix, and defines how they are served.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name for logs.
+    /// Name shown in logs.
     pub name: String,
-    /// Host that callers name.
+    /// Value of the `Host` header, compared without regard to case.
     pub host: String,
-    /// Beginning of the path, from slash to slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be resent.
     pub repeat: Repeatable,
-    /// Longest time that a request may take, in milliseconds.
+    /// Request timeout in milliseconds; 1 or more.
     pub timeout_ms: u64,
-    /// Time in which an answer, or a stream's first event, is on time, in milliseconds.
+    /// Latency target for the response, or for the first event of a stream, in milliseconds.
     pub target_ms: u64,
-    /// Longest pause between two events of a stream that is on time, in milliseconds; zero for none.
+    /// Target for the gap between two events of a stream, in milliseconds; zero for no target.
     pub pause_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Default priority of the route's requests; 0 is the most urgent.
     pub priority: u8,
-    /// Upstreams that one request may be sent to.
+    /// Most attempts, each at an upstream, for one request.
     pub attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
-    /// Services with their weights.
+    /// Services that share the route's traffic, with their weights.
     pub split: Vec<Share>,
 }
 
-/// A service's part of a route.
+/// A service with its weight in a route's traffic split.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// The service.
+    /// Name of a service in the same catalog.
     pub service: ServiceName,
-    /// Its weight among those of the route.
+    /// Relative weight; the weights of a route add up to 1 or more.
     pub weight: u32,
 }
 
-/// One service and its upstreams' properties.
+/// A service and the properties that its upstreams have in common.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name by which routes and listed upstreams refer to the service.
     pub name: ServiceName,
-    /// Connections that one upstream accepts from all callers together.
+    /// Most connections that one upstream accepts from all callers together.
     pub connections: u32,
-    /// Properties of model engines; nothing for a plain service.
+    /// Properties of model engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
-    /// How many upstreams may be ordered; nothing where their number is fixed.
+    /// Autoscaling bounds; `None` when the number of upstreams is fixed.
     pub scaling: Option<Scaling>,
 }
 
-/// Properties of model engines.
+/// Capacity of the model engines of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that the KV cache holds.
+    /// Capacity of the KV cache, in tokens.
     pub kv_tokens: u64,
-    /// Tokens of one event of a stream.
+    /// Tokens in one stream event.
     pub event_tokens: u32,
-    /// Nanoseconds to copy the KV cache of one token to another engine of the same data centre; nothing where engines can't.
+    /// Nanoseconds to copy the KV cache of one token to another engine in the same data centre; `None` when engines
+    /// can't copy it.
     pub copy_ns: Option<u64>,
 }
 
-/// Bounds and prices of a service's upstreams.
+/// Autoscaling bounds and prices of a service's upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Scaling {
-    /// Fewest in each data centre.
+    /// Fewest upstreams in each data centre.
     pub min: u32,
-    /// Most in each data centre.
+    /// Most upstreams in each data centre.
     pub max: u32,
-    /// Time until a new one serves, in milliseconds.
+    /// Time from the start of an upstream until it serves, in milliseconds.
     pub boot_ms: u64,
-    /// Price of a reclaimable one as a part of an on-demand one's.
+    /// Price of a reclaimable upstream as a fraction of the on-demand price.
     pub spot_price: f64,
-    /// Price by data centre.
+    /// Price of an upstream by data centre.
     pub prices: BTreeMap<Zone, f64>,
 }
 
-/// A client account with its keys and quota.
+/// A client account with its API keys and quota.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
-    /// Its name.
+    /// Account name; identifies the account in a delta.
     pub name: String,
-    /// Hashes of its keys.
+    /// Hashes of the account's API keys; no other account may have the same one.
     pub keys: Vec<KeyHash>,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Tokens or requests a second over all entry hosts; nothing for no limit.
+    /// Rate limit over all entry hosts together; `None` for no limit.
     pub quota: Option<Quota>,
 }
 
-/// A limit of what an account may use.
+/// A token bucket limit on tokens or requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Units a second.
+    /// Refill rate in units per second.
     pub per_s: f64,
-    /// Units that may be used at once after a pause.
+    /// Bucket size: units that can be used at once after an idle time.
     pub burst: f64,
-    /// Whether units are tokens; else each request is one unit.
+    /// Whether units are tokens; otherwise each request counts as one unit.
     pub tokens: bool,
-    /// Tokens that a request without a token count is taken for.
+    /// Tokens charged for a request that states no token count.
     pub plain: f64,
 }
 
-/// What callers may send.
+/// Limits on what callers may send, and for how long they may stay connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request head.
+    /// Most bytes of a request line with its headers.
     pub head_bytes: usize,
-    /// Bytes of a request body.
+    /// Most bytes of a request body.
     pub body_bytes: usize,
-    /// Time for a whole head, in milliseconds.
+    /// Timeout for receiving the request line and headers, in milliseconds.
     pub head_ms: u64,
-    /// Time that a kept connection may stay idle, in milliseconds.
+    /// Idle timeout of a keep-alive connection, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Gives the limits that hold before a catalog is known: those of common HTTP servers.
+    /// Returns the limits that apply before a catalog is known, as common HTTP servers have them.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -164,10 +165,11 @@
 }
 
 impl Catalog {
-    /// Checks that every request finds one route, and every route a service.
+    /// Checks that no two routes match the same host and prefix, every route leads to known services, and no two
+    /// accounts share an API key.
     ///
     /// # Errors
-    /// Returns every field that is wrong.
+    /// Returns every invalid field.
     pub fn check(&self) -> Result<(), Problems> {
         let mut problems = Problems::default();
         let services: BTreeSet<&ServiceName> = self.services.iter().map(|service| &service.name).collect();
--- a/crates/contract/src/class.rs
+++ b/crates/contract/src/class.rs
@@ -1,44 +1,44 @@
-//! Classes of a contract: which requests belong to them and what these are promised.
+//! Service classes of a contract: which requests belong to them and which latency targets they are promised.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::{ClassName, ModelName, Problems, ServiceName};
 
-/// What a name may be made of.
-pub(crate) const NAME: &str = "a name of letters, digits and -_.:/";
+/// Allowed form of names, as shown in validation errors.
+pub(crate) const NAME_FORM: &str = "a name of letters, digits and -_.:/";
 /// Longest latency target, in milliseconds: one day.
 const MAX_TARGET_MS: u64 = 86_400_000;
-/// Methods that a class may name.
+/// HTTP methods that a class can match.
 const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
 
-/// Requests that are promised the same.
+/// A set of requests with the same latency targets and retry rules.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Name of the class within the contract.
     pub name: ClassName,
-    /// Which requests belong to it.
+    /// Conditions that a request of the class meets.
     #[serde(default)]
     pub matches: Matcher,
-    /// Latency targets.
+    /// Latency targets that the customer was promised.
     pub targets: Targets,
-    /// Whether a request may be sent a second time.
+    /// Whether a request may be resent.
     pub repeat: Repeat,
-    /// Order of shedding: under overload, higher numbers are refused first.
+    /// Load shedding order: under overload, higher numbers are rejected first.
     #[serde(default)]
     pub shed: u8,
 }
 
-/// Conditions on a request; an absent one holds for every request.
+/// Conditions on a request; an absent condition holds for every request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Matcher {
     /// Name of the plain service; requests to engines never match it.
     pub service: Option<ServiceName>,
-    /// HTTP method, in capitals.
+    /// HTTP method in upper case.
     pub method: Option<String>,
-    /// Start of the path below the service.
+    /// Prefix of the path below the service.
     pub route: Option<String>,
     /// Name of the model; requests to services never match it.
     pub model: Option<ModelName>,
@@ -46,15 +46,15 @@
     pub prompt_up_to: Option<u64>,
 }
 
-/// Latency targets in milliseconds from the arrival of the request.
+/// Latency targets in milliseconds, at most one day; all but the gap count from the arrival of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Targets {
-    /// Until the first token; absent for plain services.
+    /// Time to the first token; absent for plain services.
     pub first_token_ms: Option<u64>,
-    /// Between two tokens; absent for plain services.
+    /// Gap between two tokens; absent for plain services.
     pub between_tokens_ms: Option<u64>,
-    /// Until the whole answer.
+    /// Time to the complete response.
     pub whole_answer_ms: u64,
 }
 
@@ -62,31 +62,31 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// Running it twice has the effect of running it once.
+    /// Running the request twice has the same effect as running it once.
     #[display("idempotent")]
     Idempotent,
-    /// It must run at most once and needs an idempotency key.
+    /// The request must run at most once and needs an idempotency key.
     #[display("at_most_once")]
     AtMostOnce,
 }
 
-/// What classes look at in a request.
+/// Attributes of a request that classes are matched against.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The plain service that is called, if any.
+    /// Name of the plain service that is called; `None` for requests to engines.
     pub service: Option<&'a str>,
-    /// HTTP method in capitals.
+    /// HTTP method in upper case.
     pub method: &'a str,
     /// Path below the service.
     pub route: &'a str,
-    /// Model that is asked for, if any.
+    /// Name of the requested model; `None` for requests to services.
     pub model: Option<&'a str>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
 }
 
 impl Matcher {
-    /// Tells whether every condition holds.
+    /// Returns whether the request meets every condition.
     #[must_use]
     pub fn holds(&self, request: &Request<'_>) -> bool {
         let same = |want: Option<&str>, got: Option<&str>| want.is_none() || want == got;
@@ -102,15 +102,15 @@
 }
 
 impl Class {
-    /// Checks everything that can be checked without the other classes.
-    pub(crate) fn check(&self, problems: &mut Problems, at: &str) {
-        self.targets.check(problems, &format!("{at}.targets"));
-        self.matches.check(problems, &format!("{at}.matches"));
-        // Answers of engines are resumed and replayed elsewhere, so none of them can be promised to run once only.
-        let once = self.repeat == Repeat::AtMostOnce;
+    /// Checks the fields of the class by themselves, without regard to the other classes.
+    pub(crate) fn check(&self, problems: &mut Problems, path: &str) {
+        self.targets.check(problems, &format!("{path}.targets"));
+        self.matches.check(problems, &format!("{path}.matches"));
+        // Engine requests are resumed and replayed on other engines, so at-most-once can't be promised for them.
+        let at_most_once = self.repeat == Repeat::AtMostOnce;
         problems.check(
-            !once || self.matches.service.is_some(),
-            &format!("{at}.repeat"),
+            !at_most_once || self.matches.service.is_some(),
+            &format!("{path}.repeat"),
             &self.repeat,
             "idempotent, or a service in matches",
         );
@@ -118,32 +118,32 @@
 }
 
 impl Matcher {
-    /// Tells whether every request that belongs to another matcher belongs to this one too.
+    /// Returns whether every request that matches `other` matches this matcher too.
     pub(crate) fn covers(&self, other: &Self) -> bool {
-        fn wider<T: PartialEq>(mine: Option<&T>, other: Option<&T>) -> bool {
+        fn includes<T: PartialEq>(mine: Option<&T>, other: Option<&T>) -> bool {
             mine.is_none() || mine == other
         }
-        let longer = |route: &str| self.route.as_deref().is_none_or(|mine| route.starts_with(mine));
-        let shorter = |most: u64| self.prompt_up_to.is_none_or(|mine| most <= mine);
-        wider(self.service.as_ref(), other.service.as_ref())
-            && wider(self.model.as_ref(), other.model.as_ref())
-            && wider(self.method.as_ref(), other.method.as_ref())
-            && other.route.as_deref().map_or(self.route.is_none(), longer)
-            && other.prompt_up_to.map_or(self.prompt_up_to.is_none(), shorter)
+        let route_within = |route: &str| self.route.as_deref().is_none_or(|mine| route.starts_with(mine));
+        let limit_within = |most: u64| self.prompt_up_to.is_none_or(|mine| most <= mine);
+        includes(self.service.as_ref(), other.service.as_ref())
+            && includes(self.model.as_ref(), other.model.as_ref())
+            && includes(self.method.as_ref(), other.method.as_ref())
+            && other.route.as_deref().map_or(self.route.is_none(), route_within)
+            && other.prompt_up_to.map_or(self.prompt_up_to.is_none(), limit_within)
     }
 
-    fn check(&self, problems: &mut Problems, at: &str) {
+    fn check(&self, problems: &mut Problems, path: &str) {
         if let Some(service) = &self.service {
-            problems.check(service.is_valid(), &format!("{at}.service"), service, NAME);
+            problems.check(service.is_valid(), &format!("{path}.service"), service, NAME_FORM);
         }
         if let Some(model) = &self.model {
-            problems.check(model.is_valid(), &format!("{at}.model"), model, NAME);
+            problems.check(model.is_valid(), &format!("{path}.model"), model, NAME_FORM);
         }
         if let Some(method) = &self.method {
             let known = METHODS.contains(&method.as_str());
             problems.check(
                 known,
-                &format!("{at}.method"),
+                &format!("{path}.method"),
                 method,
                 "GET, HEAD, POST, PUT, PATCH or DELETE",
             );
@@ -151,26 +151,26 @@
         if let Some(route) = &self.route {
             problems.check(
                 route.starts_with('/'),
-                &format!("{at}.route"),
+                &format!("{path}.route"),
                 route,
                 "a path that begins with a slash",
             );
         }
         if let Some(most) = self.prompt_up_to {
-            problems.check(most > 0, &format!("{at}.prompt_up_to"), &most, "1 or more tokens");
+            problems.check(most > 0, &format!("{path}.prompt_up_to"), &most, "1 or more tokens");
         }
         let both = self.service.is_some() && self.model.is_some();
-        problems.check(!both, at, &"service and model", "one of service and model");
+        problems.check(!both, path, &"service and model", "one of service and model");
     }
 }
 
 impl Targets {
-    fn check(&self, problems: &mut Problems, at: &str) {
+    fn check(&self, problems: &mut Problems, path: &str) {
         let mut check = |name: &str, value: Option<u64>| {
-            let good = value.is_none_or(|ms| (1..=MAX_TARGET_MS).contains(&ms));
+            let in_range = value.is_none_or(|ms| (1..=MAX_TARGET_MS).contains(&ms));
             problems.check(
-                good,
-                &format!("{at}.{name}"),
+                in_range,
+                &format!("{path}.{name}"),
                 &&value.unwrap_or_default(),
                 "1 to 86400000 ms",
             );
@@ -185,7 +185,7 @@
             let value = value.unwrap_or_default();
             problems.check(
                 value <= self.whole_answer_ms,
-                &format!("{at}.{name}"),
+                &format!("{path}.{name}"),
                 &value,
                 "at most whole_answer_ms",
             );
--- a/crates/contract/src/config.rs
+++ b/crates/contract/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the replicated log produces, and the changes that it is made of.
+//! The configuration that results from the replicated log, and the changes that the log carries.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -7,31 +7,31 @@
 
 use crate::{ChangeId, Contract, CustomerId, HostId, HostRule, KeyHash, Problems, Revision, UpstreamId, UpstreamSpec};
 
-/// Contracts and upstreams at one revision.
+/// Contracts, upstreams and capacity settings at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// The newest change that is contained.
+    /// Revision of the newest change that is applied.
     pub revision: Revision,
     /// Contracts by customer.
     pub contracts: BTreeMap<CustomerId, Contract>,
     /// Upstreams by name.
     pub upstreams: BTreeMap<UpstreamId, UpstreamSpec>,
-    /// What operators have said about capacity, by [`HostRule::key`].
+    /// Capacity rules set by operators, by [`HostRule::key`].
     #[serde(default)]
     pub rules: BTreeMap<String, HostRule>,
-    /// Hosts that operators drain, with their incarnation.
+    /// Incarnations of the hosts that operators are draining, by host.
     #[serde(default)]
     pub drains: BTreeMap<HostId, u64>,
 }
 
-/// One change of the configuration.
+/// A change of the configuration.
 #[derive(Clone, Debug, Display, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
     /// Creates or replaces a contract.
     #[display("put contract {}", _0.customer)]
     PutContract(Contract),
-    /// Ends a contract.
+    /// Removes a contract.
     #[display("drop contract {_0}")]
     DropContract(CustomerId),
     /// Registers or replaces an upstream.
@@ -40,40 +40,40 @@
     /// Removes an upstream.
     #[display("drop upstream {_0}")]
     DropUpstream(UpstreamId),
-    /// Says how many hosts of a class a model has in a zone.
+    /// Sets bounds on the hosts that a model has in a zone.
     #[display("put rule {}", _0.key())]
     PutRule(HostRule),
-    /// Leaves that to the plan again.
+    /// Removes a capacity rule, so that the capacity plan alone decides again.
     #[display("drop rule {_0}")]
     DropRule(String),
-    /// Drains a host; that can't be taken back, since the host may be gone already.
+    /// Drains a host; this can't be undone, since the host may be gone already.
     #[display("drain host {host}")]
     DrainHost {
-        /// The host.
+        /// Name of the host.
         host: HostId,
-        /// Which host of that name.
+        /// Tells the host from earlier and later hosts of the same name.
         incarnation: u64,
     },
-    /// Forgets the drain of a host that is gone.
+    /// Deletes the record of a drained host that is gone.
     #[display("forget drain of host {_0}")]
     ForgetDrain(HostId),
 }
 
-/// A change that was accepted, with who made it.
+/// An accepted change with its revision and origin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// Its position.
+    /// Position of the change in the order of all changes.
     pub revision: Revision,
-    /// The id that the operator gave it.
+    /// Idempotency id that the operator chose.
     pub id: ChangeId,
-    /// The operator.
+    /// Name of the operator who made the change.
     pub operator: String,
-    /// What changed.
+    /// Content of the change.
     pub change: Change,
 }
 
 impl Change {
-    /// Checks the content of the change.
+    /// Checks the content of the change by itself.
     ///
     /// # Errors
     /// Returns the fields that failed validation.
@@ -92,9 +92,9 @@
 }
 
 impl Config {
-    /// Checks a change by itself and against what is in force.
+    /// Checks a change by itself and against the current configuration.
     ///
-    /// A key that two customers' accounts had would let one call in the other's name, and be charged for it.
+    /// If accounts of two customers had the same key, one could call in the name of the other, who would be charged.
     ///
     /// # Errors
     /// Returns the fields that failed validation.
@@ -107,13 +107,13 @@
             .contracts
             .values()
             .filter(|other| other.customer != contract.customer);
-        let taken: HashSet<&KeyHash> = others
+        let used: HashSet<&KeyHash> = others
             .flat_map(|other| other.accounts.iter().map(|account| &account.key_hash))
             .collect();
         let mut problems = Problems::default();
         for (at, account) in contract.accounts.iter().enumerate() {
             problems.check(
-                !taken.contains(&account.key_hash),
+                !used.contains(&account.key_hash),
                 &format!("accounts[{at}].key_hash"),
                 &"***",
                 "a key that no other customer's account has",
@@ -122,7 +122,7 @@
         problems.into_result()
     }
 
-    /// Applies the next change and moves the revision to it.
+    /// Applies a change and advances the revision to that of the change.
     pub fn apply(&mut self, record: &ChangeRecord) {
         match &record.change {
             Change::PutContract(contract) => {
--- a/crates/contract/src/customer.rs
+++ b/crates/contract/src/customer.rs
@@ -1,4 +1,4 @@
-//! One contract for each customer: accounts, limits, share and classes.
+//! Customer contracts: accounts, rate limits, fair-share weight and service classes.
 
 use std::collections::BTreeSet;
 
@@ -7,43 +7,43 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::class::{Class, NAME, Request};
+use crate::class::{Class, NAME_FORM, Request};
 use crate::{AccountName, CustomerId, Problems};
 
 /// Most accounts in one contract.
 pub const MAX_ACCOUNTS: usize = 1_000;
 /// Most classes in one contract.
 pub const MAX_CLASSES: usize = 64;
-/// Length of a hashed key in hexadecimal digits.
-const KEY_DIGITS: usize = 64;
+/// Length of a SHA-256 hash in hexadecimal digits.
+const HASH_DIGITS: usize = 64;
 
-/// Everything that a customer was promised; limits, shares and priorities follow from it alone.
+/// What one customer was promised; rate limits, fair shares and priorities derive from the contract alone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contract {
-    /// The customer that it is made with.
+    /// Party to the contract; each customer has at most one.
     pub customer: CustomerId,
-    /// Accounts that may call in the customer's name.
+    /// Accounts that may call in the name of the customer; 1 to [`MAX_ACCOUNTS`].
     pub accounts: Vec<Account>,
-    /// Limits over all entry hosts together.
+    /// Limits that apply over all entry hosts together.
     pub limits: Limits,
-    /// Weight against other customers when there is too little for all.
+    /// Fair-share weight against other customers when capacity is short; 1 to 10000.
     pub share: u32,
-    /// Classes in order; the first one that matches a request counts.
+    /// Service classes, 1 to [`MAX_CLASSES`]; the first class that matches a request applies.
     pub classes: Vec<Class>,
 }
 
-/// A caller's account.
+/// An account of a customer, with its own bearer key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Name of the account within the customer.
+    /// Name, unique within the customer.
     pub name: AccountName,
-    /// SHA-256 of its bearer key.
+    /// Hash of the bearer key, unique over all customers.
     pub key_hash: KeyHash,
 }
 
-/// SHA-256 of a bearer key in hexadecimal digits; the key itself is never kept.
+/// SHA-256 of a bearer key in lower-case hexadecimal digits; the key itself is never stored.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyHash(String);
@@ -56,7 +56,7 @@
         Self(format!("{digest:x}"))
     }
 
-    /// Compares in constant time, so that the time of a refusal tells nothing about a stored hash.
+    /// Compares in constant time, so that the time of a rejection reveals nothing about a stored hash.
     #[must_use]
     pub fn matches(&self, other: &Self) -> bool {
         self.0.as_bytes().ct_eq(other.0.as_bytes()).into()
@@ -64,36 +64,36 @@
 
     fn is_valid(&self) -> bool {
         let digit = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-        self.0.len() == KEY_DIGITS && self.0.chars().all(digit)
+        self.0.len() == HASH_DIGITS && self.0.chars().all(digit)
     }
 }
 
-/// Limits of a customer over all entry hosts together.
+/// Rate and concurrency limits of a customer over all entry hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second; above 0.
     pub requests_per_s: f64,
-    /// Tokens a second, prompt and answer together.
+    /// Tokens per second, prompt and completion together; above 0.
     pub tokens_per_s: f64,
-    /// Requests that may run at the same time.
+    /// Concurrent requests; 1 or more.
     pub concurrency: u32,
 }
 
 impl Contract {
-    /// Finds the first class that matches a request.
+    /// Returns the first class that matches a request, or `None` when no class does.
     #[must_use]
     pub fn class_of(&self, request: &Request<'_>) -> Option<&Class> {
         self.classes.iter().find(|class| class.matches.holds(request))
     }
 
-    /// Checks every field and reports all problems together.
+    /// Checks every field and collects all errors.
     ///
     /// # Errors
-    /// Returns the fields that are out of range, empty or given twice.
+    /// Returns the fields that are out of range, empty or duplicated.
     pub fn validate(&self) -> Result<(), Problems> {
         let mut problems = Problems::default();
-        problems.check(self.customer.is_valid(), "customer", &self.customer, NAME);
+        problems.check(self.customer.is_valid(), "customer", &self.customer, NAME_FORM);
         problems.check((1..=10_000).contains(&self.share), "share", &self.share, "1 to 10000");
         self.check_limits(&mut problems);
         self.check_accounts(&mut problems);
@@ -136,7 +136,7 @@
         let mut keys = BTreeSet::new();
         for (at, account) in self.accounts.iter().enumerate() {
             let field = format!("accounts[{at}].name");
-            problems.check(account.name.is_valid(), &field, &account.name, NAME);
+            problems.check(account.name.is_valid(), &field, &account.name, NAME_FORM);
             problems.check(
                 names.insert(account.name.as_str()),
                 &field,
@@ -165,7 +165,7 @@
         let mut names = BTreeSet::new();
         for (at, class) in self.classes.iter().enumerate() {
             let field = format!("classes[{at}].name");
-            problems.check(class.name.is_valid(), &field, &class.name, NAME);
+            problems.check(class.name.is_valid(), &field, &class.name, NAME_FORM);
             problems.check(
                 names.insert(class.name.as_str()),
                 &field,
@@ -173,10 +173,10 @@
                 "a name that is not used before",
             );
             class.check(problems, &format!("classes[{at}]"));
-            let hidden = self.classes[..at]
+            let shadowing = self.classes[..at]
                 .iter()
                 .find(|before| before.matches.covers(&class.matches));
-            if let Some(before) = hidden {
+            if let Some(before) = shadowing {
                 let allowed = format!("a class that {} before it does not hide", before.name);
                 problems.add(format!("classes[{at}].matches"), &class.name, &allowed);
             }
--- a/crates/contract/src/delta.rs
+++ b/crates/contract/src/delta.rs
@@ -1,4 +1,4 @@
-//! The difference between two catalogs, which grows with what changed and not with what exists.
+//! The difference between two catalogs; its size depends on what changed and not on the size of the catalogs.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
@@ -7,47 +7,47 @@
 
 use crate::{CallerLimits, Catalog, ClientAccount, Route, Service, ServiceName};
 
-/// What makes one catalog into the next.
+/// The changes that lead from one catalog version to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Version that it changes; nothing where it holds the whole catalog.
+    /// Version that the delta applies to; `None` when it holds the whole catalog.
     pub base: Option<u64>,
-    /// Version that it leads to.
+    /// Version that results from applying the delta.
     pub version: u64,
-    /// Changes of the routes.
+    /// Changed and removed routes.
     pub routes: Changes<Route, RouteKey>,
-    /// Changes of the services.
+    /// Changed and removed services.
     pub services: Changes<Service, ServiceName>,
-    /// Changes of the client accounts.
+    /// Changed and removed client accounts.
     pub accounts: Changes<ClientAccount, String>,
-    /// Limits of callers, as they are from now on.
+    /// Caller limits of the new version; sent whole.
     pub limits: CallerLimits,
 }
 
-/// Changes of a list whose items have keys.
+/// Changes of a list of keyed items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes<T, K> {
-    /// New and changed items; they take the place of all items with their keys.
+    /// New and changed items; they replace all items with the same keys.
     pub put: Vec<T>,
-    /// Keys of items that are gone.
+    /// Keys of removed items.
     pub gone: Vec<K>,
 }
 
-/// What no two routes of a catalog share.
+/// Key of a route; no two routes of a catalog have the same.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouteKey {
-    /// Host that callers name, in lower case.
+    /// Value of the `Host` header, in lower case.
     pub host: String,
-    /// Beginning of the path.
+    /// Path prefix.
     pub prefix: String,
 }
 
-/// An item that is known by a key.
+/// An item that is identified by a key.
 pub trait Keyed {
-    /// The key.
+    /// Type of the key.
     type Key: Clone + Eq + Hash;
 
-    /// Gives the key.
+    /// Returns the key of the item.
     fn key(&self) -> Self::Key;
 }
 
@@ -79,7 +79,7 @@
 }
 
 impl Delta {
-    /// Compares two catalogs.
+    /// Returns the changes that lead from `old` to `new`.
     #[must_use]
     pub fn between(old: &Catalog, new: &Catalog) -> Self {
         Self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Makes a delta that needs nothing before it.
+    /// Returns a delta that holds the whole catalog and needs no base version.
     #[must_use]
     pub fn whole(catalog: &Catalog) -> Self {
         Self {
@@ -107,35 +107,35 @@
     T: Keyed<Key = K> + Clone + PartialEq,
     K: Clone + Eq + Hash,
 {
-    /// Compares two lists. Items that share a key are compared and sent together.
+    /// Returns the changes that lead from `old` to `new`; items with the same key are compared and sent as a group.
     #[must_use]
     pub fn between(old: &[T], new: &[T]) -> Self {
-        let (before, after) = (by_key(old), by_key(new));
+        let (before, after) = (group_by_key(old), group_by_key(new));
         let changed = |item: &&T| {
             let key = item.key();
             before.get(&key) != after.get(&key)
         };
-        let mut told = HashSet::new();
+        let mut seen = HashSet::new();
         let gone = old.iter().map(Keyed::key).filter(|key| !after.contains_key(key));
         Self {
             put: new.iter().filter(changed).cloned().collect(),
-            gone: gone.filter(|key| told.insert(key.clone())).collect(),
+            gone: gone.filter(|key| seen.insert(key.clone())).collect(),
         }
     }
 
-    /// Tells whether nothing changes.
+    /// Returns whether nothing changes.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.put.is_empty() && self.gone.is_empty()
     }
 
-    /// Gives the keys whose items are replaced or gone.
+    /// Returns the keys whose items are replaced or removed.
     pub fn keys(&self) -> impl Iterator<Item = K> {
         self.put.iter().map(Keyed::key).chain(self.gone.iter().cloned())
     }
 }
 
-fn by_key<T: Keyed>(items: &[T]) -> HashMap<T::Key, Vec<&T>> {
+fn group_by_key<T: Keyed>(items: &[T]) -> HashMap<T::Key, Vec<&T>> {
     let mut groups: HashMap<T::Key, Vec<&T>> = HashMap::with_capacity(items.len());
     for item in items {
         groups.entry(item.key()).or_default().push(item);
--- a/crates/contract/src/error.rs
+++ b/crates/contract/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of validation: every wrong field is named together with its value and what is allowed.
+//! Validation errors: every invalid field is reported with its value and the allowed values.
 
 use std::fmt::Display;
 
@@ -10,23 +10,23 @@
 pub struct FieldError {
     /// Path of the field, such as `classes[2].targets.first_token_ms`.
     pub field: String,
-    /// The value as it was given; secrets are masked before they come here.
+    /// The rejected value; callers mask secrets.
     pub value: String,
-    /// What would have been accepted.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// All fields that failed validation, reported together.
+/// All fields that failed validation, reported as one error.
 #[derive(Clone, Debug, Default, derive_more::Display, Error, PartialEq, Eq)]
-#[display("{}", self.listed())]
+#[display("{}", self.joined())]
 pub struct Problems {
-    /// The failed fields in the order in which they were found.
+    /// The invalid fields in the order in which they were checked.
     #[error(not(source))]
     pub fields: Vec<FieldError>,
 }
 
 impl Problems {
-    /// Records a field that failed.
+    /// Adds an invalid field.
     pub fn add(&mut self, field: impl Into<String>, value: &dyn Display, allowed: impl Into<String>) {
         self.fields.push(FieldError {
             field: field.into(),
@@ -35,22 +35,22 @@
         });
     }
 
-    /// Records a failure unless `good` holds.
-    pub fn check(&mut self, good: bool, field: &str, value: &dyn Display, allowed: &str) {
-        if !good {
+    /// Adds a field as invalid unless `valid` is true.
+    pub fn check(&mut self, valid: bool, field: &str, value: &dyn Display, allowed: &str) {
+        if !valid {
             self.add(field, value, allowed);
         }
     }
 
-    /// Turns the collected failures into a result.
+    /// Converts the collected errors into a result.
     ///
     /// # Errors
-    /// Returns itself when at least one field failed.
+    /// Returns `self` when at least one field is invalid.
     pub fn into_result(self) -> Result<(), Self> {
         if self.fields.is_empty() { Ok(()) } else { Err(self) }
     }
 
-    fn listed(&self) -> String {
+    fn joined(&self) -> String {
         let lines: Vec<String> = self.fields.iter().map(ToString::to_string).collect();
         lines.join("; ")
     }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,7 +1,5 @@
-//! Contracts of customers, descriptions of upstreams and checked settings.
-//!
-//! Everything that the other packages agree on without talking to each other lives here: names, contracts,
-//! the configuration that the replicated log produces, and the way settings are read and checked.
+//! Data model that all crates share: identifiers, customer contracts, upstreams, the replicated configuration, the
+//! gateway's catalog, and how settings are read and validated.
 
 mod catalog;
 mod class;
--- a/crates/contract/src/listed.rs
+++ b/crates/contract/src/listed.rs
@@ -1,4 +1,4 @@
-//! Upstreams as the platform's list names them.
+//! Entries of the platform's list of upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 
 use crate::{ServiceName, Zone};
 
-/// An upstream as the list names it.
+/// An entry of the platform's list of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its name.
+    /// Name of the upstream; a restarted one may keep it.
     pub id: String,
-    /// Tells its starts apart: an upstream may start again under the name that it had, knowing nothing of before.
+    /// Incarnation: an upstream can restart under its old name with empty state, and then has another number here.
     pub start: u64,
-    /// The service.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Where it answers.
+    /// Address of the upstream's HTTP interface.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the upstream.
     pub zone: Zone,
-    /// Requests that run at once.
+    /// Requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the upstream is draining and takes no new requests.
     pub leaving: bool,
-    /// Whether it can be reclaimed.
+    /// Whether the cloud can reclaim the host of the upstream.
     pub reclaimable: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time, in which the upstream is slow.
     pub cold: Duration,
-    /// Time until it is taken away, as of when the list was read; unknown for most that leave.
+    /// Time until the upstream is taken away, as of when the list was read; unknown for most draining upstreams.
     pub left: Option<Duration>,
 }
--- a/crates/contract/src/name.rs
+++ b/crates/contract/src/name.rs
@@ -15,16 +15,16 @@
         pub struct $name(String);
 
         impl $name {
-            /// Gives the name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
             }
 
-            /// Tells whether the name is non-empty, short enough and made of letters, digits and `-_.:/`.
+            /// Returns whether the name is 1 to [`MAX_NAME`] bytes of ASCII letters, digits and `-_.:/`.
             #[must_use]
             pub fn is_valid(&self) -> bool {
-                is_name(&self.0)
+                is_valid_name(&self.0)
             }
         }
 
@@ -37,33 +37,33 @@
 }
 
 name! {
-    /// A customer: the party to one contract.
+    /// Name of a customer, the party to a contract.
     CustomerId;
-    /// An account of a customer; each has one bearer key.
+    /// Name of an account of a customer; each account has one bearer key.
     AccountName;
-    /// A class of requests within a contract.
+    /// Name of a service class within a contract.
     ClassName;
-    /// A host as the cloud names it.
+    /// Name that the cloud gives a host; the cloud may reuse it.
     HostId;
-    /// A zone: hosts that are reclaimed together.
+    /// Name of a zone, whose hosts the cloud reclaims together.
     Zone;
-    /// A data centre: entry hosts and upstreams that can be cut off together.
+    /// Name of a data centre, whose entry hosts and upstreams a network partition can cut off together.
     DataCenter;
-    /// An engine or service process on a host.
+    /// Name of an engine or service process on a host.
     UpstreamId;
-    /// A model that engines serve.
+    /// Name of a model that engines serve.
     ModelName;
-    /// A plain service that requests are passed to.
+    /// Name of a plain service that requests are forwarded to.
     ServiceName;
-    /// A process of the system itself.
+    /// Name of one of gentianspring's own processes.
     NodeId;
-    /// A caller's request, unique over all entry hosts.
+    /// Id of a caller's request, unique over all entry hosts.
     RequestId;
-    /// An operator's change; resending the same id returns the first answer.
+    /// Idempotency id of an operator's change; a resend with the same id returns the first response.
     ChangeId;
 }
 
-/// The position of a configuration change; it only grows.
+/// The position of a configuration change; it increases by one with each change.
 #[derive(
     Clone, Copy, Debug, Default, Display, From, Into, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -71,14 +71,14 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Gives the revision after this one.
+    /// Returns the revision after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':' | '/');
     !text.is_empty() && text.len() <= MAX_NAME && text.chars().all(allowed)
 }
--- a/crates/contract/src/settings.rs
+++ b/crates/contract/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings from flags and environment variables, checked together at start.
+//! Settings from flags and environment variables, validated together at program start.
 //!
-//! A program defines each of its settings as a constant [`Setting`]. A [`Sheet`] reads flag first, then environment
-//! variable, then the default, collects every problem and reports them all at once.
+//! A program defines each of its settings as a constant [`Setting`]. A [`Sheet`] takes the flag first, then the
+//! environment variable, then the default; it collects all errors and reports them at once.
 
 use std::fmt::Write as _;
 use std::str::FromStr;
@@ -10,24 +10,24 @@
 
 use crate::Problems;
 
-/// Definition of one setting; the reference page is made from these.
+/// Definition of a setting; the settings reference page is generated from these.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
-    /// Flag without the dashes.
+    /// Name of the flag, without the leading dashes.
     pub flag: &'static str,
-    /// Environment variable.
+    /// Name of the environment variable.
     pub env: &'static str,
-    /// Value that holds when neither is given; `None` makes the setting required.
+    /// Value that applies when neither is given; `None` makes the setting required.
     pub default: Option<&'static str>,
-    /// What is allowed, in words.
+    /// Description of the allowed values.
     pub allowed: &'static str,
-    /// What it does, in one sentence.
+    /// Purpose of the setting, in one sentence.
     pub help: &'static str,
-    /// Whether its value is masked wherever it is shown.
+    /// Whether the value is masked wherever it is shown.
     pub secret: bool,
 }
 
-/// Defines a setting that is no secret, as a constant.
+/// Defines a setting that is not secret, as a constant.
 #[macro_export]
 macro_rules! setting {
     ($name:ident, $flag:literal, $env:literal, $default:expr, $allowed:literal, $help:literal) => {
@@ -42,21 +42,21 @@
     };
 }
 
-/// Where a value came from.
+/// Source of a setting's value.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum Origin {
-    /// The command line.
+    /// Set by a flag on the command line.
     #[display("flag")]
     Flag,
-    /// The environment.
+    /// Set by an environment variable.
     #[display("environment")]
     Environment,
-    /// The definition.
+    /// Default of the definition.
     #[display("default")]
     Default,
 }
 
-/// The values of a program's settings together with the problems found in them.
+/// Reads the settings of a program and collects their values and errors.
 #[derive(Debug, Default)]
 pub struct Sheet {
     problems: Problems,
@@ -71,28 +71,28 @@
 }
 
 impl Sheet {
-    /// Reads one setting and parses it; a problem is recorded and reported by [`Sheet::finish`].
+    /// Reads and parses a setting; [`Sheet::finish`] reports the errors.
     ///
-    /// Returns `None` only if a problem was recorded.
+    /// Returns `None` only if an error was recorded.
     pub fn read<T: FromStr>(&mut self, setting: &'static Setting, flag: Option<&str>) -> Option<T> {
         self.read_from(setting, flag, |name| std::env::var(name).ok())
     }
 
-    /// Reads one setting with the environment given as a function.
+    /// Reads and parses a setting, looking up environment variables with `env`.
     pub fn read_from<T: FromStr>(
         &mut self,
         setting: &'static Setting,
         flag: Option<&str>,
         env: impl Fn(&str) -> Option<String>,
     ) -> Option<T> {
-        let Some((text, origin)) = find(setting, flag, env) else {
+        let Some((text, origin)) = lookup(setting, flag, env) else {
             self.problems.add(label(setting), &"(absent)", setting.allowed);
             return None;
         };
         let parsed = text.parse().ok();
         if parsed.is_none() {
             self.problems
-                .add(label(setting), &shown(setting, &text), setting.allowed);
+                .add(label(setting), &masked(setting, &text), setting.allowed);
         }
         self.rows.push(Row {
             setting,
@@ -102,69 +102,69 @@
         parsed
     }
 
-    /// Records that a value which parsed is not allowed.
+    /// Records an error for a value that parses but is not allowed.
     pub fn reject(&mut self, setting: &'static Setting, value: &dyn Display) {
         self.problems
-            .add(label(setting), &shown(setting, &value.to_string()), setting.allowed);
+            .add(label(setting), &masked(setting, &value.to_string()), setting.allowed);
     }
 
-    /// Gives the value, or records a problem where it is out of range.
+    /// Returns the value unchanged, and records an error unless `valid` holds for it.
     pub fn check<T: Display>(
         &mut self,
         setting: &'static Setting,
         value: Option<T>,
-        good: impl Fn(&T) -> bool,
+        valid: impl Fn(&T) -> bool,
     ) -> Option<T> {
         if let Some(value) = &value
-            && !good(value)
+            && !valid(value)
         {
             self.reject(setting, value);
         }
         value
     }
 
-    /// Ends reading.
+    /// Reports the errors of all settings that were read.
     ///
     /// # Errors
-    /// Returns every problem that was recorded.
+    /// Returns every recorded error.
     pub fn finish(&self) -> Result<(), Problems> {
         self.problems.clone().into_result()
     }
 
-    /// Renders each setting with its value and origin, secrets masked.
+    /// Renders each setting with its value and source; secrets are masked.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = String::new();
         for row in &self.rows {
-            let value = shown(row.setting, &row.value);
-            // Writing to a string cannot fail.
+            let value = masked(row.setting, &row.value);
+            // Writing to a string can't fail.
             let _ = writeln!(text, "--{}={value}  ({})", row.setting.flag, row.origin);
         }
         text
     }
 }
 
-/// Reads a program's settings, and prints them if asked to.
+/// Reads the settings of a program, and prints them if `print` is set.
 ///
-/// Returns `None` when the program was only to print or check them.
+/// Returns `None` if the program should end after printing or checking its settings.
 ///
 /// # Errors
-/// Returns every setting that is missing or not allowed.
+/// Returns every setting that is missing or invalid.
 pub fn begin<S>(
     print: bool,
     check: bool,
     read: impl FnOnce(&mut Sheet) -> Result<S, Problems>,
 ) -> Result<Option<S>, Problems> {
-    let mut sheet = Sheet::default();
-    let settings = read(&mut sheet);
+    let mut reader = Sheet::default();
+    let settings = read(&mut reader);
     if print {
-        print!("{}", sheet.render());
+        print!("{}", reader.render());
     }
     let settings = settings?;
     Ok((!print && !check).then_some(settings))
 }
 
-/// A list that is written with commas in a setting.
+/// A comma-separated list as the value of a setting.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct List<T>(pub Vec<T>);
 
@@ -187,13 +187,13 @@
             .default
             .map_or_else(|| "required".to_owned(), |value| format!("`{value}`"));
         let (flag, env, allowed, help) = (setting.flag, setting.env, setting.allowed, setting.help);
-        // Writing to a string cannot fail.
+        // Writing to a string can't fail.
         let _ = writeln!(text, "| `--{flag}` | `{env}` | {default} | {allowed} | {help} |");
     }
     text
 }
 
-fn find(setting: &Setting, flag: Option<&str>, env: impl Fn(&str) -> Option<String>) -> Option<(String, Origin)> {
+fn lookup(setting: &Setting, flag: Option<&str>, env: impl Fn(&str) -> Option<String>) -> Option<(String, Origin)> {
     let flag = flag.map(|text| (text.to_owned(), Origin::Flag));
     let env = || env(setting.env).map(|text| (text, Origin::Environment));
     let default = || setting.default.map(|text| (text.to_owned(), Origin::Default));
@@ -204,7 +204,7 @@
     format!("--{} ({})", setting.flag, setting.env)
 }
 
-fn shown(setting: &Setting, value: &str) -> String {
+fn masked(setting: &Setting, value: &str) -> String {
     if setting.secret {
         "***".to_owned()
     } else {
--- a/crates/contract/src/upstream.rs
+++ b/crates/contract/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Descriptions of engines and services and of the hosts that carry them.
+//! Descriptions of engines and services and of the hosts that they run on.
 
 use std::net::SocketAddr;
 
@@ -11,46 +11,46 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSpec {
-    /// Its name, unique over all upstreams.
+    /// Name, unique over all upstreams.
     pub id: UpstreamId,
-    /// Engine or service, and what it serves.
+    /// Whether it is an engine or a service, and what it serves.
     pub kind: UpstreamKind,
-    /// Address of its HTTP interface.
+    /// Address of the HTTP interface.
     pub address: SocketAddr,
-    /// The host that it runs on.
+    /// Host that it runs on.
     pub host: HostSpec,
-    /// Requests that it runs at the same time without slowing down beyond its targets.
+    /// Requests that it can run concurrently within its latency targets; 1 to 100000.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
 
-/// The host under an upstream.
+/// The host that an upstream runs on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSpec {
-    /// Its name in the cloud.
+    /// Name that the cloud gave the host.
     pub id: HostId,
-    /// Counts the hosts that have had this name; a host that comes back is a new one.
+    /// Number of the host among all that have had this name; a host that reappears under a name counts as new.
     #[serde(default)]
     pub incarnation: u64,
-    /// The zone that it is reclaimed with.
+    /// Zone of the host; the cloud reclaims the hosts of a zone together.
     pub zone: Zone,
-    /// The data centre that it stands in.
+    /// Data centre of the host.
     pub data_center: DataCenter,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the host.
     pub class: MachineClass,
-    /// Price in micro-dollars an hour.
+    /// Price in micro-dollars per hour.
     pub price: u64,
 }
 
-/// Whether the cloud may take a host back.
+/// Whether the cloud may reclaim a host.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineClass {
-    /// Cheap, and taken back with seconds of notice.
+    /// Cheap (spot); the cloud reclaims it with seconds of notice.
     #[display("reclaimable")]
     Reclaimable,
-    /// Dear, and kept until it is given back.
+    /// Expensive; kept until it is stopped by its user.
     #[display("on_demand")]
     OnDemand,
 }
@@ -61,36 +61,36 @@
 pub enum UpstreamKind {
     /// A model engine.
     Engine {
-        /// The model that is loaded.
+        /// Model that the engine has loaded.
         model: ModelName,
-        /// Whether it refuses an order that carries an old fencing token.
+        /// Whether the engine rejects orders with an outdated fencing token.
         checks_fencing: bool,
     },
     /// A plain service.
     Service {
-        /// The name in `/services/NAME/…`.
+        /// Name in `/services/NAME/…`.
         service: ServiceName,
-        /// Whether it can tell the outcome of an earlier call by idempotency key.
+        /// Whether the service can report the outcome of an earlier call by its idempotency key.
         tells_outcome: bool,
     },
 }
 
 impl UpstreamSpec {
-    /// Checks every field and reports all problems together.
+    /// Checks every field and collects all errors.
     ///
     /// # Errors
     /// Returns the fields that are empty or out of range.
     pub fn validate(&self) -> Result<(), Problems> {
-        const NAME: &str = "a name of letters, digits and -_.:/";
+        const FORM: &str = "a name of letters, digits and -_.:/";
         let mut problems = Problems::default();
-        problems.check(self.id.is_valid(), "id", &self.id, NAME);
-        problems.check(self.host.id.is_valid(), "host.id", &self.host.id, NAME);
-        problems.check(self.host.zone.is_valid(), "host.zone", &self.host.zone, NAME);
+        problems.check(self.id.is_valid(), "id", &self.id, FORM);
+        problems.check(self.host.id.is_valid(), "host.id", &self.host.id, FORM);
+        problems.check(self.host.zone.is_valid(), "host.zone", &self.host.zone, FORM);
         problems.check(
             self.host.data_center.is_valid(),
             "host.data_center",
             &self.host.data_center,
-            NAME,
+            FORM,
         );
         problems.check((1..=100_000).contains(&self.slots), "slots", &self.slots, "1 to 100000");
         problems.check(
@@ -100,21 +100,21 @@
             "an IP number and a port above 0",
         );
         match &self.kind {
-            UpstreamKind::Engine { model, .. } => problems.check(model.is_valid(), "kind.engine.model", model, NAME),
+            UpstreamKind::Engine { model, .. } => problems.check(model.is_valid(), "kind.engine.model", model, FORM),
             UpstreamKind::Service { service, .. } => {
-                problems.check(service.is_valid(), "kind.service.service", service, NAME);
+                problems.check(service.is_valid(), "kind.service.service", service, FORM);
             }
         }
         problems.into_result()
     }
 
-    /// Tells whether it serves a model.
+    /// Returns whether this is an engine with the given model.
     #[must_use]
     pub fn serves_model(&self, name: &str) -> bool {
         matches!(&self.kind, UpstreamKind::Engine { model, .. } if model.as_str() == name)
     }
 
-    /// Tells whether it is a service of that name.
+    /// Returns whether this is the service of the given name.
     #[must_use]
     pub fn serves_service(&self, name: &str) -> bool {
         matches!(&self.kind, UpstreamKind::Service { service, .. } if service.as_str() == name)
--- a/crates/contract/tests/contract_checks.rs
+++ b/crates/contract/tests/contract_checks.rs
@@ -1,4 +1,4 @@
-//! Contracts are checked as a whole and name every wrong field.
+//! Validation of contracts, which reports every invalid field.
 
 use contract::{Account, Change, Class, Config, Contract, KeyHash, Limits, Matcher, Repeat, Request, Targets};
 
@@ -35,18 +35,18 @@
 }
 
 #[test]
-fn accepts_sample() {
+fn valid_sample() {
     sample().validate().unwrap();
 }
 
 #[test]
-fn names_fields() {
-    let mut bad = sample();
-    bad.share = 0;
-    bad.limits.requests_per_s = f64::NAN;
-    bad.classes[1].targets.whole_answer_ms = 0;
-    bad.accounts.push(bad.accounts[0].clone());
-    let text = bad.validate().unwrap_err().to_string();
+fn reports_fields() {
+    let mut contract = sample();
+    contract.share = 0;
+    contract.limits.requests_per_s = f64::NAN;
+    contract.classes[1].targets.whole_answer_ms = 0;
+    contract.accounts.push(contract.accounts[0].clone());
+    let text = contract.validate().unwrap_err().to_string();
     for field in [
         "share: 0",
         "limits.requests_per_s: NaN",
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn refuses_unknown() {
+fn unknown_field() {
     let mut value = serde_json::to_value(sample()).unwrap();
     value["priority"] = serde_json::json!(9);
     let error = serde_json::from_value::<Contract>(value).unwrap_err();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn refuses_nested() {
+fn unknown_nested_field() {
     for path in [
         "/limits",
         "/accounts/0",
@@ -81,8 +81,8 @@
     }
 }
 
-/// Changes a class of the sample and gives what is said about it.
-fn told(change: impl Fn(&mut Class)) -> String {
+/// Changes the first class of the sample and returns the validation error, or an empty text if there is none.
+fn validation_error(change: impl Fn(&mut Class)) -> String {
     let mut contract = sample();
     change(&mut contract.classes[0]);
     contract
@@ -90,11 +90,11 @@
         .map_or_else(|problems| problems.to_string(), |()| String::new())
 }
 
-type Break = fn(&mut Class);
+type Edit = fn(&mut Class);
 
 #[test]
-fn names_conditions() {
-    let cases: [(Break, &str); 8] = [
+fn reports_class_fields() {
+    let cases: [(Edit, &str); 8] = [
         (
             |class| class.matches.service = Some("a b".into()),
             "classes[0].matches.service: a b",
@@ -126,52 +126,53 @@
         (|class| class.name = "".into(), "classes[0].name: "),
     ];
     for (change, field) in cases {
-        let text = told(change);
+        let text = validation_error(change);
         assert!(text.contains(field), "{field} is missing in {text:?}");
         assert!(text.contains("expected"), "{text}");
     }
 }
 
-/// A class promises that chats run once only. Answers of engines are resumed at other engines, so the promise could not
-/// be kept; the operator must hear so when writing the contract, and not a customer later.
+/// Guards against an at-most-once promise for engine requests. Their responses are resumed on other engines, so the
+/// promise can't be kept; the contract must be rejected when the operator submits it.
 #[test]
-fn once_needs_service() {
-    let text = told(|class| {
+fn at_most_once() {
+    let text = validation_error(|class| {
         class.matches.service = None;
         class.matches.model = Some("counter-1".into());
         class.repeat = Repeat::AtMostOnce;
     });
     assert!(text.contains("classes[0].repeat: at_most_once"), "{text}");
-    assert_eq!(told(|class| class.repeat = Repeat::AtMostOnce), "");
+    assert_eq!(validation_error(|class| class.repeat = Repeat::AtMostOnce), "");
 }
 
-/// An operator writes the class for everything before the class for deposits. The first match counts, so deposits would
-/// silently be treated as calls that may be repeated, and a customer would be charged twice.
+/// Guards against a class that an earlier, wider class makes unreachable. The first match applies, so a call that must
+/// run at most once would silently be retried as idempotent, and the customer would be charged twice.
 #[test]
-fn hidden_class() {
+fn unreachable_class() {
     let mut contract = sample();
     contract.classes.swap(0, 1);
     let text = contract.validate().unwrap_err().to_string();
     assert!(text.contains("classes[1].matches: till"), "{text}");
     assert!(text.contains("chat before it does not hide"), "{text}");
     let mut contract = sample();
-    let mut longer = contract.classes[0].clone();
-    longer.name = "deposits".into();
-    longer.matches.route = Some("/deposits".into());
-    contract.classes.insert(0, longer.clone());
+    let mut narrower = contract.classes[0].clone();
+    narrower.name = "deposits".into();
+    narrower.matches.route = Some("/deposits".into());
+    contract.classes.insert(0, narrower.clone());
     contract.validate().unwrap();
     contract.classes.swap(0, 1);
     contract.validate().unwrap_err();
 }
 
-/// Two customers' contracts hold the same key. Whoever is found first would be charged for the other's calls.
+/// Guards against the same key in the contracts of two customers: the one found first would be charged for the calls of
+/// the other.
 #[test]
-fn keys_are_unique() {
+fn duplicate_key() {
     let mut config = Config::default();
     let first = sample();
     config.check(&Change::PutContract(first.clone())).unwrap();
     config.contracts.insert(first.customer.clone(), first.clone());
-    // The same customer may put its contract again.
+    // Replacing the contract of the same customer is allowed.
     config.check(&Change::PutContract(first.clone())).unwrap();
     let mut other = first;
     other.customer = "mwangaza".into();
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn lower_case_keys() {
+fn upper_case_hash() {
     let mut value = serde_json::to_value(sample()).unwrap();
     let key = value["accounts"][0]["key_hash"].as_str().unwrap().to_uppercase();
     value["accounts"][0]["key_hash"] = key.clone().into();
@@ -193,7 +194,7 @@
 }
 
 #[test]
-fn first_match() {
+fn first_matching_class() {
     let contract = sample();
     let call = Request {
         service: Some("till"),
--- a/crates/contract/tests/settings_sheet.rs
+++ b/crates/contract/tests/settings_sheet.rs
@@ -1,4 +1,4 @@
-//! Settings come from flags first, then the environment, then defaults.
+//! Reading of settings: flags take precedence over the environment, and the environment over defaults.
 
 use contract::settings::{List, Setting, Sheet};
 
@@ -20,28 +20,28 @@
 };
 
 #[test]
-fn flag_wins() {
-    let mut sheet = Sheet::default();
+fn precedence_order() {
+    let mut reader = Sheet::default();
     let env = |_: &str| Some("81".to_owned());
-    assert_eq!(sheet.read_from::<u16>(&PORT, Some("82"), env), Some(82));
-    assert_eq!(sheet.read_from::<u16>(&PORT, None, env), Some(81));
-    assert_eq!(sheet.read_from::<u16>(&PORT, None, |_| None), Some(80));
-    sheet.finish().unwrap();
+    assert_eq!(reader.read_from::<u16>(&PORT, Some("82"), env), Some(82));
+    assert_eq!(reader.read_from::<u16>(&PORT, None, env), Some(81));
+    assert_eq!(reader.read_from::<u16>(&PORT, None, |_| None), Some(80));
+    reader.finish().unwrap();
 }
 
 #[test]
-fn reports_all() {
-    let mut sheet = Sheet::default();
-    assert_eq!(sheet.read_from::<u16>(&PORT, Some("many"), |_| None), None);
-    assert_eq!(sheet.read_from::<u16>(&KEY, Some("hunter2"), |_| None), None);
-    let text = sheet.finish().unwrap_err().to_string();
+fn reports_all_errors() {
+    let mut reader = Sheet::default();
+    assert_eq!(reader.read_from::<u16>(&PORT, Some("many"), |_| None), None);
+    assert_eq!(reader.read_from::<u16>(&KEY, Some("hunter2"), |_| None), None);
+    let text = reader.finish().unwrap_err().to_string();
     assert!(text.contains("--port (GENTIAN_PORT): many"), "{text}");
     assert!(text.contains("--key (GENTIAN_KEY): ***"), "{text}");
-    assert!(!sheet.render().contains("hunter2"));
+    assert!(!reader.render().contains("hunter2"));
 }
 
 #[test]
-fn splits_lists() {
+fn comma_lists() {
     assert_eq!("1, 2,3".parse::<List<u8>>().unwrap(), List(vec![1, 2, 3]));
     "1,x".parse::<List<u8>>().unwrap_err();
 }
