--- a/crates/wire/src/bytes.rs
+++ b/crates/wire/src/bytes.rs
@@ -1,4 +1,6 @@
-//! Byte strings: raw in binary formats, and as base64 in JSON, where they are a third longer instead of four times.
+//! Serde functions for byte strings: raw in binary formats, base64 in JSON.
+//!
+//! Base64 is a third longer than the bytes; a JSON array of numbers would be about four times as long.
 
 use std::fmt;
 
@@ -19,12 +21,12 @@
         let text = String::deserialize(deserializer)?;
         return STANDARD.decode(text).map_err(D::Error::custom);
     }
-    deserializer.deserialize_byte_buf(Bytes)
+    deserializer.deserialize_byte_buf(BytesVisitor)
 }
 
-struct Bytes;
+struct BytesVisitor;
 
-impl Visitor<'_> for Bytes {
+impl Visitor<'_> for BytesVisitor {
     type Value = Vec<u8>;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/wire/src/catalog.rs
+++ b/crates/wire/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Calls to `gentian-state` about the catalog: publishing, reading and following it, and the beats of entry hosts.
+//! Catalog calls to `gentian-state`: publishing, reading and following the catalog, and heartbeats of entry hosts.
 
 use std::net::SocketAddr;
 
@@ -11,171 +11,171 @@
 use crate::registry::{Borrow, BorrowReply, Heartbeat, HeartbeatReply};
 use crate::state::Unavailable;
 
-/// The calls about the catalog.
+/// RPC interface of `gentian-state` for the catalog and for entry hosts.
 #[rpc(server, client, namespace = "catalog")]
 pub trait CatalogRpc {
-    /// Publishes a catalog.
+    /// Publishes a catalog version.
     #[method(name = "publish")]
     async fn publish(&self, request: Envelope<Publish>) -> RpcResult<Envelope<Published>>;
 
-    /// Adds a piece to a publication that is too large for one message.
+    /// Uploads one chunk of a catalog that is too large for one message.
     #[method(name = "upload")]
     async fn upload(&self, request: Envelope<Upload>) -> RpcResult<Envelope<Uploaded>>;
 
-    /// Reads the newest document of the catalog.
+    /// Reads the newest published document.
     #[method(name = "fetch")]
     async fn fetch(&self, request: Envelope<()>) -> RpcResult<Envelope<Fetched>>;
 
-    /// Waits for changes of the catalog.
+    /// Waits for a newer catalog version and reads its transfers.
     #[method(name = "follow")]
     async fn follow(&self, request: Envelope<Follow>) -> RpcResult<Envelope<Followed>>;
 
-    /// Tells the leader that an entry host is there and what it has seen; the answer holds its parts of shared limits.
+    /// Sends the heartbeat of an entry host to the leader; the reply holds the host's share of the quotas.
     #[method(name = "beat")]
     async fn beat(&self, request: Envelope<Heartbeat>) -> RpcResult<Envelope<HeartbeatReply>>;
 
-    /// Asks the leader for a part of a quota that is not split.
+    /// Asks the leader for units of a client account's quota beyond the entry host's own share.
     #[method(name = "borrow")]
     async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<BorrowReply>>;
 }
 
-/// Publishes a document and the catalog that it stands for.
+/// A request to publish a document, together with the catalog decoded from it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Publish {
-    /// The document as the operator sent it, for reading it back.
+    /// The document as the operator sent it, stored for reading it back.
     #[serde(with = "crate::bytes")]
     pub document: Vec<u8>,
-    /// What it means.
+    /// The catalog decoded from the document.
     pub catalog: Catalog,
 }
 
-/// The answer to [`Publish`].
+/// The reply to [`Publish`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Published {
-    /// The document is durable and in force, or a newer one is.
+    /// The document, or a newer one, is durable and in force.
     Accepted {
-        /// Version in force.
+        /// Version that is in force.
         version: u64,
-        /// Whether this document changed it.
+        /// Whether this request changed the version in force.
         changed: bool,
     },
-    /// The node cannot decide it.
+    /// The node can't decide the request.
     Unavailable(Unavailable),
 }
 
-/// What tells one publication in pieces from another.
+/// Identifies a chunked upload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UploadId {
     /// Version of the document.
     pub version: u64,
     /// CRC-32 of the encoded publication.
     pub digest: u32,
-    /// Its bytes.
+    /// Length of the encoded publication in bytes.
     pub total: u64,
 }
 
-/// A piece of an encoded [`Publish`]; the last one publishes it.
+/// One chunk of an encoded [`Publish`]; the last chunk publishes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upload {
-    /// The publication.
+    /// Upload that the chunk belongs to.
     pub id: UploadId,
-    /// Bytes before the piece.
+    /// Offset of the chunk in bytes.
     pub offset: u64,
-    /// The piece.
+    /// Content of the chunk.
     #[serde(with = "crate::bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// The answer to [`Upload`].
+/// The reply to [`Upload`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Uploaded {
-    /// So many bytes of the publication are there; the next piece begins after them.
+    /// Number of consecutive bytes received; the next chunk starts there.
     Held(u64),
-    /// The publication is complete.
+    /// The upload is complete; carries the result of publishing it.
     Published(Published),
-    /// The pieces are no publication.
+    /// The uploaded bytes can't be decoded; carries the reason.
     Unreadable(String),
-    /// The node cannot decide it.
+    /// The node can't decide the request.
     Unavailable(Unavailable),
 }
 
-/// The answer to a read of the newest document.
+/// The reply to a read of the newest document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fetched {
-    /// The newest document; nothing before the first.
+    /// The newest document; `None` if none was published yet.
     Document(Option<Document>),
-    /// The node cannot be sure which document is the newest.
+    /// The node can't confirm which document is the newest.
     Unavailable(Unavailable),
 }
 
 /// A published document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Its version.
+    /// Version of the document.
     pub version: u64,
     /// The document as the operator sent it.
     #[serde(with = "crate::bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// Asks for what leads from one version of the catalog to the newest.
+/// Asks for the transfers that lead from one catalog version to the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Follow {
-    /// The version that the asker has; nothing where it has none.
+    /// Version that the caller has; `None` if it has none.
     pub after: Option<u64>,
-    /// The transfer that has begun, if one has.
+    /// Position at which a transfer in progress continues, if there is one.
     pub resume: Option<Resume>,
-    /// Most bytes of transfers in the answer.
+    /// Most transfer bytes in the reply.
     pub max_bytes: u32,
-    /// How long to wait for news, in milliseconds.
+    /// How long the node waits for a newer version, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// An encoded [`contract::Delta`], the same at every state node.
+/// Identifies an encoded [`contract::Delta`]; its bytes are the same at every state node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// Version that it changes; nothing where it holds the whole catalog.
+    /// Version that the delta applies to; `None` when it holds the whole catalog.
     pub base: Option<u64>,
-    /// Version that it leads to.
+    /// Version that results from applying the delta.
     pub version: u64,
-    /// CRC-32 of its bytes.
+    /// CRC-32 of the encoded delta.
     pub digest: u32,
 }
 
-/// Where a transfer goes on.
+/// The position at which a transfer continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
-    /// The transfer.
+    /// Transfer in progress.
     pub transfer: Transfer,
-    /// Bytes that the asker has.
+    /// Number of bytes that the caller has already.
     pub offset: u64,
 }
 
 /// Consecutive bytes of a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferPart {
-    /// The transfer.
+    /// Transfer that the bytes belong to.
     pub transfer: Transfer,
-    /// Bytes before the part.
+    /// Offset of the bytes in the transfer.
     pub offset: u64,
-    /// Bytes of the whole transfer.
+    /// Length of the whole transfer in bytes.
     pub total: u64,
-    /// The part.
+    /// Consecutive bytes from the offset on.
     #[serde(with = "crate::bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// The answer to [`Follow`].
+/// The reply to [`Follow`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Followed {
-    /// Parts of transfers in the order in which they are applied.
+    /// Parts of transfers, in the order in which the deltas are to be applied.
     pub parts: Vec<TransferPart>,
     /// The newest version that the node knows.
     pub newest: u64,
-    /// Milliseconds since the node last knew that its catalog was the newest.
+    /// Milliseconds since the node last confirmed that its catalog was the newest.
     pub age_ms: u64,
-    /// Inner addresses of the group.
+    /// Internal RPC addresses of the Raft group members.
     pub members: Vec<SocketAddr>,
-    /// Inner address of the leader, if known.
+    /// Internal RPC address of the leader, if known.
     pub leader: Option<SocketAddr>,
 }
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,4 +1,4 @@
-//! Blocking clients for threads outside the asynchronous runtime.
+//! Blocking RPC clients for threads outside the asynchronous runtime.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -17,30 +17,30 @@
     Watched,
 };
 
-/// Largest inner message, in bytes.
+/// Largest internal RPC message, request or response.
 pub const MAX_MESSAGE_BYTES: u32 = 16 * 1024 * 1024;
 
-/// Longest that a node may hold a watch.
+/// Longest time for which a node may delay the reply to a watch.
 pub const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// How long a node is passed over after it let a call wait in vain.
-const SILENT: Duration = Duration::from_secs(5);
-/// Wait from which a failed call counts as in vain; a node that refuses the connection costs nothing to ask.
-const IN_VAIN: Duration = Duration::from_millis(500);
+/// How long a node is skipped after a call to it failed slowly.
+const SKIP_TIME: Duration = Duration::from_secs(5);
+/// Duration from which a failed call marks the node as unresponsive; a node that refuses connections costs no time.
+const SLOW_FAILURE: Duration = Duration::from_millis(500);
 
-/// A call that got no answer.
+/// An RPC call that got no response.
 #[derive(Debug, Display, Error)]
 #[display("{step} at {peer}: {source}")]
 pub struct CallError {
-    /// The call that failed.
+    /// Name of the failed call, or `open` if no client could be made.
     pub step: &'static str,
-    /// The process that was called.
+    /// Address of the called process.
     pub peer: SocketAddr,
-    /// Why it failed.
+    /// Underlying client error.
     pub source: jsonrpsee::core::ClientError,
 }
 
-/// The threads on which inner calls run.
+/// The threads on which internal RPC calls run, with the timeout of the calls.
 #[derive(Clone, Debug)]
 pub struct RpcRuntime {
     runtime: Arc<Runtime>,
@@ -48,10 +48,10 @@
 }
 
 impl RpcRuntime {
-    /// Starts the threads.
+    /// Starts the worker threads.
     ///
     /// # Errors
-    /// Fails when the operating system refuses a thread.
+    /// Fails if the operating system can't start a thread.
     pub fn start(threads: usize, timeout: Duration) -> std::io::Result<Self> {
         let runtime = Builder::new_multi_thread()
             .worker_threads(threads)
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Gives the same threads with another longest wait for an answer.
+    /// Returns a handle to the same threads with another call timeout.
     #[must_use]
     pub fn with_timeout(&self, timeout: Duration) -> Self {
         Self {
@@ -73,10 +73,10 @@
         }
     }
 
-    /// Opens a client; the connection itself is made at the first call.
+    /// Creates a client whose call timeout is longer by `extra`; it connects at the first call.
     ///
     /// # Errors
-    /// Fails when the address cannot be used.
+    /// Fails if the address can't be used.
     pub fn client(&self, peer: SocketAddr, extra: Duration) -> Result<HttpClient, CallError> {
         HttpClientBuilder::default()
             .request_timeout(self.timeout + extra)
@@ -90,7 +90,7 @@
             })
     }
 
-    /// Starts a call that goes on beside the calling thread.
+    /// Starts a call in the background.
     pub fn spawn<T: Send + 'static>(
         &self,
         call: impl Future<Output = T> + Send + 'static,
@@ -98,75 +98,75 @@
         self.runtime.spawn(call)
     }
 
-    /// Runs a call to its end.
+    /// Blocks until a call is complete.
     pub fn wait<T>(&self, call: impl Future<Output = T>) -> T {
         self.runtime.block_on(call)
     }
 }
 
-/// A client of the state group that finds the leader by itself.
+/// A client of the state group that finds the leader.
 #[derive(Debug)]
 pub struct StateClient {
     group: Arc<Group>,
     settler: OnceLock<Settler>,
 }
 
-/// The nodes of the group and what is known of their leader.
+/// The nodes of the state group, with the last known leader and unresponsive nodes.
 #[derive(Debug)]
 pub(crate) struct Group {
-    calls: RpcRuntime,
-    me: NodeId,
+    runtime: RpcRuntime,
+    node: NodeId,
     peers: Vec<SocketAddr>,
     clients: Vec<HttpClient>,
-    /// Clients whose calls may be held by the node for a while; kept, so that a watch costs no new connection.
+    /// Clients with a longer timeout for watches; kept, so that a watch needs no new connection.
     watchers: Vec<HttpClient>,
     leader: Mutex<usize>,
-    /// When each node last let a call wait in vain.
-    silent: Mutex<Vec<Option<Instant>>>,
+    /// For each node, when a call to it last failed slowly.
+    slow_failures: Mutex<Vec<Option<Instant>>>,
 }
 
 macro_rules! group_call {
-    ($(#[$doc:meta])* $name:ident, $ask:ty => $answer:ident) => {
+    ($(#[$doc:meta])* $name:ident, $request:ty => $reply:ident) => {
         $(#[$doc])*
         ///
         /// # Errors
-        /// Returns the last failure when no node of the group answered.
-        pub fn $name(&self, revision: Revision, ask: &$ask) -> Result<$answer, CallError> {
+        /// Returns the last failure if no node of the group responded.
+        pub fn $name(&self, revision: Revision, request: &$request) -> Result<$reply, CallError> {
             let group = &self.group;
             let call = |at: usize| {
                 let client = group.clients[at].clone();
-                let message = Envelope::new(&group.me, revision, ask.clone());
+                let message = Envelope::new(&group.node, revision, request.clone());
                 async move { client.$name(message).await }
             };
-            group.to_leader(stringify!($name), call, |answer| match &answer.body {
-                $answer::Unavailable(why) => Some(why.clone()),
+            group.call_leader(stringify!($name), call, |reply| match &reply.body {
+                $reply::Unavailable(reason) => Some(reason.clone()),
                 _ => None,
             })
-            .map(|answer| answer.body)
+            .map(|reply| reply.body)
         }
     };
 }
 
 impl StateClient {
-    /// Makes a client for the nodes of a group.
+    /// Creates a client of the state group; `node` is the name of the calling process.
     ///
     /// # Errors
-    /// Fails when an address cannot be used.
-    pub fn new(calls: &RpcRuntime, me: &NodeId, peers: &[SocketAddr]) -> Result<Self, CallError> {
+    /// Fails if an address can't be used.
+    pub fn new(runtime: &RpcRuntime, node: &NodeId, peers: &[SocketAddr]) -> Result<Self, CallError> {
         let open = |extra| {
             peers
                 .iter()
-                .map(|peer| calls.client(*peer, extra))
+                .map(|peer| runtime.client(*peer, extra))
                 .collect::<Result<_, _>>()
         };
         let group = Group {
-            calls: calls.clone(),
-            me: me.clone(),
+            runtime: runtime.clone(),
+            node: node.clone(),
             peers: peers.to_vec(),
             clients: open(Duration::ZERO)?,
             watchers: open(MAX_WATCH_WAIT)?,
             leader: Mutex::new(0),
-            silent: Mutex::new(vec![None; peers.len()]),
+            slow_failures: Mutex::new(vec![None; peers.len()]),
         };
         Ok(Self {
             group: Arc::new(group),
@@ -174,18 +174,18 @@
         })
     }
 
-    /// Records an outcome in the background, for as long as it takes until the group has a leader.
+    /// Records the outcome of a claimed call in the background, with retries until the group has a leader.
     ///
-    /// Returns whether there was room for it; a full ring is a refusal that the caller counts.
-    pub fn settle_later(&self, ask: Settle) -> bool {
-        self.settler.get_or_init(|| Settler::start(&self.group)).add(ask)
+    /// Returns false if the queue is full and the outcome was dropped; the caller counts that.
+    pub fn settle_later(&self, request: Settle) -> bool {
+        self.settler.get_or_init(|| Settler::start(&self.group)).add(request)
     }
 
-    /// Waits until everything that was given to [`Self::settle_later`] is recorded.
+    /// Waits until all outcomes passed to [`Self::settle_later`] are recorded, for at most `timeout`.
     ///
-    /// Returns whether that came true in time.
-    pub fn flush(&self, patience: Duration) -> bool {
-        self.settler.get().is_none_or(|settler| settler.flush(patience))
+    /// Returns whether all were recorded in time.
+    pub fn flush(&self, timeout: Duration) -> bool {
+        self.settler.get().is_none_or(|settler| settler.flush(timeout))
     }
 
     group_call! {
@@ -194,7 +194,7 @@
     }
 
     group_call! {
-        /// Claims a non-idempotent call.
+        /// Claims a non-idempotent call before it is sent.
         claim, Claim => Claimed
     }
 
@@ -208,48 +208,51 @@
         lease, Lease => Leased
     }
 
-    /// Waits for news at one node, chosen by the caller; any node may answer.
+    /// Waits for configuration changes at one node; any node can serve a watch.
+    ///
+    /// `node` is an index into [`Self::peers`] and wraps around.
     ///
     /// # Errors
-    /// Returns the failure of that node.
-    pub fn watch(&self, node: usize, revision: Revision, ask: Watch) -> Result<Envelope<Watched>, CallError> {
+    /// Returns the failure of the call to that node.
+    pub fn watch(&self, node: usize, revision: Revision, request: Watch) -> Result<Envelope<Watched>, CallError> {
         let group = &self.group;
         let at = node % group.peers.len();
         let (peer, client) = (group.peers[at], &group.watchers[at]);
-        let message = Envelope::new(&group.me, revision, ask);
-        group.calls.wait(client.watch(message)).map_err(|source| CallError {
+        let message = Envelope::new(&group.node, revision, request);
+        group.runtime.wait(client.watch(message)).map_err(|source| CallError {
             step: "watch",
             peer,
             source,
         })
     }
 
-    /// Asks one node for its status.
+    /// Reads the status of one node; `node` is an index into [`Self::peers`] and wraps around.
     ///
     /// # Errors
-    /// Returns the failure of that node.
+    /// Returns the failure of the call to that node.
     pub fn status(&self, node: usize) -> Result<StateStatus, CallError> {
         let group = &self.group;
         let at = node % group.peers.len();
-        let message = Envelope::new(&group.me, Revision::default(), ());
-        let answer = group.calls.wait(group.clients[at].status(message));
-        answer.map(|answer| answer.body).map_err(|source| CallError {
+        let message = Envelope::new(&group.node, Revision::default(), ());
+        let reply = group.runtime.wait(group.clients[at].status(message));
+        reply.map(|reply| reply.body).map_err(|source| CallError {
             step: "status",
             peer: group.peers[at],
             source,
         })
     }
 
-    /// Gives the place of the node that this process watches first; the processes spread over all of them.
+    /// Returns the index of the node that this process watches first; derived from the name of the process, so that
+    /// processes spread over the nodes.
     #[must_use]
     pub fn preferred_node(&self) -> usize {
-        let sum = self.group.me.as_str().bytes().fold(7_usize, |sum, byte| {
-            sum.wrapping_mul(31).wrapping_add(usize::from(byte))
+        let hash = self.group.node.as_str().bytes().fold(7_usize, |hash, byte| {
+            hash.wrapping_mul(31).wrapping_add(usize::from(byte))
         });
-        sum % self.group.peers.len()
+        hash % self.group.peers.len()
     }
 
-    /// Gives the addresses of the group.
+    /// Returns the addresses of the group's nodes.
     #[must_use]
     pub fn peers(&self) -> &[SocketAddr] {
         &self.group.peers
@@ -257,94 +260,95 @@
 }
 
 impl Group {
-    /// Records an outcome once; returns whether nothing is left to do.
-    pub(crate) fn settle(&self, ask: &Settle) -> bool {
+    /// Tries once to record an outcome; returns whether the group has decided it.
+    pub(crate) fn settle(&self, request: &Settle) -> bool {
         let call = |at: usize| {
             let client = self.clients[at].clone();
-            let message = Envelope::new(&self.me, Revision::default(), ask.clone());
+            let message = Envelope::new(&self.node, Revision::default(), request.clone());
             async move { client.settle(message).await }
         };
-        let answer = self.to_leader("settle", call, |answer| match &answer.body {
-            Settled::Unavailable(why) => Some(why.clone()),
+        let reply = self.call_leader("settle", call, |reply| match &reply.body {
+            Settled::Unavailable(reason) => Some(reason.clone()),
             _ => None,
         });
-        answer.is_ok_and(|answer| !matches!(answer.body, Settled::Unavailable(_)))
+        reply.is_ok_and(|reply| !matches!(reply.body, Settled::Unavailable(_)))
     }
 
-    /// Asks the last known leader first, then the others, until a node decides.
+    /// Calls the last known leader first, then the other nodes, until a node decides the request.
     ///
-    /// Every call carries an id under which it counts once, so a second node may be asked after a lost answer. When no
-    /// node decides, the most careful answer wins: only if each one said that nothing was written, nothing was.
-    fn to_leader<T, F>(
+    /// Every request carries an id under which it applies once, so another node can be asked after a lost reply. If no
+    /// node decides, the least certain result is returned: nothing was written only if every node said so.
+    fn call_leader<T, F>(
         &self,
         step: &'static str,
         call: impl Fn(usize) -> F,
-        refused: impl Fn(&T) -> Option<Unavailable>,
+        unavailable: impl Fn(&T) -> Option<Unavailable>,
     ) -> Result<T, CallError>
     where
         F: Future<Output = Result<T, jsonrpsee::core::ClientError>>,
     {
-        let mut at = self.first();
-        let mut worst = None;
+        let mut at = self.first_node();
+        let mut least_certain = None;
         let mut hinted = false;
         for _ in 0..=self.peers.len() {
             let next = (at + 1) % self.peers.len();
-            // On the small side of a cut the other nodes don't refuse, they are silent. If every call waited for them, a
-            // caller would learn only at its deadline that nothing was run.
-            if worst.is_some() && !hinted && self.is_silent(at) {
+            // On the minority side of a network partition the other nodes don't respond at all. If every call waited
+            // for them, the caller would learn only at its deadline that nothing was run.
+            if least_certain.is_some() && !hinted && self.should_skip(at) {
                 at = next;
                 continue;
             }
             hinted = false;
             let begin = Instant::now();
-            match self.calls.wait(call(at)) {
-                Ok(answer) => {
-                    self.silent.lock()[at] = None;
-                    let Some(why) = refused(&answer) else {
+            match self.runtime.wait(call(at)) {
+                Ok(reply) => {
+                    self.slow_failures.lock()[at] = None;
+                    let Some(reason) = unavailable(&reply) else {
                         *self.leader.lock() = at;
-                        return Ok(answer);
+                        return Ok(reply);
                     };
-                    let hint = self.hinted(&why);
+                    let hint = self.leader_hint(&reason);
                     hinted = hint.is_some();
                     at = hint.unwrap_or(next);
-                    let written = matches!(why, Unavailable::Undecided { .. });
-                    if worst.is_none() || (written && !matches!(worst, Some(Err(_)))) {
-                        worst = Some(Ok(answer));
+                    let maybe_written = matches!(reason, Unavailable::Undecided { .. });
+                    if least_certain.is_none() || (maybe_written && !matches!(least_certain, Some(Err(_)))) {
+                        least_certain = Some(Ok(reply));
                     }
                 }
                 Err(source) => {
-                    if begin.elapsed() > IN_VAIN {
-                        self.silent.lock()[at] = Some(Instant::now());
+                    if begin.elapsed() > SLOW_FAILURE {
+                        self.slow_failures.lock()[at] = Some(Instant::now());
                     }
                     let peer = self.peers[at];
-                    worst = Some(Err(CallError { step, peer, source }));
+                    least_certain = Some(Err(CallError { step, peer, source }));
                     at = next;
                 }
             }
             *self.leader.lock() = at;
         }
-        worst.expect("the group has at least one node")
+        least_certain.expect("the group has at least one node")
     }
 
-    /// Gives the node to ask first: the last known leader unless it was silent, else the next one that wasn't.
-    fn first(&self) -> usize {
+    /// Returns the index of the node to ask first: the last known leader, or the next node that is not skipped.
+    fn first_node(&self) -> usize {
         let leader = *self.leader.lock();
         let order = (0..self.peers.len()).map(|step| (leader + step) % self.peers.len());
-        order.into_iter().find(|at| !self.is_silent(*at)).unwrap_or(leader)
+        order.into_iter().find(|at| !self.should_skip(*at)).unwrap_or(leader)
     }
 
-    /// Tells whether a node is to be passed over; one caller at a time finds out whether it answers again.
-    fn is_silent(&self, at: usize) -> bool {
-        let since = &mut self.silent.lock()[at];
-        let silent = since.is_some_and(|since| since.elapsed() < SILENT);
-        if !silent && since.is_some() {
-            *since = Some(Instant::now());
+    /// Returns whether to skip an unresponsive node; after [`SKIP_TIME`], one caller at a time probes it.
+    fn should_skip(&self, at: usize) -> bool {
+        let failed_at = &mut self.slow_failures.lock()[at];
+        let skip = failed_at.is_some_and(|failed_at| failed_at.elapsed() < SKIP_TIME);
+        if !skip && failed_at.is_some() {
+            *failed_at = Some(Instant::now());
         }
-        silent
+        skip
     }
 
-    fn hinted(&self, why: &Unavailable) -> Option<usize> {
-        let Unavailable::NotLeader { leader: Some(leader) } = why else {
+    /// Returns the index of the leader that a node named, if it is one of the known nodes.
+    fn leader_hint(&self, reason: &Unavailable) -> Option<usize> {
+        let Unavailable::NotLeader { leader: Some(leader) } = reason else {
             return None;
         };
         self.peers.iter().position(|peer| peer == leader)
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -1,105 +1,105 @@
-//! Datagrams between entry hosts: demand and loans for the split of limits, and load reports of upstreams.
+//! Gossip between entry hosts over UDP: demand and lent amounts for sharing customer limits, and upstream load.
 //!
-//! A datagram has one receiver: what it lends and what it confirms is meant for that one alone. A digest that does not
-//! fit one datagram is split; the parts carry the same sequence number and each is complete in itself.
+//! A datagram has one receiver: the amounts lent and the acknowledgement are for that receiver only. A digest that does
+//! not fit one datagram is split; the parts carry the same sequence number, and each can be used on its own.
 
 use contract::{DataCenter, NodeId, Revision};
 use derive_more::{Display, Error, From};
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram that is sent, in bytes; it fits one Ethernet frame.
+/// Largest datagram in bytes; it fits one Ethernet frame.
 pub const MAX_DATAGRAM: usize = 1_400;
-/// Bytes that IPv4 and UDP add to each datagram.
+/// Bytes that the IPv4 and UDP headers add to each datagram.
 pub const UDP_OVERHEAD_BYTES: usize = 28;
 
-/// Version of the encoding; a datagram of another version is dropped and counted.
+/// Version of the encoding; datagrams of other versions are dropped and counted.
 const VERSION: u8 = 2;
 
-/// What an entry host tells one of its peers.
+/// What an entry host reports to one of its peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GossipDigest {
-    /// The sending entry host.
+    /// Sending entry host.
     pub from: NodeId,
     /// Data centre of the sender.
     pub place: DataCenter,
-    /// Distinguishes a restarted sender from its predecessor; it only grows.
+    /// Tells a restarted sender from its predecessor; increases with each start.
     pub incarnation: u64,
-    /// Counts the sender's digests; older ones are dropped.
+    /// Number of the digest within the incarnation; the receiver drops older ones.
     pub sequence: u64,
-    /// The newest configuration revision that the sender has applied.
+    /// Newest configuration revision that the sender has applied.
     pub revision: Revision,
-    /// The sender takes no new work.
+    /// Whether the sender is draining and takes no new requests.
     pub leaving: bool,
-    /// Entry hosts that the sender has in its settings, itself among them.
+    /// Number of entry hosts in the sender's settings, itself included.
     pub hosts: u32,
-    /// The receiver's newest digest that the sender has heard.
+    /// Acknowledges the receiver's newest digest that the sender has received.
     pub heard: Option<DigestAck>,
-    /// Demand by customer.
+    /// Demand, one entry per customer.
     pub demand: Vec<Demand>,
-    /// Load reports that the sender polled itself.
+    /// Load of the upstreams that the sender polls itself.
     pub loads: Vec<LoadDigest>,
 }
 
-/// A digest that was heard.
+/// Acknowledgement of a received digest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestAck {
-    /// Incarnation of the one who sent it.
+    /// Incarnation of the process that sent the digest.
     pub incarnation: u64,
-    /// Its sequence number.
+    /// Sequence number of the digest.
     pub sequence: u64,
 }
 
-/// Demand of one customer at one entry host, and what the host lends the receiver of the customer's limits.
+/// Demand of one customer at the sender, and the part of the customer's limits that the sender lends the receiver.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The customer, by a 32-bit hash of its name.
+    /// 32-bit hash of the customer name.
     pub customer: u32,
-    /// What callers ask for, admitted or not.
+    /// Amounts that callers ask for, admitted or not.
     pub wanted: Amounts,
-    /// Requests that run at the sender now.
+    /// Requests that are running at the sender.
     pub running: u32,
-    /// What the receiver may admit in the sender's stead.
+    /// Amounts that the receiver may admit instead of the sender.
     pub lent: Amounts,
 }
 
-/// Amounts of a customer's three limits.
+/// Amounts of the three limits of a customer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amounts {
-    /// Hundredths of requests a second.
+    /// Requests per second, in hundredths.
     pub requests: u32,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens: u32,
-    /// Requests that run at the same time.
+    /// Concurrent requests.
     pub running: u32,
 }
 
-/// A load report in brief.
+/// A compact load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// The upstream, by a 32-bit hash of its name.
+    /// 32-bit hash of the upstream name.
     pub upstream: u32,
-    /// Age of the report when it was sent, in milliseconds.
+    /// Age of the report at sending time, in milliseconds.
     pub age_ms: u32,
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Used share of the KV cache, in thousandths.
+    /// Used part of the KV cache, in thousandths.
     pub kv_used: u16,
 }
 
-/// A datagram that could not be written or read.
+/// A datagram that could not be encoded or decoded.
 #[derive(Debug, Display, Error, From)]
 pub enum DigestError {
-    /// It is longer than one frame.
+    /// The datagram is longer than [`MAX_DATAGRAM`]; carries its length in bytes.
     #[display("datagram of {_0} bytes is longer than {MAX_DATAGRAM}")]
     #[error(ignore)]
     TooLong(usize),
-    /// It has another version.
+    /// The datagram has another encoding version, or is empty.
     #[display("datagram has version {_0:?}, expected {VERSION}")]
     #[error(ignore)]
     Version(Option<u8>),
-    /// Its content cannot be decoded.
+    /// The content can't be encoded or decoded.
     #[display("datagram cannot be decoded: {_0}")]
     #[from]
     Codec(postcard::Error),
@@ -109,7 +109,7 @@
     /// Encodes the digest as one datagram.
     ///
     /// # Errors
-    /// Fails when the result would not fit one datagram.
+    /// Fails if the digest does not fit one datagram.
     pub fn encode(&self) -> Result<Vec<u8>, DigestError> {
         let bytes = postcard::to_extend(self, vec![VERSION])?;
         if bytes.len() > MAX_DATAGRAM {
@@ -119,10 +119,10 @@
         }
     }
 
-    /// Encodes the digest as so many datagrams as it takes, halving its lists until each part fits.
+    /// Encodes the digest as one or more datagrams, halving its lists until each part fits.
     ///
     /// # Errors
-    /// Fails when even a part with a single row would not fit.
+    /// Fails if a part with a single list entry does not fit.
     pub fn split(mut self) -> Result<Vec<Vec<u8>>, DigestError> {
         match self.encode() {
             Err(DigestError::TooLong(_)) if self.demand.len() + self.loads.len() > 1 => {}
@@ -141,7 +141,7 @@
     /// Decodes a datagram.
     ///
     /// # Errors
-    /// Fails for another version, for content that cannot be decoded and for datagrams that are too long.
+    /// Fails for another version, invalid content, or a datagram that is too long.
     pub fn decode(bytes: &[u8]) -> Result<Self, DigestError> {
         if bytes.len() > MAX_DATAGRAM {
             return Err(DigestError::TooLong(bytes.len()));
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -1,4 +1,4 @@
-//! Calls to `gentian-entry`: signs about hosts, requests of other entry hosts, status.
+//! Calls to `gentian-entry`: host signals, request handover between entry hosts, and status.
 
 use contract::{HostId, RequestId, Revision};
 use derive_more::Display;
@@ -9,106 +9,106 @@
 use crate::Envelope;
 use crate::state::Watched;
 
-/// The calls that `gentian-entry` answers.
+/// RPC interface of `gentian-entry`.
 #[rpc(server, client, namespace = "entry")]
 pub trait EntryRpc {
-    /// Tells about hosts that leave or come.
+    /// Reports hosts that begin to serve, are leaving or are gone.
     #[method(name = "hosts")]
     async fn hosts(&self, signs: Envelope<Vec<HostSignal>>) -> RpcResult<Envelope<()>>;
 
-    /// Reads what was journalled of a request, from an offset in tokens.
+    /// Reads the journalled response to a request from a token offset on; `None` if there is no journal.
     #[method(name = "journal")]
     async fn journal(&self, ask: Envelope<JournalRequest>) -> RpcResult<Envelope<Option<Journal>>>;
 
-    /// Takes over a request from an entry host that is leaving.
+    /// Takes over a request from an entry host that is shutting down; returns whether it was accepted.
     #[method(name = "adopt")]
     async fn adopt(&self, handover: Envelope<Handover>) -> RpcResult<Envelope<bool>>;
 
-    /// Gives the record of how a request was routed.
+    /// Returns the record of how a request was routed, if it is still kept.
     #[method(name = "explain")]
     async fn explain(&self, request: Envelope<RequestId>) -> RpcResult<Envelope<Option<serde_json::Value>>>;
 
-    /// Remembers what a stopping process counted for the burn report, if it hands anything over, and gives what this one
-    /// counted and remembers.
+    /// Stores the burn report counts of a stopping process, if any are passed; returns the counts of this process and
+    /// those that it stores for others.
     #[method(name = "burn")]
     async fn burn(&self, handed: Envelope<serde_json::Value>) -> RpcResult<Envelope<serde_json::Value>>;
 
-    /// Gives the configuration that the process has in force, if it is newer than a revision.
+    /// Returns the configuration in force at the process, if it is newer than the given revision.
     #[method(name = "config")]
     async fn config(&self, after: Envelope<Revision>) -> RpcResult<Envelope<Watched>>;
 
-    /// Tells what the process knows of itself.
+    /// Returns the status of the process.
     #[method(name = "status")]
     async fn status(&self, request: Envelope<()>) -> RpcResult<Envelope<serde_json::Value>>;
 }
 
-/// Something that tells about the life of a host.
+/// A signal about the lifecycle of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostSignal {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Which host of that name.
+    /// Tells the host from earlier and later hosts of the same name.
     pub incarnation: u64,
-    /// What was seen.
+    /// What was observed.
     pub sign: Sign,
 }
 
-/// What was seen of a host.
+/// What was observed about a host.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Sign {
-    /// The cloud will take it back.
+    /// The cloud has announced that it will reclaim the host.
     #[display("reclaim notice")]
     Notice {
-        /// Milliseconds until it is gone.
+        /// Milliseconds until the host is gone.
         left_ms: u64,
     },
-    /// The list of hosts shows it as leaving.
+    /// The list of hosts shows the host as leaving.
     #[display("listed as leaving")]
     Leaving,
-    /// It is no longer in the list of hosts.
+    /// The host is no longer in the list of hosts.
     #[display("gone")]
     Gone,
-    /// An operator drains it.
+    /// An operator is draining the host.
     #[display("drained by an operator")]
     Drain,
-    /// It serves.
+    /// The host is serving.
     #[display("serving")]
     Serving,
 }
 
-/// Asks for the journal of a request.
+/// Asks for the journalled response to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalRequest {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The first token that is wanted.
+    /// Index of the first token to return.
     pub from: u64,
 }
 
-/// Part of the answer to a request.
+/// The journalled response to a request, from a token offset on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Journal {
-    /// The account that made the request, as customer and account name.
+    /// Account that made the request, as customer and account name.
     pub owner: String,
-    /// Tokens from the offset that was asked for.
+    /// Tokens from the requested offset on.
     pub tokens: Vec<String>,
-    /// Whether the answer is whole.
+    /// Whether the response is complete.
     pub done: bool,
-    /// Whether the answer ended without being whole.
+    /// Whether the response ended early.
     #[serde(default)]
     pub failed: bool,
 }
 
-/// An accepted request that another entry host is to finish.
+/// An accepted request that another entry host is to complete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The account that made it, as customer and account name.
+    /// Account that made the request, as customer and account name.
     pub owner: String,
-    /// The caller's body.
+    /// Body of the caller's request.
     pub body: String,
-    /// Tokens that were made already.
+    /// Tokens that were generated already.
     pub tokens: Vec<String>,
 }
--- a/crates/wire/src/envelope.rs
+++ b/crates/wire/src/envelope.rs
@@ -1,21 +1,21 @@
-//! What every inner message carries besides its content.
+//! The common header of all internal RPC messages.
 
 use contract::{NodeId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// An inner message with its sender and the newest revision that the sender has applied.
+/// An internal RPC message with its sender and the sender's configuration revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope<T> {
-    /// The sending process.
+    /// Name of the sending process.
     pub from: NodeId,
-    /// The newest configuration revision that the sender has applied.
+    /// Newest configuration revision that the sender has applied.
     pub revision: Revision,
-    /// The content.
+    /// Content of the message.
     pub body: T,
 }
 
 impl<T> Envelope<T> {
-    /// Wraps a message.
+    /// Wraps the content of a message.
     #[must_use]
     pub fn new(from: &NodeId, revision: Revision, body: T) -> Self {
         Self {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! The inner protocol between gentianspring's own processes.
+//! The internal protocol between gentianspring's own processes.
 //!
-//! What must be confirmed travels as JSON-RPC over HTTP ([`state`], [`raft`], [`entry`]); what is only a hint travels as
-//! UDP datagrams ([`digest`]). Every message carries the sender's name and the newest configuration revision that it
-//! has applied, so that a receiver learns at once that it is behind.
+//! Messages that need a reply use JSON-RPC over HTTP ([`state`], [`catalog`], [`raft`], [`entry`]); advisory messages
+//! use UDP datagrams ([`digest`]). Every message carries the sender's name and the newest configuration revision that
+//! the sender has applied, so that the receiver notices at once when it is behind.
 
 mod bytes;
 pub mod catalog;
--- a/crates/wire/src/raft.rs
+++ b/crates/wire/src/raft.rs
@@ -1,4 +1,4 @@
-//! Messages between state nodes.
+//! Raft messages between state nodes.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
@@ -6,18 +6,18 @@
 
 use crate::Envelope;
 
-/// The calls between state nodes.
+/// RPC interface between state nodes.
 #[rpc(server, client, namespace = "raft")]
 pub trait RaftRpc {
-    /// Hands over messages of the agreement protocol; answers travel as messages of their own.
+    /// Delivers Raft messages; responses are sent as separate messages.
     #[method(name = "deliver")]
     async fn deliver(&self, batch: Envelope<Packet>) -> RpcResult<()>;
 }
 
-/// Encoded messages of the agreement protocol.
+/// A batch of encoded Raft messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Messages in postcard encoding.
+    /// The messages in postcard encoding.
     #[serde(with = "crate::bytes")]
     pub messages: Vec<u8>,
 }
--- a/crates/wire/src/registry.rs
+++ b/crates/wire/src/registry.rs
@@ -1,4 +1,4 @@
-//! What entry hosts tell the leader of the state group, and their parts of limits that all of them share.
+//! Heartbeats of entry hosts to the leader of the state group, and the quota shares that it assigns them.
 
 use std::collections::BTreeMap;
 
@@ -7,125 +7,126 @@
 
 use crate::state::Unavailable;
 
-/// A sign of life of an entry host.
+/// The heartbeat of an entry host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Incarnation of the process; a restarted one has another.
+    /// Random number of the process start; a restarted process has another.
     pub run: u64,
-    /// How much of the list of upstreams it has.
+    /// Position up to which the host has received the list of upstreams.
     pub list: ListPosition,
-    /// Most entries of the list that the answer may hold.
+    /// Most list entries in the reply.
     pub max_listed: Option<u32>,
-    /// Its data centre.
+    /// Data centre of the entry host.
     pub zone: Zone,
-    /// Requests that began to run, by window of true time and client account; each total replaces the one before.
+    /// Requests that began to run, by usage window of wall clock time and by client account; each total replaces the
+    /// previous one.
     pub began: BTreeMap<u64, BTreeMap<String, u64>>,
-    /// What it has seen of upstreams since its last beat.
+    /// Upstream observations since the last heartbeat.
     pub signs: Vec<UpstreamObservation>,
-    /// Units of each client account's part that came while the part was full, since the start of the process.
+    /// Units by client account that the host's quota share refilled while its bucket was full, since process start.
     pub spare: BTreeMap<String, u64>,
-    /// Load by service, for orders of capacity.
+    /// Load by service, for autoscaling.
     pub load: BTreeMap<String, ServiceLoad>,
 }
 
-/// What an entry host sees of one service.
+/// The load of one service at one entry host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// Own requests that are at upstreams or wait for one.
+    /// Requests of this host that run at upstreams or wait for one.
     pub running: f64,
-    /// Upstreams that own prompts keep busy with reading: seconds of reading in a second.
+    /// Upstreams that prompts of this host keep busy with prefill: seconds of prefill per second.
     pub reading: f64,
 }
 
-/// The answer to [`Beat`].
+/// The reply to [`Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HeartbeatReply {
-    /// What the entry host shares with the others.
+    /// The leader's update for the entry host.
     News(Box<LeaderUpdate>),
-    /// The node does not lead.
+    /// The node is not the leader.
     Unavailable(Unavailable),
 }
 
-/// What an entry host shares with the others.
+/// What the leader reports to an entry host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaderUpdate {
-    /// Its parts of limits.
+    /// Share of the host in client account quotas.
     pub parts: QuotaShare,
-    /// News of the list of upstreams.
+    /// Changes of the list of upstreams.
     pub list: ListUpdate,
-    /// What others have seen of upstreams.
+    /// Upstream observations of other entry hosts.
     pub signs: Vec<UpstreamObservation>,
-    /// The newest version of the catalog.
+    /// Newest version of the catalog.
     pub version: u64,
 }
 
-/// What was seen of an upstream.
+/// An entry host's observation of an upstream.
 ///
-/// With many entry hosts each one meets an upstream too seldom to know its load; together they meet it several times a
+/// With many entry hosts, each one uses an upstream too rarely to know its load; together they use it several times per
 /// second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamObservation {
-    /// The upstream.
+    /// Name of the upstream.
     pub id: String,
-    /// Requests that run and wait there, with the age of the sight in milliseconds.
+    /// Running requests, queued requests, and age of these counts in milliseconds.
     pub load: Option<(u32, u32, u32)>,
-    /// Milliseconds of prompts that were sent there and are not read yet.
+    /// Estimated prefill time of prompts that were sent to the upstream and are not processed yet, in milliseconds.
     pub backlog_ms: u32,
-    /// Milliseconds by which requests there wait longer than was predicted.
+    /// Time by which requests at the upstream wait longer than predicted, in milliseconds.
     pub overdue_ms: u32,
 }
 
-/// A place in the changes of the list of upstreams.
+/// A position in the change history of the list of upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ListPosition {
-    /// Number of the change; entries that changed together share it.
+    /// Number of the change; entries that changed together have the same.
     pub number: u64,
-    /// Entry of that change.
+    /// Name of the entry, among those of the change.
     pub id: String,
 }
 
-/// What the leader knows of the list of upstreams that the entry host lacks.
+/// Changes of the list of upstreams that the entry host has not received yet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListUpdate {
-    /// How much of the list the entry host has with this.
+    /// Position of the entry host after it has applied this update.
     pub mark: ListPosition,
-    /// Milliseconds since the list was asked for; nothing where the leader has none.
+    /// Milliseconds since the leader requested the list; `None` if it has no list.
     pub age_ms: Option<u64>,
-    /// Whether what follows is the beginning of the whole list, in the place of what the entry host has.
+    /// Whether this update begins the whole list, which replaces the list of the entry host.
     pub whole: bool,
     /// New and changed entries.
     pub put: Vec<Listed>,
-    /// Entries that are gone.
+    /// Names of removed entries.
     pub gone: Vec<String>,
-    /// Whether nothing is left to tell.
+    /// Whether the entry host is up to date after this update.
     pub complete: bool,
 }
 
-/// An entry host's parts of what all of them share.
+/// An entry host's share of the quotas that apply over all entry hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaShare {
-    /// Entry hosts that share.
+    /// Number of entry hosts that share the quotas.
     pub entries: u32,
-    /// Part of each client account's quota that is its own, 0 to 1.
+    /// Fraction of each client account's quota that the host may use without asking, 0 to 1.
     pub floor: f64,
 }
 
-/// Asks for units of a client account's quota beyond the own part.
+/// Asks for units of a client account's quota beyond the host's own share.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Borrow {
-    /// The account.
+    /// Name of the client account.
     pub account: String,
-    /// The units.
+    /// Number of units.
     pub units: f64,
 }
 
-/// The answer to [`Borrow`].
+/// The reply to [`Borrow`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BorrowReply {
-    /// All units are lent.
+    /// All requested units are granted.
     Lent,
-    /// The quota has no room for them now.
+    /// The quota does not allow the units now.
     Over,
-    /// The node does not lead.
+    /// The node is not the leader.
     Unavailable(Unavailable),
 }
--- a/crates/wire/src/settler.rs
+++ b/crates/wire/src/settler.rs
@@ -1,4 +1,4 @@
-//! Outcomes that the group could not record at once.
+//! Background retries for outcomes that the state group could not record at once.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,61 +9,61 @@
 use crate::client::Group;
 use crate::state::Settle;
 
-/// Outcomes that may wait; more are refused.
-const RING: usize = 4_096;
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Longest time for which one outcome is tried; a claim is not kept for longer either.
-const PATIENCE: Duration = Duration::from_hours(24);
+/// Most queued outcomes; more are rejected.
+const QUEUE_LENGTH: usize = 4_096;
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Longest time for which one outcome is retried; claims are not kept for longer either.
+const RETRY_TIMEOUT: Duration = Duration::from_hours(24);
 
-/// A thread that records outcomes as soon as the group has a leader.
+/// A thread that records queued outcomes as soon as the group has a leader.
 #[derive(Debug)]
 pub(crate) struct Settler {
-    ring: SyncSender<Settle>,
-    waiting: Arc<AtomicUsize>,
+    queue: SyncSender<Settle>,
+    pending: Arc<AtomicUsize>,
 }
 
 impl Settler {
     pub(crate) fn start(group: &Arc<Group>) -> Self {
-        let (ring, asks) = sync_channel(RING);
-        let waiting = Arc::new(AtomicUsize::new(0));
-        let (group, count) = (Arc::clone(group), Arc::clone(&waiting));
-        // Without the thread the ring is closed, and every outcome is refused and counted.
+        let (queue, requests) = sync_channel(QUEUE_LENGTH);
+        let pending = Arc::new(AtomicUsize::new(0));
+        let (group, count) = (Arc::clone(group), Arc::clone(&pending));
+        // If the thread can't start, the queue is closed, and every outcome is rejected and counted.
         let _ = thread::Builder::new()
             .name("settler".to_owned())
-            .spawn(move || work(&group, &asks, &count));
-        Self { ring, waiting }
+            .spawn(move || run(&group, &requests, &count));
+        Self { queue, pending }
     }
 
-    /// Takes an outcome, or refuses it when too many wait.
-    pub(crate) fn add(&self, ask: Settle) -> bool {
-        self.waiting.fetch_add(1, Ordering::AcqRel);
-        let taken = self.ring.try_send(ask).is_ok();
-        if !taken {
-            self.waiting.fetch_sub(1, Ordering::AcqRel);
+    /// Queues an outcome; returns false if the queue is full.
+    pub(crate) fn add(&self, request: Settle) -> bool {
+        self.pending.fetch_add(1, Ordering::AcqRel);
+        let queued = self.queue.try_send(request).is_ok();
+        if !queued {
+            self.pending.fetch_sub(1, Ordering::AcqRel);
         }
-        taken
+        queued
     }
 
-    /// Waits until no outcome is left.
-    pub(crate) fn flush(&self, patience: Duration) -> bool {
+    /// Waits until no outcome is pending; returns whether that happened within `timeout`.
+    pub(crate) fn flush(&self, timeout: Duration) -> bool {
         let begin = Instant::now();
-        while self.waiting.load(Ordering::Acquire) > 0 {
-            if begin.elapsed() > patience {
+        while self.pending.load(Ordering::Acquire) > 0 {
+            if begin.elapsed() > timeout {
                 return false;
             }
-            thread::sleep(PAUSE / 10);
+            thread::sleep(RETRY_PAUSE / 10);
         }
         true
     }
 }
 
-fn work(group: &Group, asks: &Receiver<Settle>, waiting: &AtomicUsize) {
-    while let Ok(ask) = asks.recv() {
+fn run(group: &Group, requests: &Receiver<Settle>, pending: &AtomicUsize) {
+    while let Ok(request) = requests.recv() {
         let begin = Instant::now();
-        while !group.settle(&ask) && begin.elapsed() < PATIENCE {
-            thread::sleep(PAUSE);
+        while !group.settle(&request) && begin.elapsed() < RETRY_TIMEOUT {
+            thread::sleep(RETRY_PAUSE);
         }
-        waiting.fetch_sub(1, Ordering::AcqRel);
+        pending.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,4 +1,4 @@
-//! Calls to `gentian-state`: configuration changes, the feed of them, claims and leases.
+//! Calls to `gentian-state`: configuration changes and watches, claims of non-idempotent calls, and leases.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 use crate::Envelope;
 
-/// The calls that `gentian-state` answers.
+/// RPC interface of `gentian-state`.
 #[rpc(server, client, namespace = "state")]
 pub trait StateRpc {
     /// Proposes a configuration change.
@@ -33,201 +33,201 @@
     #[method(name = "lease")]
     async fn lease(&self, request: Envelope<Lease>) -> RpcResult<Envelope<Leased>>;
 
-    /// Tells what the node knows of itself and the group.
+    /// Returns the status of the node and its view of the group.
     #[method(name = "status")]
     async fn status(&self, request: Envelope<()>) -> RpcResult<Envelope<StateStatus>>;
 }
 
-/// The node cannot serve the call; nothing was written because of it.
+/// Why a node can't decide a request; nothing was written, except perhaps with [`Self::Undecided`].
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unavailable {
-    /// Another node leads.
+    /// The node is not the leader.
     #[display("not the leader")]
     NotLeader {
-        /// Where the leader answers, if known.
+        /// Internal RPC address of the leader, if known.
         leader: Option<SocketAddr>,
     },
-    /// No majority answers, or the node cannot write.
+    /// No majority responds, or the node can't write to its disk.
     #[display("no quorum: {reason}")]
     NoQuorum {
-        /// What is missing, in words.
+        /// Human-readable cause.
         reason: String,
     },
-    /// The change may have been written; ask again with the same id.
+    /// The change may have been written; retry with the same id.
     #[display("outcome not known yet: {reason}")]
     Undecided {
-        /// What interrupted it, in words.
+        /// Human-readable cause of the interruption.
         reason: String,
     },
 }
 
-/// A configuration change as an operator asks for it.
+/// A configuration change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Propose {
-    /// The operator's id for the change; a resend with the same id gets the first answer.
+    /// Idempotency id of the change; a resend with the same id gets the first reply.
     pub id: ChangeId,
-    /// The revision that the operator had seen; `None` accepts any.
+    /// Revision that the change is based on; `None` accepts any.
     pub base: Option<Revision>,
-    /// Who asks.
+    /// Name of the operator.
     pub operator: String,
-    /// What is to change.
+    /// Requested change.
     pub change: Change,
 }
 
-/// The answer to [`Propose`].
+/// The reply to [`Propose`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Proposed {
     /// The change is durable under this revision.
     Accepted(Revision),
-    /// Another change came first; the newest revision that touched the same item is given.
+    /// Another change came first; carries the newest revision that changed the same item.
     Conflict(Revision),
-    /// The content failed validation.
+    /// The change failed validation; carries the errors.
     Invalid(String),
-    /// The node cannot decide it.
+    /// The node can't decide the request.
     Unavailable(Unavailable),
 }
 
 /// Asks for the changes after a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watch {
-    /// The newest revision that the asker has.
+    /// Newest revision that the caller has.
     pub after: Revision,
-    /// How long to wait for news, in milliseconds.
+    /// How long the node waits for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// The answer to [`Watch`].
+/// The reply to [`Watch`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Watched {
-    /// The whole configuration, when the asker is too far behind for single changes.
+    /// The whole configuration, if the caller is too far behind for single changes.
     pub snapshot: Option<Config>,
-    /// Changes in order, each directly after the one before.
+    /// Changes in order, without gaps between their revisions.
     pub records: Vec<ChangeRecord>,
-    /// Milliseconds since the node last knew that its configuration was the newest.
+    /// Milliseconds since the node last confirmed that its configuration was the newest.
     pub age_ms: u64,
 }
 
 /// Claims a call under its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The agreement group that holds the claim.
+    /// Raft group that stores the claim.
     pub group: u32,
-    /// The customer in whose name the call is made.
+    /// Customer in whose name the call is made.
     pub customer: CustomerId,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     pub key: String,
-    /// Digest of method, path and body.
+    /// Hash of method, path and body.
     pub digest: String,
-    /// The request that asks; a claim that it already holds is granted again.
+    /// Request that claims the call; a claim that it already holds is granted again.
     pub request: RequestId,
-    /// How long the request may still send, in milliseconds; after that the outcome counts as unknown.
+    /// How long the request may still send the call, in milliseconds; after that the outcome counts as unknown.
     #[serde(default)]
     pub hold_ms: u64,
 }
 
-/// The answer to [`Claim`].
+/// The reply to [`Claim`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
     /// The request may send the call, once.
     Granted,
-    /// An earlier request under the key has not settled yet.
+    /// An earlier request with the key has no recorded outcome yet.
     Running(RequestId),
-    /// An earlier request under the key has settled.
+    /// An earlier request with the key has this outcome.
     Done(Outcome),
-    /// The key was used with another body.
+    /// The key was used with another method, path or body.
     Mismatch,
-    /// The node cannot decide it; the call was not run.
+    /// The node can't decide the request; the call was not run.
     Unavailable(Unavailable),
 }
 
 /// Records the outcome of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settle {
-    /// The agreement group that holds the claim.
+    /// Raft group that stores the claim.
     pub group: u32,
-    /// The customer in whose name the call was made.
+    /// Customer in whose name the call was made.
     pub customer: CustomerId,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     pub key: String,
-    /// The request that holds the claim.
+    /// Request that holds the claim.
     pub request: RequestId,
-    /// How the call ended.
+    /// Result of the call.
     pub outcome: Outcome,
 }
 
 /// How a claimed call ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The service answered.
+    /// The service responded.
     Answered {
         /// HTTP status.
         status: u16,
         /// Media type of the body.
         media: String,
-        /// The body.
+        /// Body of the response.
         #[serde(with = "crate::bytes")]
         body: Vec<u8>,
     },
-    /// Bytes were sent and no answer came; the call must not be sent again.
+    /// Bytes were sent and no response came; the call must not be sent again.
     Unknown,
-    /// No byte was sent; the key is free again.
+    /// No byte was sent; the key can be claimed again.
     NotRun,
 }
 
-/// The answer to [`Settle`].
+/// The reply to [`Settle`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settled {
-    /// The outcome is durable.
+    /// The outcome is stored durably.
     Stored,
     /// The request does not hold the claim.
     NotHeld,
-    /// The node cannot decide it; ask again.
+    /// The node can't decide the request; retry it.
     Unavailable(Unavailable),
 }
 
-/// Acquires or renews a lease, or gives it back with a time of zero.
+/// Acquires or renews a lease, or releases it if the duration is zero.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// What is leased.
+    /// Name of the lease.
     pub name: String,
-    /// Who wants it.
+    /// Process that wants the lease.
     pub holder: NodeId,
-    /// How long to hold it, in milliseconds of log time.
+    /// Duration of the lease, in milliseconds of the time recorded in the replicated log.
     pub ttl_ms: u64,
 }
 
-/// The answer to [`Lease`].
+/// The reply to [`Lease`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Leased {
-    /// The asker holds it; the fencing token grows with every new holder.
+    /// The caller holds the lease.
     Held {
-        /// Fencing token.
+        /// Fencing token; increases with every new holder.
         token: u64,
     },
-    /// Somebody else holds it.
+    /// Another process holds the lease.
     Taken {
-        /// The holder.
+        /// Name of the holder.
         by: NodeId,
     },
-    /// The asker gave it back.
+    /// The caller released the lease.
     Released,
-    /// The node cannot decide it.
+    /// The node can't decide the request.
     Unavailable(Unavailable),
 }
 
-/// What a state node knows of itself and the group.
+/// Status of a state node and its view of the group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateStatus {
-    /// Its role: leader, follower, candidate or learner.
+    /// Raft role: leader, follower, candidate or learner.
     pub role: String,
-    /// The current term.
+    /// Current Raft term.
     pub term: u64,
-    /// Index of the newest committed entry.
+    /// Index of the newest committed log entry.
     pub committed: u64,
-    /// The leader's name, if known.
+    /// Name of the leader, if known.
     pub leader: Option<NodeId>,
     /// Names of the voters.
     pub voters: Vec<NodeId>,
-    /// Claims that are kept.
+    /// Number of stored claims.
     pub claims: u64,
 }
--- a/crates/wire/tests/digest_codec.rs
+++ b/crates/wire/tests/digest_codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams survive encoding, long digests are split without loss, and foreign bytes are refused without a panic.
+//! Encoding of digests: round trips, splitting without loss, and invalid datagrams, which must not cause a panic.
 
 use quickcheck::{Gen, QuickCheck};
 use wire::digest::{Amounts, Demand, DigestError, GossipDigest, LoadDigest, MAX_DATAGRAM};
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn foreign_bytes() {
-    fn holds(bytes: Vec<u8>) -> bool {
+fn invalid_bytes() {
+    fn decodes(bytes: Vec<u8>) -> bool {
         let _ = GossipDigest::decode(&bytes);
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(2_000, 11))
         .tests(2_000)
-        .quickcheck(holds as fn(Vec<u8>) -> bool);
+        .quickcheck(decodes as fn(Vec<u8>) -> bool);
 }
 
 #[test]
@@ -48,11 +48,11 @@
     assert!(matches!(digest.encode(), Err(DigestError::TooLong(_))));
 }
 
-/// A data centre with many upstreams polled by one entry host has more reports than one frame takes. If the rest were
-/// cut off, the same upstreams would look idle for ever and draw all requests.
+/// Guards against load reports that are cut off. An entry host that polls many upstreams has more reports than fit one
+/// datagram; the upstreams left out would look idle for ever and attract all requests.
 #[test]
-fn nothing_lost() {
-    fn holds(demands: u8, loads: u16) -> bool {
+fn lossless_split() {
+    fn lossless(demands: u8, loads: u16) -> bool {
         let mut digest = sample();
         let demand = |customer| Demand {
             customer,
@@ -76,5 +76,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(2_000, 12))
         .tests(200)
-        .quickcheck(holds as fn(u8, u16) -> bool);
+        .quickcheck(lossless as fn(u8, u16) -> bool);
 }
--- a/crates/wire/tests/find_leader.rs
+++ b/crates/wire/tests/find_leader.rs
@@ -1,4 +1,4 @@
-//! The client of the state group finds who decides, and doesn't wait again and again for who is silent.
+//! The client of the state group finds the leader, and does not wait for an unresponsive node in every call.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -12,33 +12,34 @@
 use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Claim, Claimed, Unavailable};
 
-/// A node that gives the same answer to every claim; it lives as long as the test.
-fn node(calls: &RpcRuntime, answer: Claimed) -> SocketAddr {
-    let server = calls.wait(Server::builder().build("127.0.0.1:0")).unwrap();
+/// Starts a node that gives the same reply to every claim; it runs until the test process ends.
+fn node(runtime: &RpcRuntime, reply: Claimed) -> SocketAddr {
+    let server = runtime.wait(Server::builder().build("127.0.0.1:0")).unwrap();
     let address = server.local_addr().unwrap();
-    let mut module = RpcModule::new(answer);
-    let reply = |answer: &Claimed| Envelope::new(&"node".into(), Revision(1), answer.clone());
+    let mut module = RpcModule::new(reply);
+    let message = |reply: &Claimed| Envelope::new(&"node".into(), Revision(1), reply.clone());
     module
-        .register_method("state_claim", move |_, answer, _| {
-            serde_json::to_value(reply(answer)).unwrap()
+        .register_method("state_claim", move |_, reply, _| {
+            serde_json::to_value(message(reply)).unwrap()
         })
         .unwrap();
-    let handle = calls.wait(async { server.start(module) });
+    let handle = runtime.wait(async { server.start(module) });
     std::mem::forget(handle);
     address
 }
 
-/// Something behind a cut: it takes connections and never answers.
-fn silence() -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a node behind a network partition, which accepts connections and never responds; also returns its connection
+/// count.
+fn silent_node() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let count = Arc::new(AtomicUsize::new(0));
-    let seen = Arc::clone(&count);
+    let counter = Arc::clone(&count);
     std::thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut open = Vec::new();
         for stream in listener.incoming().flatten() {
-            seen.fetch_add(1, Ordering::SeqCst);
-            kept.push(stream);
+            counter.fetch_add(1, Ordering::SeqCst);
+            open.push(stream);
         }
     });
     (address, count)
@@ -61,29 +62,34 @@
     Claimed::Unavailable(Unavailable::NoQuorum { reason })
 }
 
-/// One node is cut off and says that there is no quorum, while another leads. Its word must not be the last one, or every
-/// deposit that comes in through this host is refused although nothing is wrong.
+/// Guards against taking the reply of a partitioned node as final. It reports that there is no quorum while another
+/// node is the leader, and every non-idempotent call through this host would be rejected without need.
 #[test]
-fn cut_node_first() {
-    let calls = RpcRuntime::start(2, Duration::from_secs(5)).unwrap();
-    let (cut, good) = (node(&calls, no_quorum()), node(&calls, Claimed::Granted));
-    let leader = Some(good);
-    let hint = node(&calls, Claimed::Unavailable(Unavailable::NotLeader { leader }));
-    for peers in [[cut, good, hint], [hint, cut, good], [cut, hint, good]] {
-        let client = StateClient::new(&calls, &"tester".into(), &peers).unwrap();
+fn partitioned_node() {
+    let runtime = RpcRuntime::start(2, Duration::from_secs(5)).unwrap();
+    let (partitioned, leading) = (node(&runtime, no_quorum()), node(&runtime, Claimed::Granted));
+    let leader = Some(leading);
+    let follower = node(&runtime, Claimed::Unavailable(Unavailable::NotLeader { leader }));
+    for peers in [
+        [partitioned, leading, follower],
+        [follower, partitioned, leading],
+        [partitioned, follower, leading],
+    ] {
+        let client = StateClient::new(&runtime, &"tester".into(), &peers).unwrap();
         assert_eq!(claim(&client).unwrap(), Claimed::Granted);
     }
 }
 
-/// The host is on the small side of a cut with one node; the others are silent. The first call finds that out, the next
-/// ones get the near node's word at once instead of waiting for the others again.
+/// Guards against waiting for unresponsive nodes in every call. The host is on the minority side of a network partition
+/// with one node; the first call finds that the other nodes don't respond, and later calls get the reply of the
+/// reachable node at once.
 #[test]
-fn silent_nodes() {
-    let calls = RpcRuntime::start(2, Duration::from_secs(1)).unwrap();
-    let ((far, far_count), (other, other_count)) = (silence(), silence());
-    let near = node(&calls, no_quorum());
-    let client = StateClient::new(&calls, &"tester".into(), &[far, near, other]).unwrap();
-    // The first answer is the careful one: a silent node may have written the claim.
+fn unresponsive_nodes() {
+    let runtime = RpcRuntime::start(2, Duration::from_secs(1)).unwrap();
+    let ((far, far_count), (other, other_count)) = (silent_node(), silent_node());
+    let near = node(&runtime, no_quorum());
+    let client = StateClient::new(&runtime, &"tester".into(), &[far, near, other]).unwrap();
+    // The first call must fail, because an unresponsive node may have written the claim.
     assert!(claim(&client).is_err(), "a silent node may have written it");
     assert_eq!(claim(&client).unwrap(), no_quorum());
     assert_eq!(claim(&client).unwrap(), no_quorum());
