--- a/crates/upstream/src/cloud.rs
+++ b/crates/upstream/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud API: hosts, prices and reclaim notices.
+//! Client for the cloud API: hosts, prices and reclaim notices.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,62 +10,62 @@
 use crate::UpstreamError;
 use crate::limits::read_json;
 
-/// A host in the cloud's lagging list.
+/// An entry of the cloud's list of hosts, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloudHost {
-    /// Name.
+    /// Name of the host; the cloud may reuse it.
     pub id: HostId,
-    /// Which host of that name.
+    /// Tells the host from earlier and later hosts of the same name.
     pub incarnation: u64,
-    /// Zone.
+    /// Zone of the host.
     pub zone: Zone,
-    /// Whether it can be reclaimed.
+    /// Whether the cloud can reclaim the host.
     pub class: MachineClass,
-    /// Stage of life: starting, serving or leaving.
+    /// Lifecycle stage: starting, serving or leaving.
     pub stage: String,
-    /// Price in micro-dollars an hour.
+    /// Price in micro-dollars per hour.
     #[serde(default)]
     pub price: u64,
-    /// Where the engine on it answers, once it does.
+    /// Address of the engine on the host, once the engine responds.
     #[serde(default)]
     pub address: Option<SocketAddr>,
-    /// What it was started for, as told at its start.
+    /// Purpose of the host, as given in [`StartHost::tag`].
     #[serde(default)]
     pub tag: String,
 }
 
-/// A reclaim notice.
+/// An announcement that the cloud will reclaim a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReclaimNotice {
-    /// The host that will be taken.
+    /// Name of the host.
     pub host: HostId,
-    /// Which host of that name.
+    /// Tells the host from earlier and later hosts of the same name.
     pub incarnation: u64,
-    /// Milliseconds until it is gone.
+    /// Milliseconds until the host is gone.
     pub left_ms: u64,
 }
 
-/// What a host of a class costs in a zone.
+/// Price of hosts of one class in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostPrice {
-    /// The zone.
+    /// Zone of the hosts.
     pub zone: Zone,
-    /// Whether it can be reclaimed.
+    /// Whether the cloud can reclaim the host.
     pub class: MachineClass,
-    /// Price in micro-dollars an hour.
+    /// Price in micro-dollars per hour.
     pub price: u64,
 }
 
-/// Asks for a host; the same token again gives the same host.
+/// A request to start a host; a repeated request with the same token returns the same host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartHost {
-    /// Zone.
+    /// Zone of the host.
     pub zone: Zone,
-    /// Whether it can be reclaimed.
+    /// Whether the cloud can reclaim the host.
     pub class: MachineClass,
-    /// Tells this start from others, so that one whose answer was lost can be asked for again.
+    /// Idempotency token, so that a request whose response was lost can be repeated.
     pub token: String,
-    /// What it's started for.
+    /// Purpose of the host; returned in [`CloudHost::tag`].
     pub tag: String,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl CloudClient {
-    /// Makes a client.
+    /// Creates a client; the timeout applies to each call as a whole.
     #[must_use]
     pub fn new(peer: SocketAddr, timeout: Duration) -> Self {
         let config = Agent::config_builder()
@@ -91,26 +91,26 @@
         }
     }
 
-    /// Lists the hosts, with a lag.
+    /// Lists the hosts; the list lags behind the actual state.
     ///
     /// # Errors
-    /// Fails when the API can't be reached or refuses.
+    /// Fails if the API can't be reached or rejects the call.
     pub fn hosts(&self) -> Result<Vec<CloudHost>, UpstreamError> {
         self.get("list hosts", "/v1/hosts")
     }
 
-    /// Lists the reclaim notices that are open.
+    /// Lists the pending reclaim notices.
     ///
     /// # Errors
-    /// Fails when the API can't be reached or refuses.
+    /// Fails if the API can't be reached or rejects the call.
     pub fn notices(&self) -> Result<Vec<ReclaimNotice>, UpstreamError> {
         self.get("list notices", "/v1/notices")
     }
 
-    /// Lists what a host costs, by zone and class.
+    /// Lists the host prices by zone and class.
     ///
     /// # Errors
-    /// Fails when the API can't be reached or refuses.
+    /// Fails if the API can't be reached or rejects the call.
     pub fn prices(&self) -> Result<Vec<HostPrice>, UpstreamError> {
         self.get("list prices", "/v1/prices")
     }
@@ -118,35 +118,35 @@
     /// Starts a host.
     ///
     /// # Errors
-    /// Fails when there is no capacity, or the API can't be reached; then it may have started, and asking again with the
-    /// same token tells.
+    /// Fails if there is no capacity or the API can't be reached. The host may have started all the same; repeating the
+    /// call with the same token returns it.
     pub fn start(&self, start: &StartHost) -> Result<CloudHost, UpstreamError> {
         const STEP: &str = "start host";
         let call = self.agent.post(format!("http://{}/v1/hosts", self.peer));
-        let answer = call
+        let response = call
             .send_json(start)
             .map_err(|error| UpstreamError::from_client(STEP, self.peer, &error))?;
-        read_json(STEP, self.peer, answer)
+        read_json(STEP, self.peer, response)
     }
 
-    /// Stops a host; stopping one that is gone changes nothing.
+    /// Stops a host; has no effect if the host is gone already.
     ///
     /// # Errors
-    /// Fails when the API can't be reached or refuses.
+    /// Fails if the API can't be reached or rejects the call.
     pub fn stop(&self, host: &HostId) -> Result<(), UpstreamError> {
         const STEP: &str = "stop host";
         let call = self.agent.delete(format!("http://{}/v1/hosts/{host}", self.peer));
-        let answer = call
+        let response = call
             .call()
             .map_err(|error| UpstreamError::from_client(STEP, self.peer, &error))?;
-        read_json::<serde_json::Value>(STEP, self.peer, answer).map(drop)
+        read_json::<serde_json::Value>(STEP, self.peer, response).map(drop)
     }
 
     fn get<T: DeserializeOwned>(&self, step: &'static str, path: &str) -> Result<T, UpstreamError> {
         let call = self.agent.get(format!("http://{}{path}", self.peer));
-        let answer = call
+        let response = call
             .call()
             .map_err(|error| UpstreamError::from_client(step, self.peer, &error))?;
-        read_json(step, self.peer, answer)
+        read_json(step, self.peer, response)
     }
 }
--- a/crates/upstream/src/directory.rs
+++ b/crates/upstream/src/directory.rs
@@ -1,27 +1,27 @@
-//! Reading the list of upstreams, and what engines tell of themselves.
+//! Interfaces for reading the list of upstreams, and for asking engines about their planned end.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use contract::Listed;
 
-/// Reads the list of upstreams.
+/// A source of the list of upstreams.
 pub trait Directory: Send {
     /// Reads the whole list.
     ///
     /// # Errors
-    /// Tells what failed.
+    /// Returns a human-readable cause if the list can't be read.
     fn read(&mut self) -> Result<Vec<Listed>, String>;
 
-    /// Gives the reads a second that all processes together may make.
+    /// Returns the most reads per second that all processes together may make.
     fn rate(&self) -> f64;
 }
 
-/// Asks model engines about themselves.
+/// A client that asks model engines about their planned end.
 pub trait EngineProbe: Send {
-    /// Gives the time that is left to an engine, if it is taken away.
+    /// Returns the time until the engine is taken away, or `None` if that is not announced.
     ///
     /// # Errors
-    /// Tells what failed.
+    /// Returns a human-readable cause if the engine can't be asked.
     fn left(&self, address: SocketAddr) -> Result<Option<Duration>, String>;
 }
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: chat completions in the `OpenAI` convention, load reports and cache events.
+//! Client for model engines: `OpenAI`-style chat completions, load reports and prefix cache events.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -12,105 +12,105 @@
 use ureq::unversioned::transport::TcpConnector;
 
 use crate::limits::read_json;
-use crate::pulse::{ByNumber, PulseConnector, WaitMonitor};
+use crate::pulse::{LiteralResolver, MonitoredConnector, WaitMonitor};
 pub use crate::stream::TokenStream;
 use crate::{Fate, UpstreamError};
 
-/// Header that carries the request id.
+/// HTTP header that carries the request id to the engine.
 pub const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
-/// One message of a conversation.
+/// A message of a chat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks: system, user or assistant.
+    /// Author: system, user or assistant.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
-/// A request to an engine.
+/// A chat completion request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The conversation so far.
+    /// Chat so far, oldest message first.
     pub messages: Vec<Message>,
-    /// Most tokens of the answer.
+    /// Most tokens of the completion.
     pub max_tokens: u64,
-    /// Whether tokens are sent one by one.
+    /// Whether the completion is streamed token by token.
     #[serde(default)]
     pub stream: bool,
-    /// Lower numbers are served first.
+    /// Scheduling priority; lower numbers are served first.
     #[serde(default)]
     pub priority: i32,
-    /// The last message is an answer that was begun and is to be continued.
+    /// Whether the last message is a partial completion that the engine continues.
     #[serde(default)]
     pub continue_final_message: bool,
-    /// Whether a new answer is begun; the opposite of the field before.
-    #[serde(default = "yes")]
+    /// Whether the engine starts a new assistant message; the opposite of `continue_final_message`.
+    #[serde(default = "enabled")]
     pub add_generation_prompt: bool,
-    /// Other fields of the convention, passed on as they are.
+    /// Other request fields, forwarded unchanged.
     #[serde(flatten)]
     pub other: serde_json::Map<String, serde_json::Value>,
 }
 
-/// What an engine counted.
+/// Token counts of a completion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens of the prompt, cached ones included.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that were in the cache.
+    /// Prompt tokens that were found in the prefix cache.
     #[serde(default)]
     pub cached_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens of the completion.
     pub completion_tokens: u64,
 }
 
-/// What comes out of a stream.
+/// An event of a streamed completion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
-    /// The next token, as text.
+    /// The text of the next token.
     Token(String),
-    /// The engine's counts.
+    /// The token counts of the engine.
     Usage(Usage),
-    /// The answer is whole.
+    /// The end marker of a complete stream.
     Done,
 }
 
-/// A load report; the time stamp is the engine's own.
+/// A load report; its timestamp is from the clock of the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Milliseconds since 1970 on the engine's clock when it was measured.
+    /// Measuring time in milliseconds since 1970, on the clock of the engine.
     pub at_ms: u64,
-    /// Milliseconds since it was measured, when it was sent.
+    /// Age of the report at sending time, in milliseconds.
     pub age_ms: u64,
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Used share of the KV cache, 0 to 1.
+    /// Used fraction of the KV cache, 0 to 1.
     pub kv_used: f32,
 }
 
-/// Something that happened to a block of an engine's prefix cache.
+/// A change of a block in the prefix cache of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Position among all events of the engine.
+    /// Sequence number among all events of the engine.
     pub sequence: u64,
-    /// Hash of the prefix that ends with the block.
+    /// Hash of the prompt prefix that ends with the block.
     pub block: u64,
-    /// Stored when true, evicted when false.
+    /// True if the block was stored, false if it was evicted.
     pub stored: bool,
 }
 
-/// A client for all engines.
+/// An HTTP client for any engine.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     pub(crate) agent: Agent,
 }
 
 impl EngineClient {
-    /// Makes a client; the timeout holds for connecting.
+    /// Creates a client; the timeout applies to connecting only.
     #[must_use]
     pub fn new(connect: Duration) -> Self {
         let config = Agent::config_builder()
@@ -120,27 +120,27 @@
             .proxy(None)
             .build();
         Self {
-            agent: Agent::with_parts(config, TcpConnector::default(), ByNumber),
+            agent: Agent::with_parts(config, TcpConnector::default(), LiteralResolver),
         }
     }
 
-    /// Makes a client for one request that asks the pulse, while it waits, whether to wait on.
+    /// Creates a client for one request that asks the monitor, while it waits for the engine, whether to keep waiting.
     #[must_use]
-    pub fn with_monitor(connect: Duration, pulse: Arc<dyn WaitMonitor>) -> Self {
+    pub fn with_monitor(connect: Duration, monitor: Arc<dyn WaitMonitor>) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .max_idle_connections(0)
             .proxy(None)
             .build();
         Self {
-            agent: Agent::with_parts(config, PulseConnector { connect, pulse }, ByNumber),
+            agent: Agent::with_parts(config, MonitoredConnector { connect, monitor }, LiteralResolver),
         }
     }
 
-    /// Starts an answer that is streamed, to be read until the deadline.
+    /// Starts a streamed completion; `deadline` limits the time until its end.
     ///
     /// # Errors
-    /// Fails when the engine can't be reached, refuses, or answers nothing until the deadline.
+    /// Fails if the engine can't be reached, rejects the request, or does not respond before the deadline.
     pub fn stream(
         &self,
         peer: SocketAddr,
@@ -156,10 +156,10 @@
             .config()
             .timeout_global(Some(deadline))
             .build();
-        let answer = call
+        let response = call
             .send_json(chat)
             .map_err(|error| UpstreamError::from_client(STEP, peer, &error))?;
-        let status = answer.status();
+        let status = response.status();
         if !status.is_success() {
             let fate = if status.as_u16() == 503 || status.as_u16() == 429 {
                 Fate::NotRun
@@ -169,22 +169,23 @@
             let error = UpstreamError::new(STEP, peer, fate, format!("status {status}"));
             return Err(error.with_status(status.as_u16()));
         }
-        let body: Box<dyn Read + Send> = Box::new(answer.into_body().into_reader());
+        let body: Box<dyn Read + Send> = Box::new(response.into_body().into_reader());
         Ok(TokenStream::new(peer, body))
     }
 
-    /// Reads the load report.
+    /// Reads the load report of an engine.
     ///
     /// # Errors
-    /// Fails when the engine can't be reached or sends something else.
+    /// Fails if the engine can't be reached or sends an invalid response.
     pub fn load(&self, peer: SocketAddr, timeout: Duration) -> Result<LoadReport, UpstreamError> {
         self.get("read load", peer, "/load", timeout)
     }
 
-    /// Reads the cache events after a position; engines keep some only, so there may be a gap before the first.
+    /// Reads the cache events after a sequence number; engines keep only recent events, so there may be a gap before the
+    /// first one.
     ///
     /// # Errors
-    /// Fails when the engine can't be reached or sends something else.
+    /// Fails if the engine can't be reached or sends an invalid response.
     pub fn cache_events(
         &self,
         peer: SocketAddr,
@@ -208,10 +209,10 @@
             .config()
             .timeout_global(Some(timeout))
             .build();
-        let answer = call
+        let response = call
             .call()
             .map_err(|error| UpstreamError::from_client(step, peer, &error))?;
-        read_json(step, peer, answer)
+        read_json(step, peer, response)
     }
 
     pub(crate) fn post<B: Serialize, T: DeserializeOwned>(
@@ -229,13 +230,13 @@
             .config()
             .timeout_global(Some(timeout))
             .build();
-        let answer = call
+        let response = call
             .send_json(body)
             .map_err(|error| UpstreamError::from_client(step, peer, &error))?;
-        read_json(step, peer, answer)
+        read_json(step, peer, response)
     }
 }
 
-const fn yes() -> bool {
+const fn enabled() -> bool {
     true
 }
--- a/crates/upstream/src/error.rs
+++ b/crates/upstream/src/error.rs
@@ -1,35 +1,35 @@
-//! Errors that tell whether the upstream can have seen the request.
+//! Errors of upstream calls, which state whether the request may have run.
 
 use std::io::ErrorKind;
 
 use derive_more::{Display, Error};
 
-/// Whether an upstream can have seen a request that failed.
+/// Whether a failed request may have run at the upstream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Fate {
-    /// No byte was written, or the upstream refused it unseen; the request truly was not run.
+    /// No byte was written, or the upstream rejected the request unprocessed; it certainly did not run.
     #[display("not run")]
     NotRun,
-    /// Bytes were written and no answer came; it may have run.
+    /// Bytes were written and no complete response came; the request may have run.
     #[display("outcome unknown")]
     Unknown,
 }
 
-/// A call to an upstream that failed.
+/// A failed call to an upstream.
 #[derive(Debug, Display, Error)]
 #[display("{step} at {peer}: {fate}: {reason}")]
 pub struct UpstreamError {
-    /// The step that failed.
+    /// Name of the failed step, such as `start stream`.
     pub step: &'static str,
     /// Address of the upstream.
     pub peer: String,
-    /// Whether the upstream can have seen the request.
+    /// Whether the request may have run.
     pub fate: Fate,
-    /// Whether a connection stood.
+    /// Whether the connection was established.
     pub connected: bool,
-    /// Why it failed.
+    /// Human-readable cause.
     pub reason: String,
-    /// The status that the upstream answered with, if it did.
+    /// HTTP status of the upstream's response, if there was one.
     pub status: Option<u16>,
 }
 
@@ -52,21 +52,21 @@
         }
     }
 
-    /// Tells from a client error whether a byte can have left.
+    /// Converts a client error and derives from it whether any byte may have been written.
     ///
-    /// Connections are never reused for calls that may run once only, so every failure before the connection stands
-    /// means that nothing was written. All else counts as unknown, since a request that wrongly counts as not sent
-    /// would be sent twice: a customer would pay twice.
+    /// Connections are never reused for calls that must run at most once, so a failure before the connection is
+    /// established means that nothing was written. Any other failure counts as unknown, because a request that wrongly
+    /// counts as not run would be sent twice, and the customer would pay twice.
     pub(crate) fn from_client(step: &'static str, peer: impl ToString, error: &ureq::Error) -> Self {
-        let before = match error {
+        let unconnected = match error {
             ureq::Error::ConnectionFailed | ureq::Error::HostNotFound | ureq::Error::BadUri(_) => true,
             ureq::Error::Timeout(phase) => matches!(phase, ureq::Timeout::Resolve | ureq::Timeout::Connect),
             ureq::Error::Io(error) => error.kind() == ErrorKind::ConnectionRefused,
             _ => false,
         };
-        let fate = if before { Fate::NotRun } else { Fate::Unknown };
+        let fate = if unconnected { Fate::NotRun } else { Fate::Unknown };
         Self {
-            connected: !before,
+            connected: !unconnected,
             ..Self::new(step, peer, fate, error)
         }
     }
--- a/crates/upstream/src/kv.rs
+++ b/crates/upstream/src/kv.rs
@@ -1,4 +1,4 @@
-//! Export and import of an engine's KV cache.
+//! Export and import of the KV cache of engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,48 +10,48 @@
 use crate::UpstreamError;
 use crate::engine::EngineClient;
 
-/// What is to be exported.
+/// Selects the part of the KV cache to export.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExportScope {
-    /// Everything that a request has in the cache.
+    /// All cache blocks of a request.
     Request(RequestId),
-    /// What the cache holds of a prefix.
+    /// The cached blocks of a prompt prefix.
     Prefix(String),
 }
 
-/// Exported KV cache; only engines understand its content.
+/// Exported KV cache; its content is opaque to all but engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExportedCache {
-    /// Tokens that it covers.
+    /// Number of tokens that the export covers.
     pub tokens: u64,
-    /// Its size in bytes.
+    /// Size of the export in bytes.
     pub bytes: u64,
-    /// Everything else that the engine sent.
+    /// All other fields that the engine sent.
     #[serde(flatten)]
     pub content: serde_json::Map<String, Value>,
 }
 
 impl EngineClient {
-    /// Exports KV cache.
+    /// Exports part of the KV cache of an engine.
     ///
     /// # Errors
-    /// Fails when the engine has nothing of it, dies on the way or takes too long.
+    /// Fails if the engine has nothing cached for it, breaks off, or exceeds the timeout.
     pub fn export(
         &self,
         peer: SocketAddr,
-        what: &ExportScope,
+        scope: &ExportScope,
         timeout: Duration,
     ) -> Result<ExportedCache, UpstreamError> {
-        self.post("export KV cache", peer, "/kv/export", what, timeout)
+        self.post("export KV cache", peer, "/kv/export", scope, timeout)
     }
 
-    /// Imports KV cache.
+    /// Imports exported KV cache into an engine.
     ///
     /// # Errors
-    /// Fails when the engine serves another model, dies on the way or takes too long.
-    pub fn import(&self, peer: SocketAddr, what: &ExportedCache, timeout: Duration) -> Result<(), UpstreamError> {
-        self.post::<_, Value>("import KV cache", peer, "/kv/import", what, timeout)
+    /// Fails if the engine serves another model, breaks off, or exceeds the timeout.
+    pub fn import(&self, peer: SocketAddr, cache: &ExportedCache, timeout: Duration) -> Result<(), UpstreamError> {
+        self.post::<_, Value>("import KV cache", peer, "/kv/import", cache, timeout)
             .map(drop)
     }
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients for engines, services, the cloud API and the weight store, each by its published protocol.
+//! Clients for model engines, plain services and the cloud API, each by its published protocol.
 
 pub mod cloud;
 pub mod directory;
--- a/crates/upstream/src/limits.rs
+++ b/crates/upstream/src/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what upstreams may send.
+//! Limits on responses of upstreams.
 
 use std::net::SocketAddr;
 
@@ -8,22 +8,22 @@
 
 use crate::{Fate, UpstreamError};
 
-/// Largest JSON answer, in bytes; a larger one is an error, so that a broken upstream can't exhaust memory.
-pub(crate) const MAX_JSON: u64 = 16 * 1024 * 1024;
+/// Largest JSON response; a larger one is an error, so that a faulty upstream can't exhaust memory.
+pub(crate) const MAX_JSON_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Reads a JSON answer; every other status than success is an error with its status.
+/// Decodes a JSON response; a status other than success is an error.
 pub(crate) fn read_json<T: DeserializeOwned>(
     step: &'static str,
     peer: SocketAddr,
-    mut answer: Response<Body>,
+    mut response: Response<Body>,
 ) -> Result<T, UpstreamError> {
-    let status = answer.status();
+    let status = response.status();
     if !status.is_success() {
-        let refused = matches!(status.as_u16(), 409 | 429 | 503);
-        let fate = if refused { Fate::NotRun } else { Fate::Unknown };
+        let rejected = matches!(status.as_u16(), 409 | 429 | 503);
+        let fate = if rejected { Fate::NotRun } else { Fate::Unknown };
         return Err(UpstreamError::new(step, peer, fate, format!("status {status}")));
     }
-    let body = answer.body_mut().with_config().limit(MAX_JSON);
+    let body = response.body_mut().with_config().limit(MAX_JSON_BYTES);
     body.read_json()
         .map_err(|error| UpstreamError::from_client(step, peer, &error))
 }
--- a/crates/upstream/src/orders.rs
+++ b/crates/upstream/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, with fencing tokens, and what they have made of an engine.
+//! Control orders to engines, with fencing tokens, and the engine state that results from them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,72 +11,72 @@
 use crate::UpstreamError;
 use crate::engine::EngineClient;
 
-/// What an engine is to do.
+/// An action that an engine is ordered to perform.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineAction {
-    /// Loads a model in place of the one it has.
+    /// Loads a model, which replaces the current one.
     #[display("load model {model} version {version}")]
     LoadModel {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// Its version.
+        /// Version to load.
         version: String,
     },
-    /// Loads an adapter beside the model.
+    /// Loads an adapter in addition to the model.
     #[display("load adapter {adapter} version {version}")]
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: ModelName,
-        /// Its version.
+        /// Version to load.
         version: String,
     },
-    /// Forgets an adapter.
+    /// Unloads an adapter.
     #[display("drop adapter {adapter}")]
     DropAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: ModelName,
     },
-    /// Takes another role: mixed, prefill or decode.
+    /// Changes the role of the engine.
     #[display("set role {role}")]
     SetRole {
-        /// The role.
+        /// New role: mixed, prefill or decode.
         role: String,
     },
 }
 
-/// An order; the token is the fencing token of the lease under which it is given.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Tells this order from others.
+    /// Unique id of the order.
     pub id: String,
-    /// Fencing token.
+    /// Fencing token of the lease under which the order is sent.
     pub token: u64,
-    /// What to do.
+    /// Action to perform.
     pub action: EngineAction,
 }
 
-/// What orders have made of an engine.
+/// State of an engine that orders change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The highest fencing token that it has seen.
+    /// Highest fencing token that the engine has received.
     pub token: u64,
-    /// The model that is loaded.
+    /// Loaded model.
     pub model: ModelName,
-    /// Its version.
+    /// Version of the loaded model.
     pub version: String,
-    /// Adapters that are loaded, with their versions.
+    /// Versions of the loaded adapters, by adapter name.
     pub adapters: BTreeMap<ModelName, String>,
-    /// Its role.
+    /// Role: mixed, prefill or decode.
     pub role: String,
-    /// What is being loaded.
+    /// Load action in progress, if there is one.
     pub loading: Option<EngineAction>,
-    /// The order that was carried out last.
+    /// Id of the last order that was carried out.
     pub last: Option<String>,
 }
 
 impl EngineState {
-    /// Tells whether an action would change nothing.
+    /// Returns whether the engine already is in the state that the action leads to.
     #[must_use]
     pub fn satisfies(&self, action: &EngineAction) -> bool {
         match action {
@@ -89,10 +89,10 @@
 }
 
 impl EngineClient {
-    /// Gives an order; a failure whose fate is unknown may have been carried out.
+    /// Sends an order; if it fails with [`Fate::Unknown`](crate::Fate::Unknown), the engine may have carried it out.
     ///
     /// # Errors
-    /// Fails when the engine refuses it or gives no answer.
+    /// Fails if the engine rejects the order or does not respond.
     pub fn order(
         &self,
         peer: SocketAddr,
@@ -102,10 +102,10 @@
         self.post("give order", peer, "/orders", order, timeout)
     }
 
-    /// Reads what orders have made of the engine.
+    /// Reads the state of an engine.
     ///
     /// # Errors
-    /// Fails when the engine can't be reached or sends something else.
+    /// Fails if the engine can't be reached or sends an invalid response.
     pub fn state(&self, peer: SocketAddr, timeout: Duration) -> Result<EngineState, UpstreamError> {
         self.get("read state", peer, "/state", timeout)
     }
--- a/crates/upstream/src/pulse.rs
+++ b/crates/upstream/src/pulse.rs
@@ -1,7 +1,8 @@
-//! A connection that asks its owner, while it waits for bytes, whether to wait on.
+//! Connections that ask a monitor, while they wait for bytes, whether to keep waiting.
 //!
-//! A frozen engine keeps its connection open and sends nothing, and a caller who leaves sends nothing either. Both
-//! would hold the reading thread for minutes; the pulse looks at them every [`STEP`] without a thread of its own.
+//! A frozen engine keeps its connection open without sending, and a caller that disconnects sends nothing either. Both
+//! would block the reading thread for minutes; the monitor is asked at least every [`CHECK_INTERVAL`], and needs no
+//! thread of its own.
 
 use std::fmt::Debug;
 use std::io::{self, ErrorKind, Read, Write};
@@ -14,55 +15,55 @@
 use ureq::unversioned::resolver::{ResolvedSocketAddrs, Resolver};
 use ureq::unversioned::transport::{Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport};
 
-/// Longest time between two questions whether to wait on.
+/// Longest time between two checks whether to keep waiting.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time in which an upstream must take what is sent to it.
-const SEND: Duration = Duration::from_secs(5);
-/// Buffers of one connection, in bytes.
-const BUFFER: usize = 16 * 1024;
+/// Timeout of a write to an upstream.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Size of the input buffer and of the output buffer of a connection.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The owner of a wait.
+/// Decides whether a connection keeps waiting for its upstream.
 pub trait WaitMonitor: Debug + Send + Sync + 'static {
-    /// Tells whether to wait on; called at least every [`STEP`].
+    /// Checks whether to keep waiting; called at least every [`CHECK_INTERVAL`].
     ///
     /// # Errors
-    /// Returns why the wait ends.
+    /// Returns the reason if the wait must end.
     fn beat(&self) -> Result<(), &'static str>;
 }
 
-/// Opens connections that follow a pulse.
+/// Opens connections that a [`WaitMonitor`] can end.
 #[derive(Debug)]
-pub(crate) struct PulseConnector {
+pub(crate) struct MonitoredConnector {
     pub(crate) connect: Duration,
-    pub(crate) pulse: Arc<dyn WaitMonitor>,
+    pub(crate) monitor: Arc<dyn WaitMonitor>,
 }
 
-/// One connection that follows a pulse.
-pub(crate) struct PulseTransport {
+/// A connection that a [`WaitMonitor`] can end.
+pub(crate) struct MonitoredTransport {
     stream: TcpStream,
     buffers: LazyBuffers,
-    pulse: Arc<dyn WaitMonitor>,
+    monitor: Arc<dyn WaitMonitor>,
 }
 
-impl Connector<()> for PulseConnector {
-    type Out = PulseTransport;
+impl Connector<()> for MonitoredConnector {
+    type Out = MonitoredTransport;
 
     fn connect(&self, details: &ConnectionDetails<'_>, _chained: Option<()>) -> Result<Option<Self::Out>, Error> {
         let peer = details.addrs.first().ok_or(Error::HostNotFound)?;
-        // Whatever goes wrong before the connection stands, no byte of the request can have left.
+        // Until the connection is established, no byte of the request can have been sent, whatever fails.
         let stream = TcpStream::connect_timeout(peer, self.connect).map_err(|_cause| Error::ConnectionFailed)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(CHECK_INTERVAL))?;
-        stream.set_write_timeout(Some(SEND))?;
-        Ok(Some(PulseTransport {
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
+        Ok(Some(MonitoredTransport {
             stream,
-            buffers: LazyBuffers::new(BUFFER, BUFFER),
-            pulse: Arc::clone(&self.pulse),
+            buffers: LazyBuffers::new(BUFFER_BYTES, BUFFER_BYTES),
+            monitor: Arc::clone(&self.monitor),
         }))
     }
 }
 
-impl Transport for PulseTransport {
+impl Transport for MonitoredTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         &mut self.buffers
     }
@@ -73,15 +74,15 @@
 
     fn await_input(&mut self, _timeout: NextTimeout) -> Result<bool, Error> {
         loop {
-            self.pulse
+            self.monitor
                 .beat()
-                .map_err(|why| io::Error::new(ErrorKind::TimedOut, why))?;
+                .map_err(|reason| io::Error::new(ErrorKind::TimedOut, reason))?;
             match self.stream.read(self.buffers.input_append_buf()) {
                 Ok(count) => {
                     self.buffers.input_appended(count);
                     return Ok(count > 0);
                 }
-                Err(error) if is_pause(error.kind()) => {}
+                Err(error) if is_read_timeout(error.kind()) => {}
                 Err(error) => return Err(error.into()),
             }
         }
@@ -92,28 +93,28 @@
     }
 }
 
-impl Debug for PulseTransport {
+impl Debug for MonitoredTransport {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("PulseTransport")
+        f.debug_struct("MonitoredTransport")
             .field("stream", &self.stream)
             .finish_non_exhaustive()
     }
 }
 
-fn is_pause(kind: ErrorKind) -> bool {
+fn is_read_timeout(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
     )
 }
 
-/// Takes addresses as they are written: the system talks by IP numbers.
+/// A resolver for literal IP addresses, the only ones that the system uses.
 ///
-/// The library's own resolver starts a thread for each call that has a timeout, also for an IP number.
+/// The default resolver of the library starts a thread for each call with a timeout, even for an IP address.
 #[derive(Debug)]
-pub(crate) struct ByNumber;
+pub(crate) struct LiteralResolver;
 
-impl Resolver for ByNumber {
+impl Resolver for LiteralResolver {
     fn resolve(
         &self,
         uri: &Uri,
@@ -122,8 +123,8 @@
     ) -> Result<ResolvedSocketAddrs, Error> {
         let authority = uri.authority().ok_or(Error::HostNotFound)?;
         let address: SocketAddr = authority.as_str().parse().map_err(|_cause| Error::HostNotFound)?;
-        let mut found = self.empty();
-        found.push(address);
-        Ok(found)
+        let mut resolved = self.empty();
+        resolved.push(address);
+        Ok(resolved)
     }
 }
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: calls passed on with method, path, query, body and the safe headers.
+//! Client for plain services: forwards calls with method, path, query, body and the safe headers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use ureq::unversioned::transport::TcpConnector;
 
 use crate::UpstreamError;
-use crate::pulse::ByNumber;
+use crate::pulse::LiteralResolver;
 
-/// Largest answer of a service, in bytes.
+/// Largest response body of a service.
 pub const MAX_ANSWER_BYTES: u64 = 8 * 1024 * 1024;
-/// Header that carries the caller's idempotency key.
+/// HTTP header that carries the idempotency key of the caller.
 pub const IDEMPOTENCY_HEADER: &str = "Idempotency-Key";
-/// Headers of an answer that are passed back; all others belong to one connection or to the service's own hosts.
-const PASSED_BACK: [&str; 10] = [
+/// Response headers that are returned to the caller; all others concern one connection or the service's own hosts.
+const RETURNED_HEADERS: [&str; 10] = [
     "Cache-Control",
     "Content-Disposition",
     "Content-Encoding",
@@ -28,40 +28,40 @@
     "Vary",
 ];
 
-/// A call as it is passed on.
+/// A call to forward to a service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceCall<'a> {
-    /// HTTP method in capitals.
+    /// HTTP method in upper case.
     pub method: &'a str,
-    /// Path with query, beginning with a slash.
+    /// Path and query; begins with a slash.
     pub path: &'a str,
-    /// Headers that are passed on.
+    /// Headers to forward, as name and value.
     pub headers: &'a [(String, String)],
-    /// Body.
+    /// Request body; may be empty.
     pub body: &'a [u8],
 }
 
-/// A service's answer.
+/// The response of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceAnswer {
-    /// HTTP status.
+    /// HTTP status; error statuses are returned too.
     pub status: u16,
-    /// Media type.
+    /// Value of `Content-Type`; `application/octet-stream` if the service sent none.
     pub media: String,
-    /// Further headers that are passed back.
+    /// Other headers to return to the caller, as name and value.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Response body, at most [`MAX_ANSWER_BYTES`] long.
     pub body: Vec<u8>,
 }
 
-/// A client for all services.
+/// An HTTP client for any plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceClient {
     agent: Agent,
 }
 
 impl ServiceClient {
-    /// Makes a client; the timeout holds for connecting.
+    /// Creates a client; the timeout applies to connecting only.
     #[must_use]
     pub fn new(connect: Duration) -> Self {
         let config = Agent::config_builder()
@@ -70,19 +70,20 @@
             .allow_non_standard_methods(false)
             .max_redirects(0)
             .max_redirects_will_error(false)
-            // A reused connection may have been closed by the peer, and then nobody can tell whether bytes arrived.
+            // The peer may have closed a reused connection, and then it is unknown whether the request arrived.
             .max_idle_connections(0)
             .proxy(None)
             .build();
         Self {
-            agent: Agent::with_parts(config, TcpConnector::default(), ByNumber),
+            agent: Agent::with_parts(config, TcpConnector::default(), LiteralResolver),
         }
     }
 
-    /// Sends a call once.
+    /// Sends a call, without retries.
     ///
     /// # Errors
-    /// Fails when the service can't be reached or gives no whole answer in time; the fate tells whether it may have run.
+    /// Fails if the service can't be reached or sends no complete response in time; [`UpstreamError::fate`] states
+    /// whether the call may have run.
     pub fn send(
         &self,
         peer: SocketAddr,
@@ -90,7 +91,7 @@
         timeout: Duration,
     ) -> Result<ServiceAnswer, UpstreamError> {
         const STEP: &str = "call service";
-        let failed = |error: ureq::Error| UpstreamError::from_client(STEP, peer, &error);
+        let to_error = |error: ureq::Error| UpstreamError::from_client(STEP, peer, &error);
         let mut request = Request::builder()
             .method(call.method)
             .uri(format!("http://{peer}{}", call.path))
@@ -98,26 +99,26 @@
         for (name, value) in call.headers {
             request = request.header(name, value);
         }
-        let request = request.body(call.body).map_err(|error| failed(error.into()))?;
+        let request = request.body(call.body).map_err(|error| to_error(error.into()))?;
         let request = self
             .agent
             .configure_request(request)
             .timeout_global(Some(timeout))
             .build();
-        let mut answer = self.agent.run(request).map_err(failed)?;
-        let status = answer.status().as_u16();
-        let media = answer
+        let mut response = self.agent.run(request).map_err(to_error)?;
+        let status = response.status().as_u16();
+        let media = response
             .headers()
             .get("Content-Type")
             .and_then(|value| value.to_str().ok());
         let media = media.unwrap_or("application/octet-stream").to_owned();
-        let headers = passed_back(answer.headers());
-        let body = answer
+        let headers = returned_headers(response.headers());
+        let body = response
             .body_mut()
             .with_config()
             .limit(MAX_ANSWER_BYTES)
             .read_to_vec()
-            .map_err(failed)?;
+            .map_err(to_error)?;
         Ok(ServiceAnswer {
             status,
             media,
@@ -127,9 +128,9 @@
     }
 }
 
-fn passed_back(headers: &HeaderMap) -> Vec<(String, String)> {
+fn returned_headers(headers: &HeaderMap) -> Vec<(String, String)> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    PASSED_BACK
+    RETURNED_HEADERS
         .iter()
         .filter_map(|name| text(name).map(|value| ((*name).to_owned(), value.to_owned())))
         .collect()
--- a/crates/upstream/src/stream.rs
+++ b/crates/upstream/src/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of an answer: server-sent events in the `OpenAI` convention.
+//! Streamed completions: server-sent events in the `OpenAI` format.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use crate::engine::{StreamEvent, Usage};
 use crate::{Fate, UpstreamError};
 
-/// Longest line of a stream, in bytes; a longer one is an error, so that a broken engine can't exhaust memory.
-const MAX_LINE: u64 = 1024 * 1024;
+/// Longest line of a stream; a longer one is an error, so that a faulty engine can't exhaust memory.
+const MAX_LINE_BYTES: u64 = 1024 * 1024;
 
-/// Tokens of one answer as they come.
+/// Events of one completion as they arrive.
 pub struct TokenStream {
     peer: SocketAddr,
     lines: BufReader<Box<dyn Read + Send>>,
@@ -44,7 +44,7 @@
 }
 
 impl TokenStream {
-    /// Reads an answer from its bytes.
+    /// Creates a stream that reads a response body; `peer` is the engine's address, for errors.
     #[must_use]
     pub fn new(peer: SocketAddr, body: Box<dyn Read + Send>) -> Self {
         Self {
@@ -53,20 +53,20 @@
         }
     }
 
-    /// Waits for the next event.
+    /// Reads the next event; blocks until it has arrived.
     ///
     /// # Errors
-    /// Fails when the engine breaks off before the answer is whole, or sends something that is no event.
+    /// Fails if the stream ends before its end marker or holds an invalid event.
     pub fn next_event(&mut self) -> Result<StreamEvent, UpstreamError> {
         loop {
-            let line = self.line()?;
+            let line = self.read_line()?;
             let Some(data) = line.strip_prefix("data:").map(str::trim) else {
                 continue;
             };
             if data == "[DONE]" {
                 return Ok(StreamEvent::Done);
             }
-            let chunk: Chunk = serde_json::from_str(data).map_err(|error| self.broken(error))?;
+            let chunk: Chunk = serde_json::from_str(data).map_err(|error| self.error(error))?;
             let token = chunk.choices.into_iter().find_map(|choice| choice.delta.content);
             match (token, chunk.usage) {
                 (Some(token), _) if !token.is_empty() => return Ok(StreamEvent::Token(token)),
@@ -76,17 +76,17 @@
         }
     }
 
-    fn line(&mut self) -> Result<String, UpstreamError> {
+    fn read_line(&mut self) -> Result<String, UpstreamError> {
         let mut bytes = Vec::new();
-        let read = (&mut self.lines).take(MAX_LINE).read_until(b'\n', &mut bytes);
-        read.map_err(|error| self.broken(error))?;
+        let read = (&mut self.lines).take(MAX_LINE_BYTES).read_until(b'\n', &mut bytes);
+        read.map_err(|error| self.error(error))?;
         if bytes.last() != Some(&b'\n') {
-            return Err(self.broken("the stream ended before the answer was whole"));
+            return Err(self.error("the stream ended before the response was complete"));
         }
-        String::from_utf8(bytes).map_err(|error| self.broken(error))
+        String::from_utf8(bytes).map_err(|error| self.error(error))
     }
 
-    fn broken(&self, reason: impl ToString) -> UpstreamError {
+    fn error(&self, reason: impl ToString) -> UpstreamError {
         UpstreamError::new("read stream", self.peer, Fate::Unknown, reason)
     }
 }
--- a/crates/upstream/tests/outside_bytes.rs
+++ b/crates/upstream/tests/outside_bytes.rs
@@ -1,4 +1,4 @@
-//! Parsers of what upstreams send: whatever comes, they give a value or an error and never hold more than their bounds.
+//! Parsers of upstream responses: any input leads to a value or an error, within the memory limits.
 
 use std::io::{Cursor, Read};
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use upstream::orders::EngineState;
 
 const PEER: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
-/// Most bytes of one line that may be read before it is given up.
-const MAX_LINE: u64 = 1024 * 1024;
+/// Longest line that the stream reader accepts.
+const MAX_LINE_BYTES: u64 = 1024 * 1024;
 
 fn check(property: fn(Vec<u8>) -> bool) {
     QuickCheck::new()
@@ -24,7 +24,7 @@
     TokenStream::new(SocketAddr::from(PEER), Box::new(Cursor::new(bytes)))
 }
 
-fn drain(mut stream: TokenStream) -> (usize, bool) {
+fn read_to_end(mut stream: TokenStream) -> (usize, bool) {
     let mut tokens = 0;
     loop {
         match stream.next_event() {
@@ -37,34 +37,34 @@
 }
 
 #[test]
-fn any_stream() {
+fn arbitrary_stream() {
     fn ends(bytes: Vec<u8>) -> bool {
-        let (_, whole) = drain(stream(bytes.clone()));
-        // Only the mark of the end makes an answer whole.
-        !whole || String::from_utf8_lossy(&bytes).contains("[DONE]")
+        let (_, complete) = read_to_end(stream(bytes.clone()));
+        // Only the end marker completes a response.
+        !complete || String::from_utf8_lossy(&bytes).contains("[DONE]")
     }
     check(ends);
 }
 
-/// An engine breaks off somewhere within an answer that was sent correctly. Every token before the break counts and the
-/// answer isn't taken for whole; otherwise a caller would get half a consultation as a finished one.
+/// Guards against a truncated completion that passes for complete. An engine breaks off at any byte of a valid stream;
+/// every token before that counts, and only the end marker completes the response.
 #[test]
-fn cut_stream() {
-    fn cut(noise: Vec<u8>) -> bool {
+fn truncated_stream() {
+    fn reads_prefix(noise: Vec<u8>) -> bool {
         let token = "data: {\"choices\":[{\"delta\":{\"content\":\"a \"}}]}\n\n";
         let text = format!(": wait\n\n{token}{token}data: [DONE]\n\n");
-        let at = noise.iter().map(|byte| usize::from(*byte)).sum::<usize>() % text.len();
-        let (tokens, whole) = drain(stream(text.as_bytes()[..at].to_vec()));
-        let complete = text[..at].matches("}]}\n").count();
-        tokens == complete && whole == text[..at].contains("[DONE]\n")
+        let length = noise.iter().map(|byte| usize::from(*byte)).sum::<usize>() % text.len();
+        let (tokens, complete) = read_to_end(stream(text.as_bytes()[..length].to_vec()));
+        let sent_tokens = text[..length].matches("}]}\n").count();
+        tokens == sent_tokens && complete == text[..length].contains("[DONE]\n")
     }
-    check(cut);
+    check(reads_prefix);
 }
 
 #[test]
-fn any_json() {
-    fn parsed(bytes: Vec<u8>) -> bool {
-        // Each either parses or fails; what matters is that none panics.
+fn arbitrary_json() {
+    fn parses(bytes: Vec<u8>) -> bool {
+        // Parsing may succeed or fail, but must not panic.
         let _ = serde_json::from_slice::<LoadReport>(&bytes);
         let _ = serde_json::from_slice::<Vec<CacheEvent>>(&bytes);
         let _ = serde_json::from_slice::<Vec<CloudHost>>(&bytes);
@@ -73,24 +73,24 @@
         let _ = serde_json::from_slice::<ExportedCache>(&bytes);
         serde_json::from_slice::<EngineState>(&bytes).is_err()
     }
-    check(parsed);
+    check(parses);
 }
 
-/// A list of hosts arrives with a field of the wrong kind or torn in the middle. It is refused as a whole, since half a
-/// list would make the missing hosts look gone.
+/// Guards against a partial list of hosts, in which the missing ones would look gone: a truncated list, or one with an
+/// invalid field, must be rejected as a whole.
 #[test]
-fn torn_list() {
+fn truncated_list() {
     let list = r#"[{"id":"h","incarnation":1,"zone":"a","class":"reclaimable","stage":"serving"}]"#;
     assert_eq!(serde_json::from_str::<Vec<CloudHost>>(list).expect("list").len(), 1);
     for at in 0..list.len() {
-        serde_json::from_str::<Vec<CloudHost>>(&list[..at]).expect_err("torn");
+        serde_json::from_str::<Vec<CloudHost>>(&list[..at]).expect_err("truncated");
     }
     let wrong = list.replace("\"incarnation\":1", "\"incarnation\":-1");
     serde_json::from_str::<Vec<CloudHost>>(&wrong).expect_err("negative");
 }
 
-/// An engine sends a line that never ends. The reader must give up after its bound; without one the entry host's memory
-/// fills up and every caller on it loses its answer.
+/// Guards against a line without end, which would fill the memory of the entry host and fail all its requests: the
+/// reader must stop at its limit.
 #[test]
 fn endless_line() {
     struct Endless(std::sync::Arc<std::sync::atomic::AtomicU64>);
@@ -104,5 +104,5 @@
     let read = std::sync::Arc::default();
     let mut stream = TokenStream::new(SocketAddr::from(PEER), Box::new(Endless(std::sync::Arc::clone(&read))));
     stream.next_event().expect_err("too long");
-    assert!(read.load(std::sync::atomic::Ordering::Relaxed) <= MAX_LINE + 4_096);
+    assert!(read.load(std::sync::atomic::Ordering::Relaxed) <= MAX_LINE_BYTES + 4_096);
 }
