--- a/crates/telemetry/src/burn/cause.rs
+++ b/crates/telemetry/src/burn/cause.rs
@@ -1,4 +1,4 @@
-//! Why a request missed its targets.
+//! Attribution of missed latency targets to causes.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It waited too long for admission.
+    /// The request was queued too long before admission.
     #[display("queue")]
     Queue,
-    /// The upstream took too long until the first token.
+    /// The upstream took too long to the first token.
     #[display("prefill")]
     Prefill,
     /// The upstream was slow after the first token, or a plain service was.
     #[display("slow")]
     Slow,
-    /// Its host was taken away by the cloud.
+    /// The cloud reclaimed the host of the upstream.
     #[display("reclaim")]
     Reclaim,
-    /// An upstream failed without notice.
+    /// An upstream failed without a reclaim notice.
     #[display("upstream fault")]
     UpstreamFault,
-    /// It was refused for want of capacity, while no upstream had failed it.
+    /// The request was rejected for lack of capacity, and no attempt at an upstream had failed.
     #[display("refusal")]
     Refusal,
 }
@@ -33,96 +33,99 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With the whole answer.
+    /// The response was complete.
     Completed,
-    /// Refused for want of capacity, not run.
+    /// Rejected for lack of capacity; the request did not run.
     Refused,
-    /// Refused because the customer's limit is used up; this burns no budget.
+    /// Rejected by the customer's own limit; this consumes no error budget.
     Limited,
-    /// Without the whole answer.
+    /// The response was incomplete or an error.
     Failed,
-    /// The caller went away; this burns no budget.
+    /// The caller disconnected; this consumes no error budget.
     CallerGone,
 }
 
-/// A request that has ended.
+/// A request that has ended, with its timings.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedRequest<'a> {
-    /// The customer.
+    /// Customer that made the request.
     pub customer: &'a CustomerId,
-    /// The class.
+    /// Service class of the request.
     pub class: &'a ClassName,
-    /// What was promised.
+    /// Latency targets of the class.
     pub targets: &'a Targets,
-    /// How it ended.
+    /// How the request ended.
     pub end: RequestEnd,
-    /// Until it was admitted.
-    pub queued: Duration,
-    /// Until the first token.
-    pub first: Option<Duration>,
-    /// Longest pause between tokens but for the 5 in 100 longest.
-    pub between: Option<Duration>,
-    /// Until its end.
-    pub whole: Duration,
-    /// Attempts that failed.
+    /// Time from arrival to admission; to the end if the request was not admitted.
+    pub queue_time: Duration,
+    /// Time from arrival to the first token; absent for plain services.
+    pub first_token: Option<Duration>,
+    /// 95th percentile of the gaps between tokens; absent with fewer than two tokens.
+    pub token_gap: Option<Duration>,
+    /// Time from arrival to the end.
+    pub total_time: Duration,
+    /// Number of failed attempts at upstreams.
     pub failures: u32,
-    /// Whether one of them failed on a host that was leaving.
+    /// Whether an attempt failed on a host that was leaving.
     pub reclaimed: bool,
-    /// The host to which the miss is put down: the one that failed, else the last one.
+    /// Host to which a miss is attributed: the first one that failed, otherwise the last one tried.
     pub host: Option<(&'a HostId, &'a Zone)>,
 }
 
-/// Tells why a request missed its targets; `None` when it met them or burns no budget.
+/// Returns why a request missed its targets; `None` if it met them or consumes no error budget.
 #[must_use]
-pub fn miss_cause(served: &EndedRequest<'_>) -> Option<Cause> {
-    match served.end {
+pub fn miss_cause(request: &EndedRequest<'_>) -> Option<Cause> {
+    match request.end {
         RequestEnd::Limited | RequestEnd::CallerGone => None,
-        RequestEnd::Refused => Some(fault(served).unwrap_or(Cause::Refusal)),
-        RequestEnd::Failed => Some(fault(served).unwrap_or(Cause::UpstreamFault)),
-        RequestEnd::Completed => late(served),
+        RequestEnd::Refused => Some(failure_cause(request).unwrap_or(Cause::Refusal)),
+        RequestEnd::Failed => Some(failure_cause(request).unwrap_or(Cause::UpstreamFault)),
+        RequestEnd::Completed => latency_cause(request),
     }
 }
 
-fn late(served: &EndedRequest<'_>) -> Option<Cause> {
-    let over = |limit: Option<u64>, got: Option<Duration>| {
+fn latency_cause(request: &EndedRequest<'_>) -> Option<Cause> {
+    let exceeds = |limit: Option<u64>, time: Option<Duration>| {
         limit
-            .zip(got)
-            .is_some_and(|(limit, got)| got > Duration::from_millis(limit))
+            .zip(time)
+            .is_some_and(|(limit, time)| time > Duration::from_millis(limit))
     };
-    let targets = served.targets;
-    let first = over(targets.first_token_ms, served.first);
-    let between = over(targets.between_tokens_ms, served.between);
-    let whole = over(Some(targets.whole_answer_ms), Some(served.whole));
-    if !(first || between || whole) {
+    let targets = request.targets;
+    let first_token_late = exceeds(targets.first_token_ms, request.first_token);
+    let gaps_late = exceeds(targets.between_tokens_ms, request.token_gap);
+    let total_late = exceeds(Some(targets.whole_answer_ms), Some(request.total_time));
+    if !(first_token_late || gaps_late || total_late) {
         return None;
     }
-    let slow = if first {
-        before_first(served)
+    let cause = if first_token_late {
+        first_token_cause(request)
     } else {
-        after_first(served)
+        later_cause(request)
     };
-    Some(fault(served).unwrap_or(slow))
+    Some(failure_cause(request).unwrap_or(cause))
 }
 
-fn fault(served: &EndedRequest<'_>) -> Option<Cause> {
-    if served.reclaimed {
+fn failure_cause(request: &EndedRequest<'_>) -> Option<Cause> {
+    if request.reclaimed {
         Some(Cause::Reclaim)
     } else {
-        (served.failures > 0).then_some(Cause::UpstreamFault)
+        (request.failures > 0).then_some(Cause::UpstreamFault)
     }
 }
 
-fn before_first(served: &EndedRequest<'_>) -> Cause {
-    let rest = served.first.unwrap_or_default().saturating_sub(served.queued);
-    if served.queued >= rest {
+fn first_token_cause(request: &EndedRequest<'_>) -> Cause {
+    let prefill_time = request
+        .first_token
+        .unwrap_or_default()
+        .saturating_sub(request.queue_time);
+    if request.queue_time >= prefill_time {
         Cause::Queue
     } else {
         Cause::Prefill
     }
 }
 
-fn after_first(served: &EndedRequest<'_>) -> Cause {
-    if served.queued * 2 >= served.whole {
+fn later_cause(request: &EndedRequest<'_>) -> Cause {
+    if request.queue_time * 2 >= request.total_time {
         Cause::Queue
     } else {
         Cause::Slow
--- a/crates/telemetry/src/burn/meter.rs
+++ b/crates/telemetry/src/burn/meter.rs
@@ -1,4 +1,4 @@
-//! Follows one request from its arrival to its end.
+//! Measures one request from its arrival to its end.
 
 use std::time::Duration;
 
@@ -9,107 +9,109 @@
 use super::RequestCounters;
 use super::cause::{EndedRequest, RequestEnd};
 
-/// Most pauses that are kept of one answer; an answer is longer only against its contract.
-const MAX_PAUSES: usize = 65_536;
+/// Most token gaps kept per request; only a response longer than its contract allows has more.
+const MAX_TOKEN_GAPS: usize = 65_536;
 
-/// Follows one request; without [`Meter::end`] it counts nothing.
+/// Measures one request; it is counted only by [`RequestMeter::finish`].
 #[derive(Debug)]
 pub struct RequestMeter<'a> {
-    ledger: &'a RequestCounters,
+    counters: &'a RequestCounters,
     customer: CustomerId,
     class: ClassName,
     targets: Targets,
     arrived: Tick,
-    marks: Mutex<Marks>,
+    progress: Mutex<Progress>,
 }
 
 #[derive(Debug, Default)]
-struct Marks {
-    queued: Option<Duration>,
-    first: Option<Duration>,
-    last: Option<Tick>,
-    pauses: Vec<u32>,
+struct Progress {
+    queue_time: Option<Duration>,
+    first_token: Option<Duration>,
+    last_token: Option<Tick>,
+    /// Gaps between tokens, in microseconds.
+    gaps_us: Vec<u32>,
     failures: u32,
     reclaimed: bool,
     host: Option<(HostId, Zone)>,
-    blamed: bool,
+    /// Whether `host` is that of the first failed attempt, to which a miss is attributed.
+    host_failed: bool,
 }
 
 impl RequestCounters {
-    /// Begins to follow a request.
+    /// Starts to measure a request that arrived at a time.
     #[must_use]
     pub fn start_meter(&self, customer: &CustomerId, class: &Class, arrived: Tick) -> RequestMeter<'_> {
         RequestMeter {
-            ledger: self,
+            counters: self,
             customer: customer.clone(),
             class: class.name.clone(),
             targets: class.targets,
             arrived,
-            marks: Mutex::default(),
+            progress: Mutex::default(),
         }
     }
 }
 
 impl RequestMeter<'_> {
-    /// Notes that the request was admitted.
+    /// Records that the request was admitted.
     pub fn record_admission(&self, now: Tick) {
-        self.marks.lock().queued = Some(now.since(self.arrived));
+        self.progress.lock().queue_time = Some(now.since(self.arrived));
     }
 
-    /// Notes that it goes to an upstream on a host.
+    /// Records an attempt at an upstream on a host.
     pub fn record_attempt(&self, host: &HostSpec) {
-        let mut marks = self.marks.lock();
-        // A miss is put down to the host that failed and not to the one that made it good.
-        if !marks.blamed {
-            marks.host = Some((host.id.clone(), host.zone.clone()));
+        let mut progress = self.progress.lock();
+        // A miss is attributed to the host that failed and not to the one that then served the request.
+        if !progress.host_failed {
+            progress.host = Some((host.id.clone(), host.zone.clone()));
         }
     }
 
-    /// Notes that the attempt failed, on a host that was leaving or not.
+    /// Records that the attempt failed; `leaving` states whether its host was leaving (reclaimed or drained).
     pub fn record_failure(&self, leaving: bool) {
-        let mut marks = self.marks.lock();
-        marks.failures += 1;
-        marks.reclaimed |= leaving;
-        marks.blamed = true;
+        let mut progress = self.progress.lock();
+        progress.failures += 1;
+        progress.reclaimed |= leaving;
+        progress.host_failed = true;
     }
 
-    /// Notes a token.
+    /// Records that a token arrived.
     pub fn record_token(&self, now: Tick) {
-        let mut marks = self.marks.lock();
-        if let Some(last) = marks.last
-            && marks.pauses.len() < MAX_PAUSES
+        let mut progress = self.progress.lock();
+        if let Some(last) = progress.last_token
+            && progress.gaps_us.len() < MAX_TOKEN_GAPS
         {
-            let pause = u32::try_from(now.since(last).as_micros()).unwrap_or(u32::MAX);
-            marks.pauses.push(pause);
+            let gap = u32::try_from(now.since(last).as_micros()).unwrap_or(u32::MAX);
+            progress.gaps_us.push(gap);
         }
-        marks.first.get_or_insert_with(|| now.since(self.arrived));
-        marks.last = Some(now);
+        progress.first_token.get_or_insert_with(|| now.since(self.arrived));
+        progress.last_token = Some(now);
     }
 
-    /// Counts the request.
+    /// Counts the request with its measured times.
     pub fn finish(&self, end: RequestEnd, now: Tick) {
-        let mut marks = self.marks.lock();
-        let whole = now.since(self.arrived);
-        let served = EndedRequest {
+        let mut progress = self.progress.lock();
+        let total_time = now.since(self.arrived);
+        let request = EndedRequest {
             customer: &self.customer,
             class: &self.class,
             targets: &self.targets,
             end,
-            queued: marks.queued.unwrap_or(whole),
-            first: marks.first,
-            between: tail(&mut marks.pauses),
-            whole,
-            failures: marks.failures,
-            reclaimed: marks.reclaimed,
-            host: marks.host.as_ref().map(|(host, zone)| (host, zone)),
+            queue_time: progress.queue_time.unwrap_or(total_time),
+            first_token: progress.first_token,
+            token_gap: percentile_95(&mut progress.gaps_us),
+            total_time,
+            failures: progress.failures,
+            reclaimed: progress.reclaimed,
+            host: progress.host.as_ref().map(|(host, zone)| (host, zone)),
         };
-        self.ledger.record(&served);
+        self.counters.record(&request);
     }
 }
 
-/// Gives the pause below which 95 in 100 lie.
-fn tail(pauses: &mut [u32]) -> Option<Duration> {
-    pauses.sort_unstable();
-    let place = (pauses.len() * 95).div_ceil(100).saturating_sub(1);
-    pauses.get(place).map(|pause| Duration::from_micros(u64::from(*pause)))
+/// Returns the 95th percentile of gaps that are given in microseconds.
+fn percentile_95(gaps_us: &mut [u32]) -> Option<Duration> {
+    gaps_us.sort_unstable();
+    let rank = (gaps_us.len() * 95).div_ceil(100).saturating_sub(1);
+    gaps_us.get(rank).map(|gap| Duration::from_micros(u64::from(*gap)))
 }
--- a/crates/telemetry/src/burn/mod.rs
+++ b/crates/telemetry/src/burn/mod.rs
@@ -1,19 +1,20 @@
-//! The burn report: how fast each customer's classes use up the part of requests that may miss their targets.
+//! The burn report: how fast each customer's service classes consume their error budget, the fraction of requests that
+//! may miss their latency targets.
 //!
-//! Each entry host counts into a [`Ledger`]. Its [`Part`]s travel to operators and to a peer, which remembers them for
-//! the case that the host is restarted. A [`Report`] is made of all parts.
+//! Each entry host counts requests in [`RequestCounters`]. It sends its counts, as a [`Part`], to operators and to a
+//! peer, which keeps them in case the host is restarted. A [`Report`] is computed from the parts of all entry hosts.
 
 mod cause;
-mod ledger;
+mod counters;
 mod meter;
 mod report;
 mod ring;
 
 pub use cause::{Cause, EndedRequest, RequestEnd, miss_cause};
-pub use ledger::{ClassCounts, MAX_ROWS, Part, RequestCounters};
+pub use counters::{ClassCounts, MAX_ROWS, Part, RequestCounters};
 pub use meter::RequestMeter;
 pub use report::{Alert, CauseCount, Quantiles, Report, ReportNode, ReportRow, WindowBurn};
 pub use ring::{Bucket, MAX_MISS_ROWS, MissCount, Window};
 
-/// Part of the requests of a class that must be answered within its targets.
+/// Service level objective: the fraction of the requests of a class that must meet the latency targets.
 pub const OBJECTIVE: f64 = 0.95;
--- a/crates/telemetry/src/burn/report.rs
+++ b/crates/telemetry/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! The report made of the parts of all entry hosts.
+//! The burn report, computed from the counts of all entry hosts.
 
 use std::collections::BTreeMap;
 
@@ -6,129 +6,132 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::ledger::{ClassCounts, Part, histogram};
+use super::counters::{ClassCounts, Part, latency_histogram};
 use super::ring::{Bucket, Window};
 use super::{Cause, OBJECTIVE};
 
-/// Burn rate at which a tenth of the budget of three days is gone within an hour.
-const FAST: f64 = 7.2;
-/// Burn rate at which a quarter of the budget of three days is gone within six hours.
-const SLOW: f64 = 3.0;
+/// Burn rate that consumes a tenth of the error budget of three days within an hour.
+const FAST_BURN: f64 = 7.2;
+/// Burn rate that consumes a quarter of the error budget of three days within six hours.
+const SLOW_BURN: f64 = 3.0;
 
-/// Budgets of every customer and class.
+/// The error budgets of all customers and classes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// When it was made, in seconds since 1970.
+    /// Time of the report in seconds since 1970.
     pub at_s: u64,
-    /// Part of the requests that must be within the targets.
+    /// Fraction of requests that must meet their targets; [`OBJECTIVE`].
     pub objective: f64,
-    /// The processes that it is made of.
+    /// Processes whose counts the report contains.
     pub nodes: Vec<ReportNode>,
-    /// Entry hosts that did not answer; their latest requests are missing.
+    /// Entry hosts that did not respond; their latest requests are missing from the report.
     pub missing: Vec<String>,
-    /// One entry for each customer and class, the fastest burning first.
+    /// One entry for each customer and class, the most urgent alert first.
     pub rows: Vec<ReportRow>,
 }
 
-/// A process that the report is made of.
+/// A process whose counts the report contains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportNode {
-    /// The entry host.
+    /// Entry host that the process belongs to.
     pub node: NodeId,
-    /// Start of its process, in milliseconds since 1970.
+    /// Process start in milliseconds since 1970.
     pub started_ms: u64,
-    /// Age of what is known of it, in seconds.
+    /// Age of its newest known counts, in seconds.
     pub age_s: u64,
 }
 
-/// The budget of one customer and class.
+/// The error budget of one customer and class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportRow {
-    /// The customer.
+    /// Customer that made the requests.
     pub customer: CustomerId,
-    /// The class.
+    /// Service class of the requests.
     pub class: ClassName,
-    /// What to do about it.
+    /// Urgency of a reaction by operators.
     pub alert: Alert,
-    /// Part of the budget of three days that is left; negative when overdrawn.
+    /// Remaining fraction of the error budget of three days; negative when overdrawn.
     pub budget_left: f64,
-    /// Burn in each window, the shortest first.
+    /// Burn rates, the shortest window first.
     pub windows: Vec<WindowBurn>,
-    /// Time to the first token over the last hour; absent for plain services.
+    /// Time to the first token over the last hour, in milliseconds; absent for plain services.
     pub first_token_ms: Option<Quantiles>,
-    /// Time to the whole answer over the last hour.
+    /// Time to the complete response over the last hour, in milliseconds.
     pub whole_answer_ms: Option<Quantiles>,
 }
 
-/// Burn in one window.
+/// Requests and burn rate of one window.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WindowBurn {
-    /// The window.
+    /// Time window, back from the time of the report.
     pub window: Window,
-    /// Requests that count.
+    /// Requests that count towards the budget.
     pub requests: u64,
-    /// Of these, the ones that missed their targets.
+    /// Requests among these that missed their targets.
     pub missed: u64,
-    /// Requests refused by the customer's own limit, which don't count.
+    /// Requests rejected by the customer's own limit, which don't count towards the budget.
     pub limited: u64,
-    /// Missed part over the part that may miss; 1 uses the budget up exactly.
+    /// Burn rate: fraction of missed requests over the allowed fraction; at 1 the budget is consumed exactly.
     pub burn: f64,
-    /// Misses by cause and host, the most first.
+    /// Misses by cause and host, the most frequent first.
     pub causes: Vec<CauseCount>,
 }
 
 /// Misses of one cause on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CauseCount {
-    /// Why.
+    /// Cause of the misses.
     pub cause: Cause,
-    /// The host, if one had to do with it.
+    /// Host to which the misses are attributed, if there is one.
     pub host: Option<HostId>,
-    /// Its zone.
+    /// Zone of the host.
     pub zone: Option<Zone>,
-    /// How many.
+    /// Number of misses.
     pub count: u64,
 }
 
-/// What a row calls for.
+/// Urgency of a reaction by operators, the most urgent first.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Alert {
-    /// Act now: the last hour and the last five minutes burn a tenth of the budget an hour.
+    /// Act now: in the last hour and the last five minutes, the burn rate consumes a tenth of the budget per hour.
     #[display("act now")]
     ActNow,
-    /// Look today: the last six hours and the last hour burn a quarter of the budget in six hours.
+    /// Look today: in the last six hours and the last hour, the burn rate consumes a quarter of the budget
+    /// per six hours.
     #[display("look today")]
     LookToday,
-    /// The budget of three days is used up.
+    /// The budget of three days is consumed.
     #[display("overdrawn")]
     Overdrawn,
-    /// Nothing.
+    /// No reaction is needed.
     #[display("ok")]
     Fine,
 }
 
-/// Median and tail in milliseconds.
+/// Latency quantiles in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Half of them are lower.
+    /// Median.
     pub p50: u64,
-    /// 95 in 100 are lower.
+    /// 95th percentile.
     pub p95: u64,
 }
 
+/// Counts of one customer and class, summed over all processes.
 #[derive(Default)]
 struct Sum {
+    /// Buckets of each window by their start; several processes contribute buckets with the same start.
     windows: [BTreeMap<u64, Vec<Bucket>>; 4],
-    first: Vec<(u64, u64)>,
-    whole: Vec<(u64, u64)>,
+    first_ms: Vec<(u64, u64)>,
+    whole_ms: Vec<(u64, u64)>,
 }
 
 impl Report {
-    /// Makes a report of parts, of which several may tell about the same process.
+    /// Computes a report from parts; of several parts of the same process, only the newest counts.
     #[must_use]
     pub fn new(parts: Vec<Part>, missing: Vec<String>, now_s: u64) -> Self {
-        let newest = newest(parts);
+        let newest = newest_per_process(parts);
         let nodes = newest.iter().map(|part| ReportNode {
             node: part.node.clone(),
             started_ms: part.started_ms,
@@ -137,8 +140,8 @@
         let nodes = nodes.collect();
         let mut sums: BTreeMap<(CustomerId, ClassName), Sum> = BTreeMap::new();
         for part in newest {
-            // Latencies are kept for an hour, so those of a part that is older say nothing about the last hour.
-            let fresh = part.at_s + Window::Hour1.length() >= now_s;
+            // Latencies cover one hour, so those of an older part do not belong to the last hour.
+            let fresh = part.at_s + Window::Hour1.length_s() >= now_s;
             for row in part.rows {
                 let sum = sums.entry((row.customer.clone(), row.class.clone())).or_default();
                 sum.add(row, fresh);
@@ -159,8 +162,8 @@
     }
 }
 
-/// Gives the newest part of each process.
-fn newest(parts: Vec<Part>) -> Vec<Part> {
+/// Returns the newest part of each process.
+fn newest_per_process(parts: Vec<Part>) -> Vec<Part> {
     let mut newest: BTreeMap<(NodeId, u64), Part> = BTreeMap::new();
     for part in parts {
         let key = (part.node.clone(), part.started_ms);
@@ -179,8 +182,8 @@
             }
         }
         if fresh {
-            self.first.extend(row.first_ms);
-            self.whole.extend(row.whole_ms);
+            self.first_ms.extend(row.first_ms);
+            self.whole_ms.extend(row.whole_ms);
         }
     }
 
@@ -188,13 +191,13 @@
         let windows: Vec<WindowBurn> = Window::ALL
             .iter()
             .zip(&self.windows)
-            .map(|(window, buckets)| burn(*window, buckets, now_s))
+            .map(|(window, buckets)| window_burn(*window, buckets, now_s))
             .collect();
-        let rate = |window: usize| windows[window].burn;
-        let budget_left = 1.0 - rate(3);
-        let alert = if rate(0) >= FAST && rate(1) >= FAST {
+        let burn_rate = |window: usize| windows[window].burn;
+        let budget_left = 1.0 - burn_rate(3);
+        let alert = if burn_rate(0) >= FAST_BURN && burn_rate(1) >= FAST_BURN {
             Alert::ActNow
-        } else if rate(1) >= SLOW && rate(2) >= SLOW {
+        } else if burn_rate(1) >= SLOW_BURN && burn_rate(2) >= SLOW_BURN {
             Alert::LookToday
         } else if budget_left < 0.0 {
             Alert::Overdrawn
@@ -207,31 +210,31 @@
             alert,
             budget_left,
             windows,
-            first_token_ms: quantiles(&self.first),
-            whole_answer_ms: quantiles(&self.whole),
+            first_token_ms: quantiles(&self.first_ms),
+            whole_answer_ms: quantiles(&self.whole_ms),
         }
     }
 }
 
-fn burn(window: Window, buckets: &BTreeMap<u64, Vec<Bucket>>, now_s: u64) -> WindowBurn {
-    let since = now_s.saturating_sub(window.length());
-    let counted = buckets.range(since..).flat_map(|(_, same)| same);
+fn window_burn(window: Window, buckets: &BTreeMap<u64, Vec<Bucket>>, now_s: u64) -> WindowBurn {
+    let start_s = now_s.saturating_sub(window.length_s());
+    let counted = buckets.range(start_s..).flat_map(|(_, same)| same);
     let (mut good, mut limited) = (0, 0);
     let mut causes: Vec<CauseCount> = Vec::new();
     for bucket in counted {
         good += bucket.good;
         limited += bucket.limited;
-        for bad in &bucket.bad {
+        for misses in &bucket.bad {
             match causes
                 .iter_mut()
-                .find(|known| known.cause == bad.cause && known.host == bad.host)
+                .find(|known| known.cause == misses.cause && known.host == misses.host)
             {
-                Some(known) => known.count += bad.count,
+                Some(known) => known.count += misses.count,
                 None => causes.push(CauseCount {
-                    cause: bad.cause,
-                    host: bad.host.clone(),
-                    zone: bad.zone.clone(),
-                    count: bad.count,
+                    cause: misses.cause,
+                    host: misses.host.clone(),
+                    zone: misses.zone.clone(),
+                    count: misses.count,
                 }),
             }
         }
@@ -243,19 +246,19 @@
     });
     let missed: u64 = causes.iter().map(|cause| cause.count).sum();
     let requests = good + missed;
-    let part = missed as f64 / (requests as f64).max(1.0);
+    let missed_fraction = missed as f64 / (requests as f64).max(1.0);
     WindowBurn {
         window,
         requests,
         missed,
         limited,
-        burn: part / (1.0 - OBJECTIVE),
+        burn: missed_fraction / (1.0 - OBJECTIVE),
         causes,
     }
 }
 
 fn quantiles(counts: &[(u64, u64)]) -> Option<Quantiles> {
-    let mut all = histogram();
+    let mut all = latency_histogram();
     for (value, count) in counts {
         let count = u32::try_from(*count).unwrap_or(u32::MAX);
         all.saturating_record_n(*value, count);
--- a/crates/telemetry/src/burn/ring.rs
+++ b/crates/telemetry/src/burn/ring.rs
@@ -1,4 +1,4 @@
-//! Counters over time, coarser the further they reach back.
+//! Request counters over time windows; longer windows have longer buckets.
 
 use std::collections::VecDeque;
 
@@ -8,10 +8,10 @@
 
 use super::Cause;
 
-/// Most pairs of cause and host in one bucket; further hosts are counted without a name.
+/// Most pairs of cause and host in one bucket; misses of further hosts are counted without a host name.
 pub const MAX_MISS_ROWS: usize = 32;
 
-/// A window of the report.
+/// A time window of the report, and how it is divided into buckets.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Window {
     /// 5 minutes, in buckets of 10 s.
@@ -36,9 +36,9 @@
     /// Every window, the shortest first.
     pub const ALL: [Self; 4] = [Self::Minutes5, Self::Hour1, Self::Hours6, Self::Days3];
 
-    /// Gives its length in seconds.
+    /// Returns the length of the window in seconds.
     #[must_use]
-    pub const fn length(self) -> u64 {
+    pub const fn length_s(self) -> u64 {
         match self {
             Self::Minutes5 => 300,
             Self::Hour1 => 3_600,
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Gives the length of its buckets in seconds.
+    /// Returns the length of its buckets in seconds.
     #[must_use]
-    pub const fn step(self) -> u64 {
+    pub const fn bucket_s(self) -> u64 {
         match self {
             Self::Minutes5 => 10,
             Self::Hour1 => 60,
@@ -59,41 +59,41 @@
     }
 }
 
-/// Requests that ended within one step of a window.
+/// Counts of the requests that ended within one bucket of a window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bucket {
-    /// Start in seconds since 1970, a multiple of the step.
+    /// Start in seconds since 1970; a multiple of [`Window::bucket_s`].
     pub at_s: u64,
-    /// Requests within their targets.
+    /// Requests that met their targets.
     pub good: u64,
-    /// Requests refused by the customer's own limit.
+    /// Requests rejected by the customer's own limit.
     pub limited: u64,
-    /// Requests that missed their targets.
+    /// Requests that missed their targets, by cause and host.
     pub bad: Vec<MissCount>,
 }
 
-/// Misses of one cause on one host.
+/// Number of misses of one cause on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MissCount {
-    /// Why.
+    /// Cause of the misses.
     pub cause: Cause,
-    /// Where, if a host had to do with it.
+    /// Host to which the misses are attributed, if there is one.
     pub host: Option<HostId>,
-    /// The zone of the host.
+    /// Zone of the host.
     pub zone: Option<Zone>,
-    /// How many.
+    /// Number of misses.
     pub count: u64,
 }
 
 impl Bucket {
-    /// Counts a miss.
-    pub fn miss(&mut self, cause: Cause, host: Option<(&HostId, &Zone)>) {
+    /// Counts a missed target.
+    pub fn count_miss(&mut self, cause: Cause, host: Option<(&HostId, &Zone)>) {
         let same = |bad: &&mut MissCount| bad.cause == cause && bad.host.as_ref() == host.map(|(host, _)| host);
         if let Some(bad) = self.bad.iter_mut().find(same) {
             bad.count += 1;
             return;
         }
-        // A wave hits many hosts at once. Their names are dropped beyond the bound; the misses are still counted.
+        // The cloud can reclaim many hosts at once. Host names beyond the limit are dropped; the misses still count.
         let host = host.filter(|_| self.bad.len() < MAX_MISS_ROWS);
         if host.is_none()
             && let Some(bad) = self.bad.iter_mut().find(|bad| bad.cause == cause && bad.host.is_none())
@@ -110,7 +110,7 @@
     }
 }
 
-/// The buckets of one window, oldest first.
+/// The buckets of one window, oldest first; buckets outside the window are dropped.
 #[derive(Clone, Debug)]
 pub(super) struct Ring {
     window: Window,
@@ -125,9 +125,9 @@
         }
     }
 
-    /// Gives the bucket of a time; a clock that goes back counts into the newest one.
+    /// Returns the bucket for a time; if the clock has gone back, the newest one.
     pub(super) fn bucket(&mut self, now_s: u64) -> &mut Bucket {
-        let at_s = now_s - now_s % self.window.step();
+        let at_s = now_s - now_s % self.window.bucket_s();
         if self.buckets.back().is_none_or(|last| last.at_s < at_s) {
             self.buckets.push_back(Bucket {
                 at_s,
@@ -137,11 +137,11 @@
         while self
             .buckets
             .front()
-            .is_some_and(|first| first.at_s + self.window.length() < at_s)
+            .is_some_and(|first| first.at_s + self.window.length_s() < at_s)
         {
             self.buckets.pop_front();
         }
-        self.buckets.back_mut().expect("one was added if there was none")
+        self.buckets.back_mut().expect("a bucket was added if there was none")
     }
 
     pub(super) fn buckets(&self) -> Vec<Bucket> {
--- a/crates/telemetry/src/clock.rs
+++ b/crates/telemetry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the runtime; tests replace it by one that they advance.
+//! Monotonic clock, which tests replace by a mock.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,23 +13,23 @@
 
 #[derive(Clone, Debug)]
 enum Source {
-    /// The machine's clock, as it stood at the start.
-    Machine(Duration),
-    /// A clock that tests advance.
+    /// The clock of the host; holds its reading at the start.
+    Host(Duration),
+    /// A mock clock that tests advance.
     Mock { clock: quanta::Clock, start: Instant },
 }
 
 impl Clock {
-    /// Starts a clock that follows the machine.
+    /// Starts a clock that follows the clock of the host.
     ///
-    /// Time in which the machine is suspended counts. A clock that stood still meanwhile would let a leader that wakes up
-    /// trust a lease that has long ended, and two leaders would answer at once.
+    /// Time in which the host is suspended counts. Otherwise a leader that resumes would trust a lease that has long
+    /// expired, and two leaders would respond at once.
     #[must_use]
     pub fn start() -> Self {
-        Self(Source::Machine(since_boot()))
+        Self(Source::Host(since_boot()))
     }
 
-    /// Starts a clock that only moves when the returned handle is told to.
+    /// Returns a mock clock with the handle that advances it.
     #[must_use]
     pub fn mock() -> (Self, Arc<Mock>) {
         let (clock, mock) = quanta::Clock::mock();
@@ -37,11 +37,11 @@
         (Self(Source::Mock { clock, start }), mock)
     }
 
-    /// Gives the time since the start.
+    /// Returns the time since the clock was started.
     #[must_use]
     pub fn now(&self) -> Tick {
         Tick(match &self.0 {
-            Source::Machine(start) => since_boot().saturating_sub(*start),
+            Source::Host(start) => since_boot().saturating_sub(*start),
             Source::Mock { clock, start } => clock.now().duration_since(*start),
         })
     }
@@ -54,9 +54,12 @@
     Duration::new(seconds, nanos)
 }
 
-/// Gives the wall clock in milliseconds since 1970; only for what people read, never for decisions.
+/// Returns the wall clock time in milliseconds since 1970.
+///
+/// Only for timestamps in logs, reports and usage windows: the wall clock can jump, so timeouts and leases must use
+/// [`Clock`].
 #[must_use]
 pub fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clock, logs, metrics and the service-level burn report.
+//! Clock, structured logs, metrics, and the burn report on service level objectives.
 
 pub mod burn;
 pub mod clock;
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard output: a line for each decision and change of state, never waiting for a reader.
+//! Structured logs on standard output, one line per decision or state change; logging never blocks on the reader.
 
 use std::io::LineWriter;
 use std::sync::Mutex;
@@ -8,63 +8,64 @@
 use slog::{Drain, Logger, o};
 use slog_async::AsyncGuard;
 
-/// Lines that may wait for the writer; more are dropped and counted by the library.
-const RING: usize = 1_024;
+/// Most lines queued for the writer thread; the library drops and counts further ones.
+const QUEUE_LENGTH: usize = 1_024;
 
-/// Longest wait for the last lines to be written.
-const FINISH: Duration = Duration::from_millis(300);
+/// Longest wait for the queued lines to be written at the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Ends the writer when it is dropped.
+/// Flushes and ends the writer thread when it is dropped.
 static GUARD: parking_lot::Mutex<Option<AsyncGuard>> = parking_lot::Mutex::new(None);
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Display, FromStr, PartialEq, Eq)]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     #[display("json")]
     Json,
-    /// For a person at a terminal.
+    /// Readable text for a terminal.
     #[display("terminal")]
     Terminal,
 }
 
-/// Starts the thread that writes logs and gives the root logger of a program.
+/// Starts the writer thread and returns the root logger, which adds program and node name to each line.
 pub fn start(format: Format, program: &'static str, node: &str) -> Logger {
     let (drain, guard) = match format {
         Format::Json => {
-            // A line is written as a whole; in pieces, a process that ends would leave half a line, which no reader of JSON
-            // takes, and lines of several processes in one file would be mixed up.
+            // Each line is written in one piece. Otherwise a process that ends could leave a partial line, which is
+            // invalid JSON, and lines of several processes in one file could be interleaved.
             let json = slog_json::Json::default(LineWriter::new(std::io::stdout()));
             slog_async::Async::new(Mutex::new(json).fuse())
-                .chan_size(RING)
+                .chan_size(QUEUE_LENGTH)
                 .build_with_guard()
         }
         Format::Terminal => {
             let terminal = slog_term::FullFormat::new(slog_term::TermDecorator::new().stdout().build()).build();
             slog_async::Async::new(terminal.fuse())
-                .chan_size(RING)
+                .chan_size(QUEUE_LENGTH)
                 .build_with_guard()
         }
     };
     *GUARD.lock() = Some(guard);
-    // Lines of threads that outlive the writer are dropped.
+    // Lines of threads that outlive the writer thread are dropped.
     Logger::root(drain.ignore_res(), o!("program" => program, "node" => node.to_owned()))
 }
 
-/// Writes what still waits; a program calls it as the last thing it does.
+/// Writes the queued lines and ends the writer thread; a program calls this last.
 ///
-/// Nobody may be reading any more. The process must end all the same, or a planned stop would last until it is killed.
+/// Waits only for a short time, because the reader of the log may be gone, and a planned stop would then last until the
+/// process is killed.
 pub fn finish() {
     let guard = GUARD.lock().take();
     let (done, finished) = std::sync::mpsc::channel();
-    let work = move || {
+    let flush = move || {
         drop(guard);
-        // The receiver may have stopped waiting.
+        // The receiver may have timed out.
         let _ = done.send(());
     };
-    if std::thread::Builder::new().spawn(work).is_ok() {
-        // Whichever way the wait ends, the process does.
-        let _ = finished.recv_timeout(FINISH);
+    if std::thread::Builder::new().spawn(flush).is_ok() {
+        // The process ends whether the lines were written in time or not.
+        let _ = finished.recv_timeout(FLUSH_TIMEOUT);
     }
 }
--- a/crates/telemetry/src/scrape.rs
+++ b/crates/telemetry/src/scrape.rs
@@ -1,8 +1,8 @@
-//! Metrics in the text format that scrapers read.
+//! Metrics in the Prometheus text format.
 
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 
-/// The metrics of the process.
+/// Handle to the metrics of the process.
 #[derive(Clone)]
 pub struct MetricsExporter(PrometheusHandle);
 
@@ -13,15 +13,15 @@
 }
 
 impl MetricsExporter {
-    /// Installs the recorder of the process.
+    /// Installs the global metrics recorder of the process.
     ///
     /// # Errors
-    /// Fails when the process has a recorder already.
+    /// Fails if the process has a recorder already.
     pub fn install() -> Result<Self, BuildError> {
         PrometheusBuilder::new().install_recorder().map(Self)
     }
 
-    /// Renders every metric.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         self.0.run_upkeep();
--- a/crates/telemetry/tests/blocked_log.rs
+++ b/crates/telemetry/tests/blocked_log.rs
@@ -1,4 +1,4 @@
-//! A log that nobody reads holds nobody up.
+//! Logging does not block when the reader of the log hangs.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -7,21 +7,21 @@
 use slog::info;
 use telemetry::log::{self, Format};
 
-/// Lines that are written; many times what a pipe and the ring hold.
+/// Number of lines written; many times the capacity of the pipe and of the writer's queue.
 const LINES: usize = 20_000;
 
-/// The reader of a process's log hangs. Requests must go on: lines that find no room are dropped and counted, and no thread
-/// that decides anything waits for the pipe. A stop ends the process too.
+/// Guards against a hanging log reader that blocks the process: lines beyond the queue must be dropped and counted, no
+/// thread that logs may wait for the pipe, and a stop must still end the process.
 #[test]
 fn reader_hangs() {
     if std::env::var("GENTIAN_TEST_CHILD").is_ok() {
         let logger = log::start(Format::Json, "test", "n");
-        let begun = Instant::now();
+        let start = Instant::now();
         for number in 0..LINES {
             info!(logger, "decision"; "number" => number, "text" => "x".repeat(100));
         }
-        // The parent reads this from the other pipe, which nobody blocks.
-        writeln!(std::io::stderr(), "wrote in {} ms", begun.elapsed().as_millis()).unwrap();
+        // Standard error is not blocked.
+        writeln!(std::io::stderr(), "wrote in {} ms", start.elapsed().as_millis()).unwrap();
         log::finish();
         std::process::exit(0);
     }
@@ -32,13 +32,13 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    // Held and never read, so that the pipe is full after a few hundred lines.
+    // Held open and never read, so that the pipe is full after a few hundred lines.
     let unread = child.stdout.take();
-    let begun = Instant::now();
+    let start = Instant::now();
     while child.try_wait().unwrap().is_none() {
-        if begun.elapsed() > Duration::from_secs(30) {
+        if start.elapsed() > Duration::from_secs(30) {
             child.kill().unwrap();
-            panic!("the process waits for the reader of its log");
+            panic!("the process is blocked by the reader of its log");
         }
         std::thread::sleep(Duration::from_millis(20));
     }
--- a/crates/telemetry/tests/burn_report.rs
+++ b/crates/telemetry/tests/burn_report.rs
@@ -33,17 +33,17 @@
         }
     }
 
-    /// A request that met every target.
-    fn good(&self) -> EndedRequest<'_> {
+    /// Returns a request that met all targets.
+    fn on_time(&self) -> EndedRequest<'_> {
         EndedRequest {
             customer: &self.customer,
             class: &self.class,
             targets: &TARGETS,
             end: RequestEnd::Completed,
-            queued: Duration::from_millis(100),
-            first: Some(Duration::from_millis(400)),
-            between: Some(Duration::from_millis(20)),
-            whole: Duration::from_secs(2),
+            queue_time: Duration::from_millis(100),
+            first_token: Some(Duration::from_millis(400)),
+            token_gap: Some(Duration::from_millis(20)),
+            total_time: Duration::from_secs(2),
             failures: 0,
             reclaimed: false,
             host: Some((&self.host, &self.zone)),
@@ -54,7 +54,7 @@
         EndedRequest {
             end: RequestEnd::Refused,
             host: None,
-            ..self.good()
+            ..self.on_time()
         }
     }
 }
@@ -63,21 +63,21 @@
     Report::new(parts, Vec::new(), now)
 }
 
-fn part(ledger: &RequestCounters, node: &str, now: u64) -> Part {
-    ledger.node_counts(&NodeId::from(node), now)
+fn part(counters: &RequestCounters, node: &str, now: u64) -> Part {
+    counters.node_counts(&NodeId::from(node), now)
 }
 
 #[test]
-fn causes_told() {
+fn miss_causes() {
     let names = Names::new();
-    let good = names.good();
+    let on_time = names.on_time();
     let ms = Duration::from_millis;
     let late = EndedRequest {
-        first: Some(ms(1_500)),
-        ..good
+        first_token: Some(ms(1_500)),
+        ..on_time
     };
     let cases = [
-        (good, None),
+        (on_time, None),
         (names.refused(), Some(Cause::Refusal)),
         (
             EndedRequest {
@@ -88,7 +88,7 @@
         ),
         (
             EndedRequest {
-                queued: ms(900),
+                queue_time: ms(900),
                 ..late
             },
             Some(Cause::Queue),
@@ -96,8 +96,8 @@
         (late, Some(Cause::Prefill)),
         (
             EndedRequest {
-                between: Some(ms(80)),
-                ..good
+                token_gap: Some(ms(80)),
+                ..on_time
             },
             Some(Cause::Slow),
         ),
@@ -113,12 +113,12 @@
         (
             EndedRequest {
                 end: RequestEnd::Failed,
-                ..good
+                ..on_time
             },
             Some(Cause::UpstreamFault),
         ),
-        // A failure that was made good in time burns nothing, and neither do a limit and a caller who left.
-        (EndedRequest { failures: 2, ..good }, None),
+        // A failed attempt followed by a response in time consumes no budget, nor do a limit and a disconnected caller.
+        (EndedRequest { failures: 2, ..on_time }, None),
         (
             EndedRequest {
                 end: RequestEnd::Limited,
@@ -134,39 +134,36 @@
             None,
         ),
     ];
-    for (served, expected) in cases {
-        assert_eq!(miss_cause(&served), expected, "{served:?}");
+    for (request, expected) in cases {
+        assert_eq!(miss_cause(&request), expected, "{request:?}");
     }
 }
 
+/// Misses two hours ago count in the long windows only.
 #[test]
-fn windows_apart() {
-    // Misses of two hours ago burn the long windows and no longer the short ones.
+fn window_lengths() {
     let names = Names::new();
-    let ledger = RequestCounters::default();
+    let counters = RequestCounters::default();
     for _ in 0..10 {
-        ledger.record_at(&names.refused(), NOW - 7_200);
+        counters.record_at(&names.refused(), NOW - 7_200);
     }
     for _ in 0..90 {
-        ledger.record_at(&names.good(), NOW);
+        counters.record_at(&names.on_time(), NOW);
     }
-    let report = report(vec![part(&ledger, "a", NOW)], NOW);
+    let report = report(vec![part(&counters, "a", NOW)], NOW);
     let row = &report.rows[0];
     let missed: Vec<u64> = row.windows.iter().map(|window| window.missed).collect();
     assert_eq!(missed, [0, 0, 10, 10]);
     let burn = row.windows[2].burn;
-    assert!(
-        (burn - 2.0).abs() < 1e-9,
-        "a tenth missed of a twentieth allowed: {burn}"
-    );
+    assert!((burn - 2.0).abs() < 1e-9, "missed 10 % with 5 % allowed: {burn}");
     assert!((row.budget_left + 1.0).abs() < 1e-9);
     assert_eq!(row.alert, Alert::Overdrawn);
 }
 
 #[test]
-fn hosts_merge() {
-    // Requests spread over entry hosts in any way give the same report as if one host had had them all.
-    fn same(mut ends: Vec<(u8, u8, u16)>) -> bool {
+fn merged_hosts() {
+    // Requests spread over several entry hosts give the same report as all requests on a single host.
+    fn same_report(mut ends: Vec<(u8, u8, u16)>) -> bool {
         ends.sort_by_key(|(_, _, ago)| std::cmp::Reverse(*ago));
         let names = Names::new();
         let spread = [
@@ -176,32 +173,36 @@
         ];
         let single = RequestCounters::default();
         for (host, kind, ago) in ends {
-            let served = if kind % 3 == 0 { names.refused() } else { names.good() };
+            let request = if kind % 3 == 0 {
+                names.refused()
+            } else {
+                names.on_time()
+            };
             let at = NOW - u64::from(ago);
-            spread[usize::from(host) % 3].record_at(&served, at);
-            single.record_at(&served, at);
+            spread[usize::from(host) % 3].record_at(&request, at);
+            single.record_at(&request, at);
         }
         let parts = ["a", "b", "c"].iter().zip(&spread);
-        let many = report(parts.map(|(node, ledger)| part(ledger, node, NOW)).collect(), NOW);
+        let many = report(parts.map(|(node, counters)| part(counters, node, NOW)).collect(), NOW);
         many.rows == report(vec![part(&single, "a", NOW)], NOW).rows
     }
     println!("seed {SEED}");
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, SEED))
-        .quickcheck(same as fn(Vec<(u8, u8, u16)>) -> bool);
+        .quickcheck(same_report as fn(Vec<(u8, u8, u16)>) -> bool);
 }
 
-/// An entry host is restarted and has forgotten what it counted. Its peer remembers, so that a customer whose budget was
-/// used up an hour ago doesn't look fine; and nothing is counted twice when both tell of the same process.
+/// Guards against counts that are lost in a restart of an entry host, after which a consumed budget would look fine.
+/// Its peer must report the counts that it stored; nothing may count twice if two parts describe the same process.
 #[test]
-fn restart_remembered() {
+fn restarted_host() {
     let names = Names::new();
     let (peer, before) = (RequestCounters::default(), RequestCounters::default());
     before.record_at(&names.refused(), NOW - 60);
     let mut old = part(&before, "a", NOW - 30);
     old.started_ms = 1;
     peer.store_peer_counts(vec![old.clone()], NOW - 30);
-    peer.record_at(&names.good(), NOW);
+    peer.record_at(&names.on_time(), NOW);
     let mut parts = peer.peer_counts();
     parts.extend([part(&peer, "b", NOW), old]);
     let report = report(parts, NOW);
@@ -213,53 +214,53 @@
 }
 
 #[test]
-fn old_forgotten() {
+fn expired_counts() {
     let (peer, before) = (RequestCounters::default(), RequestCounters::default());
     let mut old = part(&before, "a", NOW);
     old.started_ms = 1;
     peer.store_peer_counts(vec![old], NOW);
     assert_eq!(peer.peer_counts().len(), 1);
-    peer.store_peer_counts(Vec::new(), NOW + 2 * Window::Days3.length());
+    peer.store_peer_counts(Vec::new(), NOW + 2 * Window::Days3.length_s());
     assert!(peer.peer_counts().is_empty());
 }
 
-/// A wave takes away more hosts than a bucket names. The misses of the rest must still be counted.
+/// Guards against misses that are lost when the cloud reclaims more hosts at once than one bucket can name.
 #[test]
 fn many_hosts() {
     let names = Names::new();
-    let ledger = RequestCounters::default();
+    let counters = RequestCounters::default();
     let hosts: Vec<HostId> = (0..2 * MAX_MISS_ROWS)
         .map(|at| HostId::from(format!("host-{at}")))
         .collect();
     for host in &hosts {
-        let served = EndedRequest {
+        let request = EndedRequest {
             end: RequestEnd::Failed,
             reclaimed: true,
             host: Some((host, &names.zone)),
-            ..names.good()
+            ..names.on_time()
         };
-        ledger.record_at(&served, NOW);
+        counters.record_at(&request, NOW);
     }
-    let report = report(vec![part(&ledger, "a", NOW)], NOW);
+    let report = report(vec![part(&counters, "a", NOW)], NOW);
     let window = &report.rows[0].windows[0];
     assert_eq!(window.missed, hosts.len() as u64);
     assert!(window.causes.len() <= MAX_MISS_ROWS + 1);
 }
 
 #[test]
-fn act_now() {
+fn urgent_alert() {
     let names = Names::new();
-    let ledger = RequestCounters::default();
+    let counters = RequestCounters::default();
     for at in 0..100 {
-        let served = if at % 2 == 0 { names.refused() } else { names.good() };
-        ledger.record_at(&served, NOW - at);
+        let request = if at % 2 == 0 { names.refused() } else { names.on_time() };
+        counters.record_at(&request, NOW - at);
     }
-    let report = report(vec![part(&ledger, "a", NOW)], NOW);
+    let report = report(vec![part(&counters, "a", NOW)], NOW);
     assert_eq!(report.rows[0].alert, Alert::ActNow);
-    let text = serde_json::to_string(&report).expect("a report is plain data");
+    let text = serde_json::to_string(&report).expect("a report can be serialized");
     assert_eq!(
         serde_json::from_str::<Report>(&text)
-            .expect("it reads its own writing")
+            .expect("a serialized report can be read")
             .rows
             .len(),
         1
