--- a/crates/contract/src/catalog.rs
+++ b/crates/contract/src/catalog.rs
@@ -172,25 +172,25 @@
     /// Returns every invalid field.
     pub fn check(&self) -> Result<(), Problems> {
         let mut problems = Problems::default();
-        let services: BTreeSet<&ServiceName> = self.services.iter().map(|service| &service.name).collect();
-        let mut places = BTreeSet::new();
+        let service_names: BTreeSet<&ServiceName> = self.services.iter().map(|service| &service.name).collect();
+        let mut prefixes = BTreeSet::new();
         for (at, route) in self.routes.iter().enumerate() {
-            check_route(route, at, &services, &mut problems);
-            let first = places.insert((route.host.to_ascii_lowercase(), &route.prefix));
+            check_route(route, at, &service_names, &mut problems);
+            let unique = prefixes.insert((route.host.to_ascii_lowercase(), &route.prefix));
             let field = format!("routes[{at}].prefix");
             problems.check(
-                first,
+                unique,
                 &field,
                 &route.prefix,
                 "a host and prefix that no other route has",
             );
         }
-        let mut holders: BTreeMap<String, usize> = BTreeMap::new();
+        let mut key_owners: BTreeMap<String, usize> = BTreeMap::new();
         for (at, account) in self.accounts.iter().enumerate() {
             let unique = account
                 .keys
                 .iter()
-                .all(|key| *holders.entry(key.to_string()).or_insert(at) == at);
+                .all(|key| *key_owners.entry(key.to_string()).or_insert(at) == at);
             let field = format!("accounts[{at}].keys");
             problems.check(unique, &field, &"(masked)", "keys that no other account has");
         }
@@ -198,7 +198,7 @@
     }
 }
 
-fn check_route(route: &Route, at: usize, services: &BTreeSet<&ServiceName>, problems: &mut Problems) {
+fn check_route(route: &Route, at: usize, service_names: &BTreeSet<&ServiceName>, problems: &mut Problems) {
     let field = |name: &str| format!("routes[{at}].{name}");
     problems.check(
         route.timeout_ms > 0,
@@ -206,12 +206,17 @@
         &route.timeout_ms,
         "1 or more",
     );
-    let bounded = route.prefix.starts_with('/') && route.prefix.ends_with('/');
-    problems.check(bounded, &field("prefix"), &route.prefix, "a path from slash to slash");
+    let slash_bounded = route.prefix.starts_with('/') && route.prefix.ends_with('/');
+    problems.check(
+        slash_bounded,
+        &field("prefix"),
+        &route.prefix,
+        "a path from slash to slash",
+    );
     let weight: u64 = route.split.iter().map(|share| u64::from(share.weight)).sum();
     problems.check(weight > 0, &field("split"), &weight, "weights that add up to 1 or more");
     for share in &route.split {
-        let known = services.contains(&share.service);
+        let known = service_names.contains(&share.service);
         problems.check(known, &field("split"), &share.service, "a service of the document");
     }
 }
--- a/crates/contract/src/name.rs
+++ b/crates/contract/src/name.rs
@@ -1,10 +1,10 @@
-//! Names and numbers that identify things, each with a type of its own.
+//! Identifiers, each with a distinct type.
 
 use derive_more::{AsRef, Display, From, Into};
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name, in bytes.
-pub const MAX_NAME: usize = 128;
+/// Longest valid name.
+pub const MAX_NAME_BYTES: usize = 128;
 
 macro_rules! name {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
@@ -21,7 +21,7 @@
                 &self.0
             }
 
-            /// Returns whether the name is 1 to [`MAX_NAME`] bytes of ASCII letters, digits and `-_.:/`.
+            /// Returns whether the name is 1 to 128 bytes of ASCII letters, digits and `-_.:/`.
             #[must_use]
             pub fn is_valid(&self) -> bool {
                 is_valid_name(&self.0)
@@ -80,5 +80,5 @@
 
 fn is_valid_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':' | '/');
-    !text.is_empty() && text.len() <= MAX_NAME && text.chars().all(allowed)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed)
 }
--- a/crates/telemetry/src/burn/report.rs
+++ b/crates/telemetry/src/burn/report.rs
@@ -123,7 +123,9 @@
 struct Sum {
     /// Buckets of each window by their start; several processes contribute buckets with the same start.
     windows: [BTreeMap<u64, Vec<Bucket>>; 4],
+    /// Times to the first token over the last hour, as pairs of milliseconds and count.
     first_ms: Vec<(u64, u64)>,
+    /// Times to the end over the last hour, as pairs of milliseconds and count.
     whole_ms: Vec<(u64, u64)>,
 }
 
@@ -141,10 +143,10 @@
         let mut sums: BTreeMap<(CustomerId, ClassName), Sum> = BTreeMap::new();
         for part in newest {
             // Latencies cover one hour, so those of an older part do not belong to the last hour.
-            let fresh = part.at_s + Window::Hour1.length_s() >= now_s;
+            let has_recent_latencies = part.at_s + Window::Hour1.length_s() >= now_s;
             for row in part.rows {
                 let sum = sums.entry((row.customer.clone(), row.class.clone())).or_default();
-                sum.add(row, fresh);
+                sum.add(row, has_recent_latencies);
             }
         }
         let mut rows: Vec<ReportRow> = sums
@@ -175,13 +177,13 @@
 }
 
 impl Sum {
-    fn add(&mut self, row: ClassCounts, fresh: bool) {
+    fn add(&mut self, row: ClassCounts, has_recent_latencies: bool) {
         for (window, buckets) in self.windows.iter_mut().zip(row.rings) {
             for bucket in buckets {
                 window.entry(bucket.at_s).or_default().push(bucket);
             }
         }
-        if fresh {
+        if has_recent_latencies {
             self.first_ms.extend(row.first_ms);
             self.whole_ms.extend(row.whole_ms);
         }
--- a/crates/telemetry/tests/burn_report.rs
+++ b/crates/telemetry/tests/burn_report.rs
@@ -166,7 +166,7 @@
     fn same_report(mut ends: Vec<(u8, u8, u16)>) -> bool {
         ends.sort_by_key(|(_, _, ago)| std::cmp::Reverse(*ago));
         let names = Names::new();
-        let spread = [
+        let hosts = [
             RequestCounters::default(),
             RequestCounters::default(),
             RequestCounters::default(),
@@ -179,12 +179,12 @@
                 names.on_time()
             };
             let at = NOW - u64::from(ago);
-            spread[usize::from(host) % 3].record_at(&request, at);
+            hosts[usize::from(host) % 3].record_at(&request, at);
             single.record_at(&request, at);
         }
-        let parts = ["a", "b", "c"].iter().zip(&spread);
-        let many = report(parts.map(|(node, counters)| part(counters, node, NOW)).collect(), NOW);
-        many.rows == report(vec![part(&single, "a", NOW)], NOW).rows
+        let parts = ["a", "b", "c"].iter().zip(&hosts);
+        let merged = report(parts.map(|(node, counters)| part(counters, node, NOW)).collect(), NOW);
+        merged.rows == report(vec![part(&single, "a", NOW)], NOW).rows
     }
     println!("seed {SEED}");
     QuickCheck::new()
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -120,6 +120,7 @@
     clients: Vec<HttpClient>,
     /// Clients with a longer timeout for watches; kept, so that a watch needs no new connection.
     watchers: Vec<HttpClient>,
+    /// Index of the last known leader.
     leader: Mutex<usize>,
     /// For each node, when a call to it last failed slowly.
     slow_failures: Mutex<Vec<Option<Instant>>>,
--- a/crates/wire/tests/find_leader.rs
+++ b/crates/wire/tests/find_leader.rs
@@ -89,8 +89,10 @@
     let ((far, far_count), (other, other_count)) = (silent_node(), silent_node());
     let near = node(&runtime, no_quorum());
     let client = StateClient::new(&runtime, &"tester".into(), &[far, near, other]).unwrap();
-    // The first call must fail, because an unresponsive node may have written the claim.
-    assert!(claim(&client).is_err(), "a silent node may have written it");
+    assert!(
+        claim(&client).is_err(),
+        "an unresponsive node may have written the claim"
+    );
     assert_eq!(claim(&client).unwrap(), no_quorum());
     assert_eq!(claim(&client).unwrap(), no_quorum());
     assert_eq!(
