--- a/crates/telemetry/tests/burn_report.rs
+++ b/crates/telemetry/tests/burn_report.rs
@@ -8,7 +8,7 @@
     Alert, Cause, EndedRequest, MAX_MISS_ROWS, Part, Report, RequestCounters, RequestEnd, Window, miss_cause,
 };
 
-const NOW: u64 = 1_800_000_000;
+const NOW_S: u64 = 1_800_000_000;
 const SEED: u64 = 9;
 const TARGETS: Targets = Targets {
     first_token_ms: Some(1_000),
@@ -16,14 +16,14 @@
     whole_answer_ms: 10_000,
 };
 
-struct Names {
+struct Fixture {
     customer: CustomerId,
     class: ClassName,
     host: HostId,
     zone: Zone,
 }
 
-impl Names {
+impl Fixture {
     fn new() -> Self {
         Self {
             customer: CustomerId::from("mwangaza"),
@@ -69,8 +69,8 @@
 
 #[test]
 fn miss_causes() {
-    let names = Names::new();
-    let on_time = names.on_time();
+    let fixture = Fixture::new();
+    let on_time = fixture.on_time();
     let ms = Duration::from_millis;
     let late = EndedRequest {
         first_token: Some(ms(1_500)),
@@ -78,11 +78,11 @@
     };
     let cases = [
         (on_time, None),
-        (names.refused(), Some(Cause::Refusal)),
+        (fixture.refused(), Some(Cause::Refusal)),
         (
             EndedRequest {
                 failures: 1,
-                ..names.refused()
+                ..fixture.refused()
             },
             Some(Cause::UpstreamFault),
         ),
@@ -142,15 +142,15 @@
 /// Misses two hours ago count in the long windows only.
 #[test]
 fn window_lengths() {
-    let names = Names::new();
+    let fixture = Fixture::new();
     let counters = RequestCounters::default();
     for _ in 0..10 {
-        counters.record_at(&names.refused(), NOW - 7_200);
+        counters.record_at(&fixture.refused(), NOW_S - 7_200);
     }
     for _ in 0..90 {
-        counters.record_at(&names.on_time(), NOW);
+        counters.record_at(&fixture.on_time(), NOW_S);
     }
-    let report = report(vec![part(&counters, "a", NOW)], NOW);
+    let report = report(vec![part(&counters, "a", NOW_S)], NOW_S);
     let row = &report.rows[0];
     let missed: Vec<u64> = row.windows.iter().map(|window| window.missed).collect();
     assert_eq!(missed, [0, 0, 10, 10]);
@@ -165,7 +165,7 @@
     // Requests spread over several entry hosts give the same report as all requests on a single host.
     fn same_report(mut ends: Vec<(u8, u8, u16)>) -> bool {
         ends.sort_by_key(|(_, _, ago)| std::cmp::Reverse(*ago));
-        let names = Names::new();
+        let fixture = Fixture::new();
         let hosts = [
             RequestCounters::default(),
             RequestCounters::default(),
@@ -174,17 +174,20 @@
         let single = RequestCounters::default();
         for (host, kind, ago) in ends {
             let request = if kind % 3 == 0 {
-                names.refused()
+                fixture.refused()
             } else {
-                names.on_time()
+                fixture.on_time()
             };
-            let at = NOW - u64::from(ago);
+            let at = NOW_S - u64::from(ago);
             hosts[usize::from(host) % 3].record_at(&request, at);
             single.record_at(&request, at);
         }
         let parts = ["a", "b", "c"].iter().zip(&hosts);
-        let merged = report(parts.map(|(node, counters)| part(counters, node, NOW)).collect(), NOW);
-        merged.rows == report(vec![part(&single, "a", NOW)], NOW).rows
+        let merged = report(
+            parts.map(|(node, counters)| part(counters, node, NOW_S)).collect(),
+            NOW_S,
+        );
+        merged.rows == report(vec![part(&single, "a", NOW_S)], NOW_S).rows
     }
     println!("seed {SEED}");
     QuickCheck::new()
@@ -196,16 +199,16 @@
 /// Its peer must report the counts that it stored; nothing may count twice if two parts describe the same process.
 #[test]
 fn restarted_host() {
-    let names = Names::new();
+    let fixture = Fixture::new();
     let (peer, before) = (RequestCounters::default(), RequestCounters::default());
-    before.record_at(&names.refused(), NOW - 60);
-    let mut old = part(&before, "a", NOW - 30);
+    before.record_at(&fixture.refused(), NOW_S - 60);
+    let mut old = part(&before, "a", NOW_S - 30);
     old.started_ms = 1;
-    peer.store_peer_counts(vec![old.clone()], NOW - 30);
-    peer.record_at(&names.on_time(), NOW);
+    peer.store_peer_counts(vec![old.clone()], NOW_S - 30);
+    peer.record_at(&fixture.on_time(), NOW_S);
     let mut parts = peer.peer_counts();
-    parts.extend([part(&peer, "b", NOW), old]);
-    let report = report(parts, NOW);
+    parts.extend([part(&peer, "b", NOW_S), old]);
+    let report = report(parts, NOW_S);
     assert_eq!(report.nodes.len(), 2);
     assert_eq!(
         (report.rows[0].windows[0].requests, report.rows[0].windows[0].missed),
@@ -216,18 +219,18 @@
 #[test]
 fn expired_counts() {
     let (peer, before) = (RequestCounters::default(), RequestCounters::default());
-    let mut old = part(&before, "a", NOW);
+    let mut old = part(&before, "a", NOW_S);
     old.started_ms = 1;
-    peer.store_peer_counts(vec![old], NOW);
+    peer.store_peer_counts(vec![old], NOW_S);
     assert_eq!(peer.peer_counts().len(), 1);
-    peer.store_peer_counts(Vec::new(), NOW + 2 * Window::Days3.length_s());
+    peer.store_peer_counts(Vec::new(), NOW_S + 2 * Window::Days3.length_s());
     assert!(peer.peer_counts().is_empty());
 }
 
 /// Guards against misses that are lost when the cloud reclaims more hosts at once than one bucket can name.
 #[test]
 fn many_hosts() {
-    let names = Names::new();
+    let fixture = Fixture::new();
     let counters = RequestCounters::default();
     let hosts: Vec<HostId> = (0..2 * MAX_MISS_ROWS)
         .map(|at| HostId::from(format!("host-{at}")))
@@ -236,12 +239,12 @@
         let request = EndedRequest {
             end: RequestEnd::Failed,
             reclaimed: true,
-            host: Some((host, &names.zone)),
-            ..names.on_time()
+            host: Some((host, &fixture.zone)),
+            ..fixture.on_time()
         };
-        counters.record_at(&request, NOW);
+        counters.record_at(&request, NOW_S);
     }
-    let report = report(vec![part(&counters, "a", NOW)], NOW);
+    let report = report(vec![part(&counters, "a", NOW_S)], NOW_S);
     let window = &report.rows[0].windows[0];
     assert_eq!(window.missed, hosts.len() as u64);
     assert!(window.causes.len() <= MAX_MISS_ROWS + 1);
@@ -249,13 +252,17 @@
 
 #[test]
 fn urgent_alert() {
-    let names = Names::new();
+    let fixture = Fixture::new();
     let counters = RequestCounters::default();
     for at in 0..100 {
-        let request = if at % 2 == 0 { names.refused() } else { names.on_time() };
-        counters.record_at(&request, NOW - at);
+        let request = if at % 2 == 0 {
+            fixture.refused()
+        } else {
+            fixture.on_time()
+        };
+        counters.record_at(&request, NOW_S - at);
     }
-    let report = report(vec![part(&counters, "a", NOW)], NOW);
+    let report = report(vec![part(&counters, "a", NOW_S)], NOW_S);
     assert_eq!(report.rows[0].alert, Alert::ActNow);
     let text = serde_json::to_string(&report).expect("a report can be serialized");
     assert_eq!(
--- a/crates/upstream/src/cloud.rs
+++ b/crates/upstream/src/cloud.rs
@@ -120,11 +120,11 @@
     /// # Errors
     /// Fails if there is no capacity or the API can't be reached. The host may have started all the same; repeating the
     /// call with the same token returns it.
-    pub fn start(&self, start: &StartHost) -> Result<CloudHost, UpstreamError> {
+    pub fn start(&self, request: &StartHost) -> Result<CloudHost, UpstreamError> {
         const STEP: &str = "start host";
         let call = self.agent.post(format!("http://{}/v1/hosts", self.peer));
         let response = call
-            .send_json(start)
+            .send_json(request)
             .map_err(|error| UpstreamError::from_client(STEP, self.peer, &error))?;
         read_json(STEP, self.peer, response)
     }
