--- a/crates/gateway/benches/rollout.rs
+++ b/crates/gateway/benches/rollout.rs
@@ -10,8 +10,8 @@
 
 use contract::{Catalog, Delta, Route, ServiceName, Share};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use gateway::mirror::Mirror;
-use gateway::table::Table;
+use gateway::catalog_copy::Mirror;
+use gateway::routing_table::Table;
 use state::feed::CatalogFeed;
 use wire::catalog::Followed;
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -8,14 +8,14 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::answer::{ROOM, write_line};
 use crate::dialect::AttemptHeaders;
 use crate::exchange::{Fate, Opened, open};
 use crate::gate::Gateway;
 use crate::moving::{KvCopy, Mover};
-use crate::notice::Notice;
 use crate::pool::connect;
+use crate::reclaim_notice::Notice;
 use crate::request::Request;
+use crate::response_head::{ROOM, write_line};
 use crate::upstreams::ChosenUpstream;
 
 /// Frees what a request holds at an upstream, also when its caller has gone and the work is dropped.
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/caller_connection.rs
@@ -15,9 +15,9 @@
 
 use crate::dialect::RequestInfo;
 use crate::head::{Framing, HeadError};
-use crate::input::{Input, NoRequest};
 use crate::refusal::Refusal;
 use crate::request::{Progress, Request};
+use crate::request_reader::{Input, NoRequest};
 use crate::server::{EXCHANGE, MARGIN, NOTICED, Server};
 
 /// Time after which a caller that was refused because of the stop finds another host.
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/catalog_copy.rs
@@ -8,7 +8,7 @@
 use policy::paging::PageSize;
 use wire::catalog::{Follow, Followed, Resume, Transfer, TransferPart};
 
-use crate::table::Table;
+use crate::routing_table::Table;
 
 /// A part of a transfer that can't be used; the transfer begins again.
 #[derive(Debug, Display, Error)]
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/catalog_follower.rs
@@ -17,8 +17,8 @@
 use wire::catalog::{CatalogRpcClient, Followed};
 use wire::client::RpcRuntime;
 
+use crate::catalog_copy::Mirror;
 use crate::link::{Known, StateSync};
-use crate::mirror::Mirror;
 
 /// Longest that a state node holds a question for news. Together with the wait for an answer it is how soon a silent node is
 /// noticed.
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -23,7 +23,7 @@
 use crate::dialect::{HeaderCodec, RequestInfo};
 use crate::lender::QuotaBorrower;
 use crate::pool::Pool;
-use crate::table::Table;
+use crate::routing_table::Table;
 use crate::upstreams::Upstreams;
 use crate::usage::Began;
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,30 +3,30 @@
 //! One event loop serves all callers of an entry host; the threads beside it follow the state group and read the list of
 //! upstreams. Which headers say what is the business of a [`dialect::Dialect`].
 
-mod answer;
 pub mod attempt;
 pub mod body;
-mod callers;
+mod caller_connection;
+pub mod catalog_copy;
+mod catalog_follower;
 pub mod dialect;
 pub mod events;
 pub mod exchange;
-mod follow;
 pub mod gate;
 pub mod head;
-pub mod input;
-mod learnt;
 pub mod lender;
 pub mod link;
-pub mod listing;
-pub mod mirror;
 pub mod moving;
-pub mod notice;
 pub mod pool;
+mod rate_reporter;
+pub mod reclaim_notice;
 pub mod refusal;
 pub mod request;
+pub mod request_reader;
+mod response_head;
 mod routing;
+pub mod routing_table;
 pub mod server;
 pub mod stream;
-pub mod table;
+pub mod upstream_list;
 pub mod upstreams;
 pub mod usage;
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -21,9 +21,9 @@
 use wire::registry::{HeartbeatReply, ListUpdate};
 use wire::state::Unavailable;
 
-use crate::follow::Follower;
+use crate::catalog_follower::Follower;
 use crate::gate::Shared;
-use crate::listing::Listing;
+use crate::upstream_list::Listing;
 
 /// Longest wait for an answer; a question for changes of the catalog may be held for a while before it.
 const PATIENCE: Duration = Duration::from_millis(400);
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -22,8 +22,8 @@
 use crate::events::Events;
 use crate::exchange::{Fate, open};
 use crate::gate::Gateway;
-use crate::notice::Notice;
 use crate::pool::connect;
+use crate::reclaim_notice::Notice;
 use crate::request::Request;
 use crate::upstreams::ChosenUpstream;
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -13,13 +13,13 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::{Instant, timeout_at};
 
-use crate::answer::answer_head;
 use crate::attempt::Running;
 use crate::dialect::RequestInfo;
 use crate::exchange::{Fate, Opened};
 use crate::gate::Gateway;
 use crate::head::{Head, RequestLine};
 use crate::refusal::Refusal;
+use crate::response_head::answer_head;
 use crate::stream;
 use crate::upstreams::{ChosenUpstream, Need, NoUpstream};
 
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -10,7 +10,7 @@
 use crate::gate::Gateway;
 use crate::head::{Head, RequestLine};
 use crate::refusal::Refusal;
-use crate::table::{Table, draw_service};
+use crate::routing_table::{Table, draw_service};
 
 /// Time before a caller's deadline at which its final answer leaves, so that it arrives in time.
 const EARLY: Duration = Duration::from_millis(20);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -18,7 +18,7 @@
 
 use crate::gate::Gateway;
 use crate::head::{self, Head, RequestLine};
-use crate::learnt::Learnt;
+use crate::rate_reporter::Learnt;
 
 /// Pause between two looks at what other threads have brought.
 pub(crate) const EXCHANGE: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -11,13 +11,13 @@
 
 use contract::Repeatable;
 
-use crate::answer::answer_head;
 use crate::attempt::Running;
 use crate::events::{Event, EventError, Events};
 use crate::exchange::{Fate, Opened, Piece};
 use crate::gate::Gateway;
 use crate::moving::{KvCopy, Mover};
 use crate::request::{End, Request};
+use crate::response_head::answer_head;
 
 /// Silence before the first event after which a stream that can go on elsewhere does; an engine with a long queue may
 /// take this long, and a second run would only lengthen it.
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -17,7 +17,7 @@
 
 use super::{ChosenUpstream, Need};
 use crate::dialect::ReportedLoad;
-use crate::notice::Notice;
+use crate::reclaim_notice::Notice;
 
 /// How long a load that an upstream told counts; afterwards own requests stand for those of all entry hosts. What others
 /// have seen takes two beats to come here.
--- a/crates/gateway/tests/catalog_transfer.rs
+++ b/crates/gateway/tests/catalog_transfer.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use contract::{Catalog, ClientAccount, Delta, KeyHash, Route, Service, ServiceName};
-use gateway::mirror::Mirror;
-use gateway::table::Table;
+use gateway::catalog_copy::Mirror;
+use gateway::routing_table::Table;
 use quickcheck::quickcheck;
 use state::feed::CatalogFeed;
 use wire::catalog::{Follow, Followed};
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -12,8 +12,8 @@
 };
 use gateway::gate::{Gateway, HostSettings, Shared};
 use gateway::lender::QuotaBorrower;
+use gateway::routing_table::Table;
 use gateway::server::{self, ServerSettings};
-use gateway::table::Table;
 use load::trial::process::free_address;
 use policy::Tick;
 use policy::parts::Slack;
--- a/crates/gateway/tests/list_copy.rs
+++ b/crates/gateway/tests/list_copy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use contract::{Listed, NodeId, ServiceName, Zone};
-use gateway::listing::Listing;
+use gateway::upstream_list::Listing;
 use policy::Tick;
 use quickcheck::quickcheck;
 use state::registry::{EntryRegistry, SharedLimits};
--- a/crates/gateway/tests/moved_streams.rs
+++ b/crates/gateway/tests/moved_streams.rs
@@ -12,7 +12,7 @@
 use common::{Host, Reply, Seen, Upstream, answer, begin_stream, listed, send_event};
 use contract::{EngineSpec, Repeatable};
 use gateway::gate::Shared;
-use gateway::table::Table;
+use gateway::routing_table::Table;
 use policy::Tick;
 
 /// Events of every stream.
--- a/crates/gateway/tests/route_table.rs
+++ b/crates/gateway/tests/route_table.rs
@@ -1,7 +1,7 @@
 //! Which route, service and account a request belongs to.
 
 use contract::{Catalog, ClientAccount, KeyHash, Route, Service, ServiceName, Share};
-use gateway::table::{Table, draw_service};
+use gateway::routing_table::{Table, draw_service};
 use quickcheck::quickcheck;
 
 fn share(service: &str, weight: u32) -> Share {
