--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -21,64 +21,64 @@
 /// Milliseconds by which predictions may differ and still count as equal, so that entry hosts agree on the place of a
 /// prompt's parts instead of spreading them over all. Replayed with 75 engines, 0.49 of the shared tokens are read again at 25,
 /// 0.42 at 60 and 0.37 at 120, and no more answers are late.
-const CLOSE_MS: f64 = 100.0;
+const EQUAL_WITHIN_MS: f64 = 100.0;
 /// Queue places behind the slots that may be filled; an upstream refuses what comes on top.
-const QUEUE: f64 = 2.0;
+const MAX_LOAD_PER_SLOT: f64 = 2.0;
 
 /// All upstreams.
 #[derive(Debug, Default)]
 pub struct Upstreams {
     all: HashMap<String, Upstream>,
-    zones: HashMap<Zone, Rc<Reachability>>,
+    reachability: HashMap<Zone, Rc<Reachability>>,
     /// How fast the upstreams of a service read prompts.
-    paces: HashMap<ServiceName, Rc<RefCell<SpeedEstimate>>>,
+    speeds: HashMap<ServiceName, Rc<RefCell<SpeedEstimate>>>,
     /// How often prompts share their parts.
-    uses: PartUsage,
+    part_usage: PartUsage,
     /// When the newest list was asked for.
-    pub listed: Option<Tick>,
+    pub list_time: Option<Tick>,
 }
 
 /// What a request needs of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct UpstreamNeed<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// Parts of the prompt.
-    pub parts: &'a [PromptPart],
+    pub prompt_parts: &'a [PromptPart],
     /// Incarnations that were tried already.
     pub tried: &'a [String],
     /// Own data centre.
     pub zone: &'a Zone,
     /// Whether the request may run only once.
-    pub once: bool,
+    pub runs_once: bool,
     /// Milliseconds of the longest pause of an answer in time; zero where it comes whole.
-    pub pause_ms: u64,
+    pub max_pause_ms: u64,
     /// Entry hosts that share the upstreams.
-    pub entries: u32,
+    pub entry_hosts: u32,
 }
 
-impl Need<'_> {
-    fn wish(&self) -> PromptNeed {
-        let paced = (self.pause_ms > 0).then_some(self.pause_ms as f64);
+impl UpstreamNeed<'_> {
+    fn prompt_need(&self) -> PromptNeed {
+        let max_pause = (self.max_pause_ms > 0).then_some(self.max_pause_ms as f64);
         PromptNeed {
             tokens: self.tokens(),
-            max_pause_ms: paced.unwrap_or(f64::INFINITY),
+            max_pause_ms: max_pause.unwrap_or(f64::INFINITY),
         }
     }
 
     /// Gives the tokens of the prompt.
     fn tokens(&self) -> u64 {
-        self.parts.iter().map(|part| part.tokens).sum()
+        self.prompt_parts.iter().map(|part| part.tokens).sum()
     }
 
     /// Gives the tokens that other prompts may share; the last part belongs to the request alone.
     fn shared_tokens(&self) -> u64 {
-        self.parts.iter().rev().skip(1).map(|part| part.tokens).sum()
+        self.prompt_parts.iter().rev().skip(1).map(|part| part.tokens).sum()
     }
 }
 
 /// Gives the key of the innermost part that others share, by which the home of a prompt is found.
-fn lead(parts: &[PromptPart]) -> u64 {
+fn shared_key(parts: &[PromptPart]) -> u64 {
     let at = parts.len().saturating_sub(2);
     parts.get(at).map_or(0, |part| part.key)
 }
@@ -103,43 +103,43 @@
 pub enum NoUpstream {
     /// The list names none.
     #[display("no upstream is listed")]
-    None,
+    NoneListed,
     /// All that are listed fail or were tried.
     #[display("every upstream fails")]
-    Failing,
+    AllFailing,
     /// All are full.
     #[display("every upstream is full")]
-    Full,
+    AllFull,
 }
 
 impl Upstreams {
     /// Takes a list over; what is known of upstreams that stay is kept. Returns those that began to leave or are gone.
-    pub fn update(&mut self, list: Vec<Listed>, asked: Tick) -> Vec<String> {
+    pub fn update(&mut self, list: Vec<Listed>, read_at: Tick) -> Vec<String> {
         let mut ended: Vec<String> = Vec::new();
-        let mut before = std::mem::take(&mut self.all);
+        let mut previous = std::mem::take(&mut self.all);
         for listed in list {
             let id = listed.id.clone();
-            let reach = Rc::clone(self.zones.entry(listed.zone.clone()).or_default());
-            let pace = Rc::clone(self.paces.entry(listed.service.clone()).or_default());
-            let upstream = match before.remove(&id) {
-                Some(known) if known.listed.start != listed.start => Upstream::new(listed, (reach, pace), asked),
+            let reach = Rc::clone(self.reachability.entry(listed.zone.clone()).or_default());
+            let speed = Rc::clone(self.speeds.entry(listed.service.clone()).or_default());
+            let upstream = match previous.remove(&id) {
+                Some(known) if known.listed.start != listed.start => Upstream::new(listed, (reach, speed), read_at),
                 Some(mut known) => {
                     if listed.leaving && !known.listed.leaving {
                         ended.push(id.clone());
                     }
-                    known.gone &= known.listed.address == listed.address;
+                    known.replaced &= known.listed.address == listed.address;
                     known.listed = listed;
                     known
                 }
-                None => Upstream::new(listed, (reach, pace), asked),
+                None => Upstream::new(listed, (reach, speed), read_at),
             };
             if let Some(left) = upstream.listed.left.filter(|_| upstream.listed.leaving) {
-                upstream.notice.tell(asked + left);
+                upstream.notice.announce(read_at + left);
             }
             self.all.insert(id, upstream);
         }
-        ended.extend(before.into_keys());
-        self.listed = Some(asked);
+        ended.extend(previous.into_keys());
+        self.list_time = Some(read_at);
         ended
     }
 
@@ -147,107 +147,119 @@
     ///
     /// # Errors
     /// Tells why there is none.
-    pub fn choose(&self, need: &Need<'_>, now: Tick) -> Result<ChosenUpstream, NoUpstream> {
-        self.judge_reach(now);
-        let open = self.open(need, now)?;
-        let lead = lead(need.parts);
-        let all = open.iter().enumerate();
-        let candidates = all.map(|(at, upstream)| upstream.candidate(at, lead, need, now));
-        let mut candidates: Vec<Candidate> = candidates.filter(|one| one.load < one.slots * QUEUE).collect();
-        let others = need.entries.saturating_sub(1);
+    pub fn choose(&self, need: &UpstreamNeed<'_>, now: Tick) -> Result<ChosenUpstream, NoUpstream> {
+        self.check_reachability(now);
+        let usable = self.usable(need, now)?;
+        let shared_key = shared_key(need.prompt_parts);
+        let indexed = usable.iter().enumerate();
+        let candidates = indexed.map(|(at, upstream)| upstream.candidate(at, shared_key, need, now));
+        let mut candidates: Vec<Candidate> = candidates
+            .filter(|candidate| candidate.load < candidate.slots * MAX_LOAD_PER_SLOT)
+            .collect();
+        let other_entries = need.entry_hosts.saturating_sub(1);
         assume_home_cached(&mut candidates, need.shared_tokens(), |home| {
-            let there = now.since(open[home.at].since).min(self.uses.observed_span(now));
-            self.uses.cached_by_others(lead, others, there, now)
+            let listed_for = now
+                .since(usable[home.at].listed_since)
+                .min(self.part_usage.observed_span(now));
+            self.part_usage
+                .cached_by_others(shared_key, other_entries, listed_for, now)
         });
         // Without a prompt there is nothing that entry hosts could agree on: the least loaded one is taken.
-        let close_ms = if need.parts.is_empty() { 0.0 } else { CLOSE_MS };
-        let predicted = choose(&candidates, need.wish(), close_ms).ok_or(NoUpstream::Full)?;
-        let chosen = open[predicted.at];
-        let candidate = candidates.iter().find(|one| one.at == predicted.at);
+        let equal_within_ms = if need.prompt_parts.is_empty() {
+            0.0
+        } else {
+            EQUAL_WITHIN_MS
+        };
+        let prediction = choose(&candidates, need.prompt_need(), equal_within_ms).ok_or(NoUpstream::AllFull)?;
+        let chosen = usable[prediction.at];
+        let candidate = candidates.iter().find(|candidate| candidate.at == prediction.at);
         Ok(ChosenUpstream {
             id: chosen.listed.id.clone(),
             address: chosen.listed.address,
-            prediction: predicted,
-            load: candidate.map_or(0.0, |one| one.load),
-            prefill: candidate.map_or_else(PrefillWork::default, |one| one.prefill(need.tokens())),
+            prediction,
+            load: candidate.map_or(0.0, |candidate| candidate.load),
+            prefill: candidate.map_or_else(PrefillWork::default, |candidate| candidate.prefill(need.tokens())),
         })
     }
 
     /// Judges data centres by the requests that wait there.
-    fn judge_reach(&self, now: Tick) {
+    fn check_reachability(&self, now: Tick) {
         for upstream in self.all.values() {
             if let Some(sent) = upstream.backlog.oldest() {
-                upstream.reach.record_wait(sent, now);
+                upstream.reachability.record_wait(sent, now);
             }
         }
     }
 
     /// Gives the upstreams of a service that may take a request, in the order of their names.
-    fn open(&self, need: &Need<'_>, now: Tick) -> Result<Vec<&Upstream>, NoUpstream> {
+    fn usable(&self, need: &UpstreamNeed<'_>, now: Tick) -> Result<Vec<&Upstream>, NoUpstream> {
         let serves = |upstream: &&Upstream| upstream.listed.service == *need.service && !upstream.listed.leaving;
-        let all: Vec<&Upstream> = self.all.values().filter(serves).collect();
-        if all.is_empty() {
-            return Err(NoUpstream::None);
+        let serving: Vec<&Upstream> = self.all.values().filter(serves).collect();
+        if serving.is_empty() {
+            return Err(NoUpstream::NoneListed);
         }
-        let usable = |upstream: &&Upstream| {
-            !upstream.gone && upstream.breaker.allows(now) && !need.tried.contains(&upstream.listed.id)
+        let accepts = |upstream: &&Upstream| {
+            !upstream.replaced && upstream.breaker.allows(now) && !need.tried.contains(&upstream.listed.id)
         };
-        let mut open: Vec<&Upstream> = all.into_iter().filter(usable).collect();
-        if open.is_empty() {
-            return Err(NoUpstream::Failing);
+        let mut usable: Vec<&Upstream> = serving.into_iter().filter(accepts).collect();
+        if usable.is_empty() {
+            return Err(NoUpstream::AllFailing);
         }
         // Where all others are cut off too, being cut off is no reason to refuse.
-        let reached = |upstream: &&Upstream| !upstream.reach.is_silent(need.once, now);
-        if open.iter().any(reached) {
-            open.retain(|upstream| reached(upstream));
+        let reached = |upstream: &&Upstream| !upstream.reachability.is_silent(need.runs_once, now);
+        if usable.iter().any(reached) {
+            usable.retain(|upstream| reached(upstream));
         }
-        open.sort_by(|a, b| a.listed.id.cmp(&b.listed.id));
-        Ok(open)
+        usable.sort_by(|a, b| a.listed.id.cmp(&b.listed.id));
+        Ok(usable)
     }
 
     /// Gives what the others should know.
     #[must_use]
-    pub fn signs(&self, now: Tick) -> Vec<UpstreamObservation> {
-        self.all.values().filter_map(|upstream| upstream.sign(now)).collect()
+    pub fn observations(&self, now: Tick) -> Vec<UpstreamObservation> {
+        self.all
+            .values()
+            .filter_map(|upstream| upstream.observation(now))
+            .collect()
     }
 
     /// Takes what others have seen.
-    pub fn take_signs(&mut self, signs: &[UpstreamObservation], told: Tick) {
-        for sign in signs {
-            let Some(upstream) = self.all.get_mut(&sign.id) else {
+    pub fn merge_observations(&mut self, observations: &[UpstreamObservation], received_at: Tick) {
+        for observation in observations {
+            let Some(upstream) = self.all.get_mut(&observation.id) else {
                 continue;
             };
-            if let Some((running, waiting, age_ms)) = sign.load {
-                upstream.note_load(running, waiting, told - Duration::from_millis(u64::from(age_ms)));
+            if let Some((running, waiting, age_ms)) = observation.load {
+                upstream.update_load(running, waiting, received_at - Duration::from_millis(u64::from(age_ms)));
             }
-            upstream.others_until = told + Duration::from_millis(u64::from(sign.backlog_ms));
-            upstream.overdue_until = told + Duration::from_millis(u64::from(sign.overdue_ms));
+            upstream.others_busy_until = received_at + Duration::from_millis(u64::from(observation.backlog_ms));
+            upstream.overdue_until = received_at + Duration::from_millis(u64::from(observation.overdue_ms));
         }
     }
 
     /// Notes that a prompt is sent.
-    pub fn note_use(&mut self, parts: &[PromptPart], now: Tick) {
+    pub fn record_use(&mut self, parts: &[PromptPart], now: Tick) {
         if parts.len() > 1 {
-            self.uses.record(lead(parts), now);
+            self.part_usage.record(shared_key(parts), now);
         }
     }
 
     /// Gives the services of which something may have been learnt, with what it is.
-    pub fn learnt(&self) -> impl Iterator<Item = (&ServiceName, EngineRates)> {
-        self.paces
+    pub fn all_rates(&self) -> impl Iterator<Item = (&ServiceName, EngineRates)> {
+        self.speeds
             .iter()
-            .map(|(service, pace)| (service, pace.borrow().rates()))
+            .map(|(service, speed)| (service, speed.borrow().rates()))
     }
 
     /// Gives what has been learnt of the upstreams of a service.
     #[must_use]
     pub fn rates(&self, service: &ServiceName) -> EngineRates {
-        let pace = self.paces.get(service);
-        pace.map_or_else(EngineRates::default, |pace| pace.borrow().rates())
+        let speed = self.speeds.get(service);
+        speed.map_or_else(EngineRates::default, |speed| speed.borrow().rates())
     }
 
     /// Gives an upstream.
-    pub fn get(&mut self, id: &str) -> Option<&mut Upstream> {
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut Upstream> {
         self.all.get_mut(id)
     }
 }
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -15,19 +15,19 @@
 use wire::registry::UpstreamObservation;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{ChosenUpstream, Need};
+use super::{ChosenUpstream, UpstreamNeed};
 use crate::dialect::ReportedLoad;
-use crate::reclaim_notice::Notice;
+use crate::reclaim_notice::ReclaimNotice;
 
 /// How long a load that an upstream told counts; afterwards own requests stand for those of all entry hosts. What others
 /// have seen takes two beats to come here.
-const LOAD_FRESH: Duration = Duration::from_millis(2_500);
+const MAX_LOAD_AGE: Duration = Duration::from_millis(2_500);
 /// Age up to which an own sight of an upstream's load is told to the others; longer than a beat.
-const SIGHT_FRESH: Duration = Duration::from_millis(600);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 /// Milliseconds of work before a request that don't show in the time to its first event.
-const LITTLE_MS: f64 = 5.0;
+const MAX_UNQUEUED_MS: f64 = 5.0;
 /// Part of an upstream's slots up to which the other requests there don't hold up the reading of a prompt.
-const ALONE: f64 = 0.5;
+const MAX_UNQUEUED_SHARE: f64 = 0.5;
 
 /// An upstream with what is known of it.
 #[derive(Debug)]
@@ -38,165 +38,166 @@
     pub(super) breaker: Breaker,
     cached: CachedParts,
     /// Own requests there.
-    own: u32,
+    own_requests: u32,
     /// Hash of its name, for the homes of prompts.
-    hash: u64,
+    id_hash: u64,
     /// When it was listed first.
-    pub(super) since: Tick,
+    pub(super) listed_since: Tick,
     pub(super) backlog: Backlog,
     /// Load that it told this entry host, and when.
-    sight: Option<(ReportedLoad, Tick)>,
+    last_report: Option<(ReportedLoad, Tick)>,
     /// Until when it reads what other entry hosts have sent.
-    pub(super) others_until: Tick,
+    pub(super) others_busy_until: Tick,
     /// Until when requests of other entry hosts are taken to be overdue there.
     pub(super) overdue_until: Tick,
     /// What is learnt of its service's upstreams, and how it differs from them.
-    pace: Rc<RefCell<SpeedEstimate>>,
-    relative: RelativeSpeed,
+    service_speed: Rc<RefCell<SpeedEstimate>>,
+    relative_speed: RelativeSpeed,
     /// What is heard of its data centre.
-    pub(super) reach: Rc<Reachability>,
+    pub(super) reachability: Rc<Reachability>,
     /// It said that it is another incarnation.
-    pub(super) gone: bool,
+    pub(super) replaced: bool,
     /// Its announced end.
-    pub(super) notice: Rc<Notice>,
+    pub(super) notice: Rc<ReclaimNotice>,
 }
 
 impl Upstream {
     pub(super) fn new(
         listed: Listed,
-        (reach, pace): (Rc<Reachability>, Rc<RefCell<SpeedEstimate>>),
-        since: Tick,
+        (reachability, service_speed): (Rc<Reachability>, Rc<RefCell<SpeedEstimate>>),
+        listed_since: Tick,
     ) -> Self {
         Self {
-            reach,
-            pace,
-            relative: RelativeSpeed::default(),
-            since,
-            hash: xxh3_64(listed.id.as_bytes()),
+            reachability,
+            service_speed,
+            relative_speed: RelativeSpeed::default(),
+            listed_since,
+            id_hash: xxh3_64(listed.id.as_bytes()),
             listed,
             load: LoadEstimate::default(),
             breaker: Breaker::default(),
             cached: CachedParts::default(),
-            own: 0,
+            own_requests: 0,
             backlog: Backlog::default(),
-            sight: None,
-            others_until: Tick::default(),
+            last_report: None,
+            others_busy_until: Tick::default(),
             overdue_until: Tick::default(),
-            gone: false,
+            replaced: false,
             notice: Rc::default(),
         }
     }
 
-    pub(super) fn candidate(&self, at: usize, lead: u64, need: &Need<'_>, now: Tick) -> Candidate {
+    pub(super) fn candidate(&self, at: usize, shared_key: u64, need: &UpstreamNeed<'_>, now: Tick) -> Candidate {
         // Other entry hosts send about as much as this one; without a fresh report the own requests stand for theirs.
-        let unknown = f64::from(self.own) * f64::from(need.entries.clamp(1, 4));
-        let predicted = self.load.predict(now, LOAD_FRESH, true);
+        let estimated = f64::from(self.own_requests) * f64::from(need.entry_hosts.clamp(1, 4));
+        let predicted = self.load.predict(now, MAX_LOAD_AGE, true);
         Candidate {
             at,
-            load: predicted.reported.unwrap_or(unknown),
+            load: predicted.reported.unwrap_or(estimated),
             slots: f64::from(self.listed.slots.max(1)),
-            cached: self.cached.tokens(need.parts, now),
-            weight: xxh3_64(&(self.hash ^ lead).to_le_bytes()),
+            cached: self.cached.tokens(need.prompt_parts, now),
+            weight: xxh3_64(&(self.id_hash ^ shared_key).to_le_bytes()),
             near: self.listed.zone == *need.zone,
-            backlog_ms: self.before_ms(now),
-            rates: self.pace.borrow().rates().scaled(self.relative.factor()),
+            backlog_ms: self.queued_ms(now),
+            rates: self.service_speed.borrow().rates().scaled(self.relative_speed.factor()),
         }
     }
 
     /// Gives the milliseconds of work that goes before a request that is sent now: what is known to be unread, or by how much
     /// requests are seen to wait longer, here or at another entry host.
-    fn before_ms(&self, now: Tick) -> f64 {
+    fn queued_ms(&self, now: Tick) -> f64 {
         let ms = |until: Tick| until.since(now).as_secs_f64() * 1_000.0;
-        let unread = self.backlog.pending_ms(now) + ms(self.others_until);
-        unread.max(self.backlog.overdue_ms(now)).max(ms(self.overdue_until))
+        let pending = self.backlog.pending_ms(now) + ms(self.others_busy_until);
+        pending.max(self.backlog.overdue_ms(now)).max(ms(self.overdue_until))
     }
 
     /// Notes that a request is sent; with a prompt, its parts will be cached. Gives the number under which it waits for
     /// its first event.
-    pub fn sent(&mut self, parts: &[PromptPart], chosen: &ChosenUpstream, now: Tick) -> u64 {
-        let alone = self.before_ms(now) < LITTLE_MS && chosen.load < f64::from(self.listed.slots) * ALONE;
+    pub fn record_sent(&mut self, prompt_parts: &[PromptPart], chosen: &ChosenUpstream, now: Tick) -> u64 {
+        let unqueued =
+            self.queued_ms(now) < MAX_UNQUEUED_MS && chosen.load < f64::from(self.listed.slots) * MAX_UNQUEUED_SHARE;
         let sent = SentRequest {
             prefill: chosen.prefill,
             prefill_ms: chosen.prediction.prefill_ms,
             predicted_ms: chosen.prediction.ms,
-            unqueued: alone && !parts.is_empty(),
+            unqueued: unqueued && !prompt_parts.is_empty(),
         };
-        let number = self.backlog.sent(sent, now);
-        self.own += 1;
+        let backlog_id = self.backlog.sent(sent, now);
+        self.own_requests += 1;
         self.load.sent(now);
-        self.cached.store(parts, now);
+        self.cached.store(prompt_parts, now);
         // The choice has looked at the breaker; the claim keeps a second request from following a probe.
         let _ = self.breaker.claim(now);
-        number
+        backlog_id
     }
 
     /// Notes that a request got its first event, or its whole answer.
-    pub fn begun(&mut self, number: u64, now: Tick) {
+    pub fn record_first_event(&mut self, backlog_id: u64, now: Tick) {
         self.breaker.succeeded();
-        let Some(begun) = self
+        let Some(first_event) = self
             .backlog
-            .first_event(number, now)
-            .filter(|begun| begun.sent.unqueued)
+            .first_event(backlog_id, now)
+            .filter(|first_event| first_event.sent.unqueued)
         else {
             return;
         };
-        let mut pace = self.pace.borrow_mut();
-        let (reading, rates) = (begun.sent.prefill, pace.rates());
-        self.relative
-            .learn(begun.elapsed_ms, rates.base_ms + rates.prefill_ms(reading));
-        pace.learn(reading, begun.elapsed_ms, self.relative.factor());
+        let mut service_speed = self.service_speed.borrow_mut();
+        let (prefill, rates) = (first_event.sent.prefill, service_speed.rates());
+        self.relative_speed
+            .learn(first_event.elapsed_ms, rates.base_ms + rates.prefill_ms(prefill));
+        service_speed.learn(prefill, first_event.elapsed_ms, self.relative_speed.factor());
     }
 
     /// Notes that a request has ended there.
-    pub fn ended(&mut self, number: u64, sent: Tick, now: Tick) {
-        self.pace
+    pub fn record_end(&mut self, backlog_id: u64, sent_at: Tick, now: Tick) {
+        self.service_speed
             .borrow_mut()
-            .learn_run(now.since(sent).as_secs_f64() * 1_000.0);
-        self.backlog.ended(number);
-        self.own = self.own.saturating_sub(1);
+            .learn_run(now.since(sent_at).as_secs_f64() * 1_000.0);
+        self.backlog.ended(backlog_id);
+        self.own_requests = self.own_requests.saturating_sub(1);
         self.load.ended(now);
     }
 
     /// Gives its announced end.
     #[must_use]
-    pub fn notice(&self) -> Rc<Notice> {
+    pub fn notice(&self) -> Rc<ReclaimNotice> {
         Rc::clone(&self.notice)
     }
 
     /// Gives what is heard of its data centre.
     #[must_use]
-    pub fn reach(&self) -> Rc<Reachability> {
-        Rc::clone(&self.reach)
+    pub fn reachability(&self) -> Rc<Reachability> {
+        Rc::clone(&self.reachability)
     }
 
     /// Notes that it did not accept a connection.
-    pub fn refused(&mut self, now: Tick) {
-        self.reach.record_connect_timeout(now);
+    pub fn record_connect_failure(&mut self, now: Tick) {
+        self.reachability.record_connect_timeout(now);
         self.breaker.failed(now);
     }
 
     /// Notes a failure.
-    pub fn failed(&mut self, now: Tick) {
+    pub fn record_failure(&mut self, now: Tick) {
         self.breaker.failed(now);
     }
 
     /// Notes that another incarnation answers at its address.
-    pub fn replaced(&mut self) {
-        self.gone = true;
+    pub fn mark_replaced(&mut self) {
+        self.replaced = true;
     }
 
     /// Notes the load that it told.
-    pub fn told(&mut self, load: ReportedLoad, now: Tick) {
+    pub fn record_load(&mut self, load: ReportedLoad, now: Tick) {
         if load.slots > 0 {
             self.listed.slots = load.slots;
         }
-        self.sight = Some((load, now));
-        self.note_load(load.running, load.waiting, now);
+        self.last_report = Some((load, now));
+        self.update_load(load.running, load.waiting, now);
     }
 
-    pub(super) fn note_load(&mut self, running: u32, waiting: u32, measured: Tick) {
+    pub(super) fn update_load(&mut self, running: u32, waiting: u32, measured_at: Tick) {
         self.load.update(LoadReport {
-            measured_at: measured,
+            measured_at,
             running,
             waiting,
             kv_used: 0.0,
@@ -204,8 +205,8 @@
     }
 
     /// Gives what the others should know of it, if there is something.
-    pub(super) fn sign(&self, now: Tick) -> Option<UpstreamObservation> {
-        let fresh = self.sight.filter(|(_, at)| now.since(*at) < SIGHT_FRESH);
+    pub(super) fn observation(&self, now: Tick) -> Option<UpstreamObservation> {
+        let fresh = self.last_report.filter(|(_, at)| now.since(*at) < MAX_REPORT_AGE);
         let load = fresh.map(|(load, at)| (load.running, load.waiting, now.since(at).as_millis() as u32));
         let backlog_ms = self.backlog.pending_ms(now) as u32;
         let overdue_ms = self.backlog.overdue_ms(now) as u32;
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -6,16 +6,16 @@
 use telemetry::clock::wall_ms;
 
 /// Windows that are told again and again, so that a new leader hears of them too.
-const KEPT: usize = 6;
+const MAX_WINDOWS: usize = 6;
 
 /// Counts of the newest windows.
 #[derive(Debug)]
-pub struct Began {
+pub struct UsageCounter {
     window: Duration,
     counts: BTreeMap<u64, BTreeMap<String, u64>>,
 }
 
-impl Began {
+impl UsageCounter {
     /// Counts in windows of a length that begin with 1970.
     #[must_use]
     pub const fn new(window: Duration) -> Self {
@@ -26,14 +26,14 @@
     }
 
     /// Counts a request of an account that begins now.
-    pub fn count(&mut self, account: &str) {
+    pub fn add(&mut self, account: &str) {
         let window = wall_ms() / (self.window.as_millis() as u64).max(1);
         let counts = self.counts.entry(window).or_default();
         match counts.get_mut(account) {
             Some(count) => *count += 1,
             None => drop(counts.insert(account.to_owned(), 1)),
         }
-        while self.counts.len() > KEPT {
+        while self.counts.len() > MAX_WINDOWS {
             self.counts.pop_first();
         }
     }
--- a/crates/gateway/tests/body_framing.rs
+++ b/crates/gateway/tests/body_framing.rs
@@ -1,17 +1,17 @@
 //! Bodies: however the bytes are cut on their way, the same body comes out, and what breaks the framing is noticed.
 
 use bytes::BytesMut;
-use gateway::body::{BodyError, Decoder};
+use gateway::body::{BodyDecoder, BodyError};
 use gateway::head::Framing;
 use quickcheck::{TestResult, quickcheck};
 
 fn decode(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, usize), BodyError> {
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut buffer = BytesMut::new();
     let mut body = Vec::new();
     for piece in pieces {
         buffer.extend_from_slice(piece);
-        while let Some(part) = decoder.take(&mut buffer)? {
+        while let Some(part) = decoder.decode(&mut buffer)? {
             body.extend_from_slice(&part);
         }
     }
@@ -68,8 +68,8 @@
 
 #[test]
 fn until_close() {
-    let mut decoder = Decoder::new(Framing::Close);
+    let mut decoder = BodyDecoder::new(Framing::Close);
     let mut buffer = BytesMut::from(&b"abc"[..]);
-    assert_eq!(decoder.take(&mut buffer).unwrap().unwrap(), "abc");
-    assert!(decoder.may_end() && !decoder.is_done());
+    assert_eq!(decoder.decode(&mut buffer).unwrap().unwrap(), "abc");
+    assert!(decoder.ends_on_close() && !decoder.is_done());
 }
--- a/crates/gateway/tests/catalog_transfer.rs
+++ b/crates/gateway/tests/catalog_transfer.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use contract::{Catalog, ClientAccount, Delta, KeyHash, Route, Service, ServiceName};
-use gateway::catalog_copy::Mirror;
-use gateway::routing_table::Table;
+use gateway::catalog_copy::CatalogCopy;
+use gateway::routing_table::RoutingTable;
 use quickcheck::quickcheck;
 use state::feed::CatalogFeed;
 use wire::catalog::{Follow, Followed};
@@ -52,18 +52,18 @@
 }
 
 /// Compares what requests see of two tables.
-fn is_same(one: &Table, other: &Table) -> bool {
+fn is_same(one: &RoutingTable, other: &RoutingTable) -> bool {
     let routes = (0..HOSTS).flat_map(|host| (0..=PREFIXES).map(move |depth| (host, depth)));
     let mut routes = routes.map(|(host, depth)| {
         let target = format!("/{}/x", "p/".repeat(usize::from(depth)));
         (format!("h{host}.example"), target)
     });
-    let same_routes = routes.all(|(host, target)| one.route(&host, &target) == other.route(&host, &target));
+    let same_routes = routes.all(|(host, target)| one.find_route(&host, &target) == other.find_route(&host, &target));
     let mut keys = (0..=u8::MAX).map(|key| KeyHash::of(&key.to_string()));
-    let same_keys = keys.all(|key| one.account(&key) == other.account(&key));
+    let same_keys = keys.all(|key| one.account_by_key(&key) == other.account_by_key(&key));
     let mut services = (0..NAMES).map(|at| ServiceName::from(format!("s{at}").as_str()));
     let same_services = services.all(|name| one.service(&name) == other.service(&name));
-    let same_limits = one.limits() == other.limits() && one.needs_key() == other.needs_key();
+    let same_limits = one.limits() == other.limits() && one.requires_key() == other.requires_key();
     one.version() == other.version() && same_routes && same_keys && same_services && same_limits
 }
 
@@ -82,15 +82,15 @@
 quickcheck! {
     fn delta_leads_there(old: Drawn, new: Drawn) -> bool {
         let (old, new) = (catalog(4, &old.0, &old.1), catalog(9, &new.0, &new.1));
-        let table = Table::new(&old).changed(&Delta::between(&old, &new));
-        is_same(&table, &Table::new(&new)) && is_same(&Table::new(&new), &table)
+        let table = RoutingTable::new(&old).with_delta(&Delta::between(&old, &new));
+        is_same(&table, &RoutingTable::new(&new)) && is_same(&RoutingTable::new(&new), &table)
     }
 
     /// Guards against a transfer that never ends, or ends in another catalog, while nodes restart, versions go on, answers are
     /// lost and the host turns from node to node.
     fn reaches_newest(versions: Vec<Drawn>, steps: Vec<u8>) -> bool {
         let mut feeds = [CatalogFeed::default(), CatalogFeed::default()];
-        let mut mirror = Mirror::default();
+        let mut mirror = CatalogCopy::default();
         let mut newest = Catalog { version: 1, ..Catalog::default() };
         let drawn = versions.iter().zip(1..);
         let mut later = drawn.map(|(drawn, version)| catalog(version * 2, &drawn.0, &drawn.1));
@@ -106,16 +106,16 @@
                         newest = next;
                     }
                 }
-                6 => mirror.lose_page(),
+                6 => mirror.record_timeout(),
                 _ => {
-                    let ask = Follow { max_bytes: 7, ..mirror.ask(Duration::ZERO) };
+                    let ask = Follow { max_bytes: 7, ..mirror.next_request(Duration::ZERO) };
                     let news = told(&ask, &mut feeds[node], &newest);
                     // A transfer that can't be used any more begins again.
-                    let _ = mirror.take(news, Duration::ZERO);
+                    let _ = mirror.apply_update(news, Duration::ZERO);
                 }
             }
         }
-        mirror.table().is_some_and(|table| is_same(table, &Table::new(&newest)))
+        mirror.ready_table().is_some_and(|table| is_same(table, &RoutingTable::new(&newest)))
     }
 }
 
@@ -132,9 +132,9 @@
     }
 }
 
-fn take(mirror: &mut Mirror, feed: &mut CatalogFeed, newest: &Catalog) -> usize {
-    let news = told(&mirror.ask(Duration::ZERO), feed, newest);
-    mirror.take(news, Duration::ZERO).expect("the transfer fits")
+fn take(mirror: &mut CatalogCopy, feed: &mut CatalogFeed, newest: &Catalog) -> usize {
+    let news = told(&mirror.next_request(Duration::ZERO), feed, newest);
+    mirror.apply_update(news, Duration::ZERO).expect("the transfer fits")
 }
 
 /// Guards against work that is thrown away: a node that dies in the middle of a transfer costs no byte that has arrived.
@@ -142,13 +142,13 @@
 fn resumed_elsewhere() {
     let newest = many(3, 5_000);
     let (mut first, mut second) = (CatalogFeed::default(), CatalogFeed::default());
-    let mut mirror = Mirror::default();
+    let mut mirror = CatalogCopy::default();
     let mut bytes = take(&mut mirror, &mut first, &newest);
     assert!(mirror.is_fetching(), "the catalog does not fit into one page");
     while mirror.version().is_none() {
         bytes += take(&mut mirror, &mut second, &newest);
     }
-    let mut other = Mirror::default();
+    let mut other = CatalogCopy::default();
     let mut whole = 0;
     while other.version().is_none() {
         whole += take(&mut other, &mut first, &newest);
@@ -162,7 +162,7 @@
 fn finished_under_changes() {
     let mut newest = many(1, 5_000);
     let mut feed = CatalogFeed::default();
-    let mut mirror = Mirror::default();
+    let mut mirror = CatalogCopy::default();
     let mut pages = 0;
     while mirror.version() != Some(newest.version) {
         take(&mut mirror, &mut feed, &newest);
@@ -183,7 +183,7 @@
 fn first_is_newest() {
     let mut old = many(1, 5_000);
     let mut feed = CatalogFeed::default();
-    let mut other = Mirror::default();
+    let mut other = CatalogCopy::default();
     while other.version().is_none() {
         take(&mut other, &mut feed, &old);
     }
@@ -192,10 +192,10 @@
     newest.routes.truncate(4_990);
     feed.push_change(&old, &newest);
     std::mem::swap(&mut old, &mut newest);
-    let mut mirror = Mirror::default();
+    let mut mirror = CatalogCopy::default();
     while mirror.version() != Some(2) {
         take(&mut mirror, &mut feed, &old);
-        let shown = mirror.table().map(|table| table.version());
+        let shown = mirror.ready_table().map(|table| table.version());
         assert!(
             shown.is_none() || shown == Some(2),
             "version {shown:?} was put in force"
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -12,7 +12,7 @@
 };
 use gateway::gate::{Gateway, HostSettings, Shared};
 use gateway::lender::QuotaBorrower;
-use gateway::routing_table::Table;
+use gateway::routing_table::RoutingTable;
 use gateway::server::{self, ServerSettings};
 use load::trial::process::free_address;
 use policy::Tick;
@@ -61,7 +61,7 @@
                 plain: 1.0,
             }),
         }];
-        shared.table.store(Some(Arc::new(Table::new(&catalog))));
+        shared.table.store(Some(Arc::new(RoutingTable::new(&catalog))));
         Self::run(shared)
     }
 
@@ -97,12 +97,12 @@
     pub fn shared(repeat: Repeatable, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Arc<Shared> {
         let catalog = Self::catalog(repeat, attempts, timeout_ms);
         let shared = Arc::new(Shared::default());
-        shared.table.store(Some(Arc::new(Table::new(&catalog))));
-        shared.hear_newest(catalog.version, Tick(Duration::MAX));
+        shared.table.store(Some(Arc::new(RoutingTable::new(&catalog))));
+        shared.record_newest(catalog.version, Tick(Duration::MAX));
         shared
-            .parts
+            .quota_share
             .store(Arc::new(Some(QuotaShare { entries: 1, floor: 1.0 })));
-        *shared.list.lock() = Some((listed(upstreams), Tick::default()));
+        *shared.new_list.lock() = Some((listed(upstreams), Tick::default()));
         shared
     }
 
--- a/crates/gateway/tests/common/words.rs
+++ b/crates/gateway/tests/common/words.rs
@@ -19,10 +19,7 @@
             last_event: number("after"),
             tokens: number("prompt")
                 .zip(number("most"))
-                .map(|(prompt, answer)| TokenCounts {
-                    prompt,
-                    max_output: answer,
-                }),
+                .map(|(prompt, max_output)| TokenCounts { prompt, max_output }),
             ..RequestInfo::default()
         })
     }
@@ -49,13 +46,14 @@
 
     fn write_copy(&self, out: &mut Vec<u8>, copying: &KvCopyRequest) {
         let KvCopyRequest {
-            request_id: request,
-            target: to,
-            stop_stream: last,
+            request_id,
+            target,
+            stop_stream,
             ..
         } = copying;
-        let text =
-            format!("POST /copy HTTP/1.1\r\nOf: {request}\r\nTo: {to}\r\nLast: {last}\r\nContent-Length: 0\r\n\r\n");
+        let text = format!(
+            "POST /copy HTTP/1.1\r\nOf: {request_id}\r\nTo: {target}\r\nLast: {stop_stream}\r\nContent-Length: 0\r\n\r\n"
+        );
         out.extend_from_slice(text.as_bytes());
     }
 
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -9,7 +9,7 @@
 
 use contract::{Listed, NodeId, ServiceName, Zone};
 use gateway::dialect::ReportedLoad as ResponseInfo;
-use gateway::upstreams::{ChosenUpstream, Need, Upstreams};
+use gateway::upstreams::{ChosenUpstream, UpstreamNeed, Upstreams};
 use policy::Tick;
 use policy::place::PromptPart;
 use rand::rngs::StdRng;
@@ -182,23 +182,23 @@
         let host = self.rng.random_range(0..self.load.hosts);
         let now = tick(now_ms);
         let (service, zone) = (ServiceName::from("m"), Zone::from("z"));
-        let need = Need {
+        let need = UpstreamNeed {
             service: &service,
-            parts: &parts,
+            prompt_parts: &parts,
             tried: &[],
             zone: &zone,
-            once: false,
-            entries: self.load.hosts as u32,
-            pause_ms: 600,
+            runs_once: false,
+            entry_hosts: self.load.hosts as u32,
+            max_pause_ms: 600,
         };
         self.report.kinds[kind].all += 1;
         let Ok(chosen) = self.hosts[host].choose(&need, now) else {
             self.report.kinds[kind].refused += 1;
             return;
         };
-        self.hosts[host].note_use(&parts, now);
-        let upstream = self.hosts[host].get(&chosen.id).expect("the choice is listed");
-        let number = upstream.sent(&parts, &chosen, now);
+        self.hosts[host].record_use(&parts, now);
+        let upstream = self.hosts[host].get_mut(&chosen.id).expect("the choice is listed");
+        let number = upstream.record_sent(&parts, &chosen, now);
         let at: usize = chosen.id[1..].parse().expect("a number");
         self.engines[at].take(self.asked.len(), parts, answer);
         self.asked.push(Asked {
@@ -234,16 +234,16 @@
                     let target = self.load.kinds[asked.kind].target_ms;
                     asked.begun_late = now_ms - asked.came_ms > target;
                     self.report.kinds[asked.kind].late += u32::from(asked.begun_late);
-                    if let Some(upstream) = self.hosts[asked.host].get(&asked.chosen.id) {
-                        upstream.told(load, now);
-                        upstream.begun(asked.number, now);
+                    if let Some(upstream) = self.hosts[asked.host].get_mut(&asked.chosen.id) {
+                        upstream.record_load(load, now);
+                        upstream.record_first_event(asked.number, now);
                     }
                 }
                 Made::End(number, paused) => {
                     let asked = &self.asked[number];
                     self.report.kinds[asked.kind].paused += u32::from(paused && !asked.begun_late);
-                    if let Some(upstream) = self.hosts[asked.host].get(&asked.chosen.id) {
-                        upstream.ended(asked.number, tick(asked.came_ms), now);
+                    if let Some(upstream) = self.hosts[asked.host].get_mut(&asked.chosen.id) {
+                        upstream.record_end(asked.number, tick(asked.came_ms), now);
                     }
                 }
             }
@@ -257,7 +257,7 @@
         let now = tick(now_ms);
         let beat = Heartbeat {
             run: 1,
-            signs: self.hosts[host].signs(now),
+            signs: self.hosts[host].observations(now),
             ..Heartbeat::default()
         };
         let node = NodeId::from(format!("e{host}"));
@@ -266,7 +266,7 @@
             ..SharedLimits::default()
         };
         if let Some(news) = self.registry.heartbeat(1, (&node, beat), &sharing, now) {
-            self.hosts[host].take_signs(&news.signs, now);
+            self.hosts[host].merge_observations(&news.signs, now);
         }
         self.push(now_ms + self.load.beat_s * 1_000.0, Event::Beat(host));
     }
--- a/crates/gateway/tests/late_list.rs
+++ b/crates/gateway/tests/late_list.rs
@@ -33,8 +33,12 @@
     let node = SlowNode::start(THIN);
     node.set_list((0..3_300).map(upstream).collect());
     let entry = node.entry();
-    wait("the parts of limits", || entry.parts.load().is_some());
+    wait("the parts of limits", || entry.quota_share.load().is_some());
     wait("the list", || {
-        entry.list.lock().as_ref().is_some_and(|(list, _)| list.len() == 3_300)
+        entry
+            .new_list
+            .lock()
+            .as_ref()
+            .is_some_and(|(list, _)| list.len() == 3_300)
     });
 }
--- a/crates/gateway/tests/list_copy.rs
+++ b/crates/gateway/tests/list_copy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use contract::{Listed, NodeId, ServiceName, Zone};
-use gateway::upstream_list::Listing;
+use gateway::upstream_list::UpstreamList;
 use policy::Tick;
 use quickcheck::quickcheck;
 use state::registry::{EntryRegistry, SharedLimits};
@@ -27,18 +27,18 @@
 }
 
 /// Beats once, with so many entries in the answer at most.
-fn beat(registry: &EntryRegistry, copy: &mut Listing, most: u32, now: Tick) -> ListUpdate {
+fn beat(registry: &EntryRegistry, copy: &mut UpstreamList, most: u32, now: Tick) -> ListUpdate {
     let sharing = SharedLimits {
         entry_hosts: 1,
         ..SharedLimits::default()
     };
     let mut beat = Heartbeat::default();
-    copy.ask(&mut beat);
+    copy.fill_request(&mut beat);
     beat.max_listed = Some(most);
     let news = registry.heartbeat(TERM, (&NodeId::from("e"), beat), &sharing, now);
     let news = news.expect("the number of sharers is known").list;
     if let Some(age_ms) = news.age_ms {
-        copy.take(news.clone(), now - Duration::from_millis(age_ms), Duration::ZERO);
+        copy.apply_update(news.clone(), now - Duration::from_millis(age_ms), Duration::ZERO);
     }
     news
 }
@@ -48,7 +48,7 @@
     /// its way in pieces, or another leader tells it.
     fn copy_is_equal(lists: Vec<Vec<(u8, u8)>>, beats: Vec<u8>, other_leader: bool) -> bool {
         let mut registry = EntryRegistry::default();
-        let mut copy = Listing::default();
+        let mut copy = UpstreamList::default();
         let mut newest = Vec::new();
         let mut now_ms = 0;
         for (at, list) in lists.iter().enumerate() {
@@ -73,7 +73,7 @@
             }
         }
         let same = |(one, other): (&Listed, &Listed)| (&one.id, one.slots) == (&other.id, other.slots);
-        let list = copy.list(asked);
+        let list = copy.entries_at(asked);
         list.len() == newest.len() && list.iter().zip(&newest).all(same)
     }
 }
@@ -82,7 +82,7 @@
 #[test]
 fn one_entry_changed() {
     let registry = EntryRegistry::default();
-    let mut copy = Listing::default();
+    let mut copy = UpstreamList::default();
     let mut list: Vec<Listed> = (0..3_300).map(|id| listed(id, 4)).collect();
     registry.set_list(TERM, list.clone(), Tick::from_millis(1_000));
     assert_eq!(
@@ -94,7 +94,7 @@
     registry.set_list(TERM, list, Tick::from_millis(2_000));
     let news = beat(&registry, &mut copy, 4_000, Tick::from_millis(2_100));
     assert_eq!((news.put.len(), news.gone.len(), news.complete), (1, 1, true));
-    let copied = copy.list(Tick::from_millis(2_000));
+    let copied = copy.entries_at(Tick::from_millis(2_000));
     assert_eq!((copied.len(), copied[7].leaving), (3_299, true));
     assert_eq!(
         copied[3].cold,
@@ -107,7 +107,7 @@
 #[test]
 fn many_gone() {
     let registry = EntryRegistry::default();
-    let mut copy = Listing::default();
+    let mut copy = UpstreamList::default();
     for round in 0..30 {
         let list: Vec<Listed> = (0..200).map(|id| listed(round * 200 + id, 4)).collect();
         let now = Tick::from_millis(u64::from(round) * 1_000);
@@ -117,6 +117,6 @@
             beats += 1;
             assert!(beats < 100, "round {round}: the list never comes to its end");
         }
-        assert_eq!(copy.list(now).len(), 200);
+        assert_eq!(copy.entries_at(now).len(), 200);
     }
 }
--- a/crates/gateway/tests/moved_streams.rs
+++ b/crates/gateway/tests/moved_streams.rs
@@ -12,7 +12,7 @@
 use common::{Host, Reply, Seen, Upstream, answer, begin_stream, listed, send_event};
 use contract::{EngineSpec, Repeatable};
 use gateway::gate::Shared;
-use gateway::routing_table::Table;
+use gateway::routing_table::RoutingTable;
 use policy::Tick;
 
 /// Events of every stream.
@@ -44,7 +44,7 @@
         event_tokens: 5,
         copy_ns: Some(copy_ns),
     });
-    shared.table.store(Some(Arc::new(Table::new(&catalog))));
+    shared.table.store(Some(Arc::new(RoutingTable::new(&catalog))));
     shared
 }
 
@@ -53,7 +53,7 @@
     let mut list = listed(&[leaving, other]);
     list[0].leaving = true;
     list[0].left = Some(LEFT);
-    *shared.list.lock() = Some((list, Tick::default()));
+    *shared.new_list.lock() = Some((list, Tick::default()));
 }
 
 /// An upstream whose streams stop, in the middle of an event, when it is told to hand the last part of a copy over. Copies
--- a/crates/gateway/tests/planned_stop.rs
+++ b/crates/gateway/tests/planned_stop.rs
@@ -79,7 +79,7 @@
     let mut caller = host.connect();
     caller.send("Wait-Ms: 3000\r\n", "deposit");
     std::thread::sleep(Duration::from_millis(300));
-    *empty.list.lock() = known.list.lock().take();
+    *empty.new_list.lock() = known.new_list.lock().take();
     empty.table.store(known.table.load_full());
     assert_eq!(caller.reply().status, 200);
 }
--- a/crates/gateway/tests/route_table.rs
+++ b/crates/gateway/tests/route_table.rs
@@ -1,7 +1,7 @@
 //! Which route, service and account a request belongs to.
 
 use contract::{Catalog, ClientAccount, KeyHash, Route, Service, ServiceName, Share};
-use gateway::routing_table::{Table, draw_service};
+use gateway::routing_table::{RoutingTable, pick_service};
 use quickcheck::quickcheck;
 
 fn share(service: &str, weight: u32) -> Share {
@@ -22,8 +22,8 @@
     }
 }
 
-fn table() -> Table {
-    Table::new(&Catalog {
+fn table() -> RoutingTable {
+    RoutingTable::new(&Catalog {
         version: 3,
         routes: vec![
             route("short", "a.example", "/x/"),
@@ -46,7 +46,7 @@
 #[test]
 fn longest_prefix() {
     let table = table();
-    let name = |host, target| table.route(host, target).map(|route| route.name.clone());
+    let name = |host, target| table.find_route(host, target).map(|route| route.name.clone());
     assert_eq!(name("a.example", "/x/z"), Some("short".to_owned()));
     assert_eq!(name("a.example", "/x/y/z?q=/"), Some("long".to_owned()));
     assert_eq!(name("A.EXAMPLE:80", "/x/y"), Some("short".to_owned()));
@@ -58,9 +58,9 @@
 #[test]
 fn keys_of_accounts() {
     let table = table();
-    assert!(table.needs_key());
-    assert_eq!(table.account(&KeyHash::of("two")).unwrap().name, "counter");
-    assert!(table.account(&KeyHash::of("three")).is_none());
+    assert!(table.requires_key());
+    assert_eq!(table.account_by_key(&KeyHash::of("two")).unwrap().name, "counter");
+    assert!(table.account_by_key(&KeyHash::of("three")).is_none());
 }
 
 quickcheck! {
@@ -69,7 +69,7 @@
         let split = vec![share("none", 0), share("a", u32::from(a)), share("b", u32::from(b) + 1)];
         let route = Route { split, ..Route::default() };
         let draw = f64::from(draw) / (f64::from(u32::MAX) + 1.0);
-        let service = draw_service(&route, draw).unwrap().as_str();
+        let service = pick_service(&route, draw).unwrap().as_str();
         service == "b" || (service == "a" && a > 0)
     }
 }
--- a/crates/gateway/tests/unknown_routes.rs
+++ b/crates/gateway/tests/unknown_routes.rs
@@ -21,7 +21,7 @@
 #[test]
 fn newer_version_known() {
     let shared = Host::shared(Repeatable::Once, 1, 5_000, &[]);
-    shared.newest.store(2, Ordering::Relaxed);
+    shared.newest_version.store(2, Ordering::Relaxed);
     let reply = ask(shared);
     assert_eq!(reply.status, 503, "version 1 is in force, version 2 may have the route");
     assert!(reply.head.contains("Retry-After: "), "{}", reply.head);
@@ -31,7 +31,7 @@
 #[test]
 fn unconfirmed() {
     let shared = Host::shared(Repeatable::Once, 1, 5_000, &[]);
-    shared.confirmed.store(Arc::new(None));
+    shared.confirmed_at.store(Arc::new(None));
     assert_eq!(ask(shared).status, 503);
 }
 
--- a/crates/gateway/tests/worst_load.rs
+++ b/crates/gateway/tests/worst_load.rs
@@ -4,7 +4,7 @@
 
 use contract::{ServiceName, Zone};
 use fleet::{Kind, Load, Outcome, replay};
-use gateway::upstreams::{Need, Upstreams};
+use gateway::upstreams::{UpstreamNeed, Upstreams};
 use policy::Tick;
 use policy::place::PromptPart;
 use wire::registry::UpstreamObservation;
@@ -68,18 +68,18 @@
 #[test]
 fn overdue_elsewhere() {
     let mut host = two_upstreams();
-    let parts = [PromptPart { key: 1, tokens: 400 }];
-    let first = choose(&host, &parts);
+    let prompt_parts = [PromptPart { key: 1, tokens: 400 }];
+    let first = choose(&host, &prompt_parts);
     let sign = UpstreamObservation {
         id: first.clone(),
         load: None,
         backlog_ms: 0,
         overdue_ms: 900,
     };
-    host.take_signs(&[sign], at(1_000));
-    assert_ne!(choose(&host, &parts), first);
-    host.take_signs(&[], at(2_000));
-    assert_eq!(choose_at(&host, &parts, at(2_500)), first, "it passes with time");
+    host.merge_observations(&[sign], at(1_000));
+    assert_ne!(choose(&host, &prompt_parts), first);
+    host.merge_observations(&[], at(2_000));
+    assert_eq!(choose_at(&host, &prompt_parts, at(2_500)), first, "it passes with time");
 }
 
 fn at(ms: u64) -> Tick {
@@ -92,19 +92,19 @@
     host
 }
 
-fn choose(host: &Upstreams, parts: &[PromptPart]) -> String {
-    choose_at(host, parts, at(1_000))
+fn choose(host: &Upstreams, prompt_parts: &[PromptPart]) -> String {
+    choose_at(host, prompt_parts, at(1_000))
 }
 
-fn choose_at(host: &Upstreams, parts: &[PromptPart], now: Tick) -> String {
-    let need = Need {
+fn choose_at(host: &Upstreams, prompt_parts: &[PromptPart], now: Tick) -> String {
+    let need = UpstreamNeed {
         service: &ServiceName::from("m"),
-        parts,
+        prompt_parts,
         tried: &[],
         zone: &Zone::from("z"),
-        once: false,
-        pause_ms: 600,
-        entries: 8,
+        runs_once: false,
+        max_pause_ms: 600,
+        entry_hosts: 8,
     };
     host.choose(&need, now).expect("both are free").id
 }
