--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at an upstream, and what is noted of both.
+//! Sends a request to an upstream, and records the outcome for both.
 
 use std::rc::Rc;
 
@@ -18,42 +18,43 @@
 use crate::response_head::{HEAD_CAPACITY, write_header};
 use crate::upstreams::ChosenUpstream;
 
-/// Frees what a request holds at an upstream, also when its caller has gone and the work is dropped.
+/// An attempt that occupies an upstream. Dropping it releases the upstream, also when the caller has gone and the
+/// request is cancelled.
 #[derive(Debug)]
 pub struct ActiveAttempt {
     gateway: Rc<Gateway>,
     chosen: ChosenUpstream,
-    /// Number under which it waits for its first event.
+    /// Id in the upstream's backlog until the first event.
     backlog_id: u64,
-    /// When it was sent.
+    /// When the request was sent.
     sent_at: Tick,
-    /// What is heard of the upstream's data centre.
+    /// Reachability of the upstream's data centre; `None` if the upstream left the list meanwhile.
     reachability: Option<Rc<Reachability>>,
-    /// The upstream's announced end.
+    /// Announced end of the upstream.
     notice: Rc<ReclaimNotice>,
 }
 
 impl ActiveAttempt {
-    /// Notes that something came from the upstream.
+    /// Records that data arrived from the upstream.
     pub(crate) fn record_received(&self) {
         if let Some(reachability) = &self.reachability {
             reachability.record_received(self.gateway.clock.now());
         }
     }
 
-    /// Makes what moves the stream when its upstream is taken away.
+    /// Returns a mover for the stream, for the case that its upstream is reclaimed.
     pub(crate) fn mover(&self) -> StreamMover {
         StreamMover::new(self.chosen.clone(), Rc::clone(&self.notice))
     }
 
-    /// Notes the first event, or the whole answer.
+    /// Records the first event, or a whole response.
     pub(crate) fn record_first_event(&self) {
         if let Some(upstream) = self.gateway.upstreams.borrow_mut().get_mut(&self.chosen.id) {
             upstream.record_first_event(self.backlog_id, self.gateway.clock.now());
         }
     }
 
-    /// Notes that the upstream broke off.
+    /// Records that the response broke off or reports an error.
     pub(crate) fn record_failure(&self, gateway: &Gateway) {
         if let Some(upstream) = gateway.upstreams.borrow_mut().get_mut(&self.chosen.id) {
             upstream.record_failure(gateway.clock.now());
@@ -71,7 +72,7 @@
 }
 
 impl Request {
-    /// Sends the request to an upstream and waits for the head of its answer.
+    /// Sends the request to an upstream and waits for the response head.
     pub(crate) async fn send_attempt(
         &self,
         gateway: &Rc<Gateway>,
@@ -104,7 +105,7 @@
         if let Err(AttemptError::Refused { wrong_incarnation, .. }) = &response {
             let mut progress = self.progress.get();
             progress.may_have_run = ran_before;
-            // Another incarnation than the one that was meant is no upstream of this service.
+            // The upstream that was chosen no longer exists, so this does not count as an attempt.
             progress.sends -= u32::from(*wrong_incarnation);
             self.progress.set(progress);
         }
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Notes that the request leaves for an upstream; gives the number under which it waits for its first event there.
+    /// Records that the request is sent to an upstream; returns its id in the upstream's backlog.
     fn record_sent(&self, gateway: &Gateway, chosen: &ChosenUpstream) -> u64 {
         let now = gateway.clock.now();
         gateway.record_prefill(&self.service, chosen.prediction.prefill_ms);
@@ -147,7 +148,7 @@
         upstream.map_or(0, |upstream| upstream.record_sent(&self.info.prompt_parts, chosen, now))
     }
 
-    /// Writes the request as the upstream gets it.
+    /// Writes the request for the upstream.
     fn render(
         &self,
         gateway: &Gateway,
@@ -188,7 +189,7 @@
         account.unwrap_or(self.route.priority)
     }
 
-    /// Takes in what an attempt tells about its upstream.
+    /// Records a failed attempt for the choice of upstreams.
     pub(crate) fn record_failure(&self, gateway: &Gateway, chosen: &ChosenUpstream, error: &AttemptError) {
         let now = gateway.clock.now();
         if let Some(upstream) = gateway.upstreams.borrow_mut().get_mut(&chosen.id) {
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,19 +1,19 @@
-//! Bodies as they come in, by length, in chunks or until the connection ends.
+//! Decodes bodies that end by length, by the chunked coding or with the connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 use derive_more::{Display, Error};
 
 use crate::head::Framing;
 
-/// Longest line of a chunk's size with its extensions, and longest trailer line.
+/// Longest line with a chunk size and its extensions, and longest trailer line.
 const MAX_LINE_BYTES: usize = 1_024;
 
-/// Bytes that break the framing of a body.
+/// Bytes that violate the framing of a body.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("malformed body")]
 pub struct BodyError;
 
-/// Finds the end of a body.
+/// Decodes a body and detects its end.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyDecoder(State);
 
@@ -29,7 +29,7 @@
 }
 
 impl BodyDecoder {
-    /// Begins a body.
+    /// Starts a body.
     #[must_use]
     pub const fn new(framing: Framing) -> Self {
         Self(match framing {
@@ -40,22 +40,23 @@
         })
     }
 
-    /// Tells whether the body is whole.
+    /// Returns whether the body is complete.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.0 == State::Done
     }
 
-    /// Tells whether the body is whole when the connection ends now.
+    /// Returns whether the body is complete if the connection ends now.
     #[must_use]
     pub fn ends_on_close(&self) -> bool {
         matches!(self.0, State::Done | State::UntilClose)
     }
 
-    /// Takes what belongs to the body from the front of a buffer; `None` when more bytes are needed or it is whole.
+    /// Takes bytes of the body from the front of a buffer; returns `None` if more bytes are needed, or the body is
+    /// complete.
     ///
     /// # Errors
-    /// Fails on bytes that break the framing.
+    /// Fails on bytes that violate the framing.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, BodyError> {
         loop {
             match self.0 {
--- a/crates/gateway/src/caller_connection.rs
+++ b/crates/gateway/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! The connections of callers, request by request.
+//! Serves the connections of callers, request by request.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,23 +20,23 @@
 use crate::request_reader::{ReadError, RequestReader};
 use crate::server::{DRAIN_TIME, STOP_MARGIN, SYNC_INTERVAL, Server};
 
-/// Time after which a caller that was refused because of the stop finds another host.
+/// Retry delay for a caller refused by a stopping host: by then the balancer sends it to another host.
 const STOP_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Shortest and longest time after which a caller over its quota is asked to come back, in seconds.
+/// Shortest and longest retry delay for a caller over its quota, in seconds.
 const QUOTA_RETRY_S: (f64, f64) = (0.05, 30.0);
-/// Longest wait for a body whose caller names no time.
+/// Longest wait for a body whose caller sets no timeout.
 const DEFAULT_BODY_WAIT: Duration = Duration::from_secs(30);
-/// Longest wait of a request for a first catalog, and the share of its time that it may take. A group that has lost power
-/// elects a leader within 0.8 s of its start.
+/// Longest time that a request waits for the first catalog, as a duration and as a share of its timeout. After a power
+/// loss the state group elects a leader within 0.8 s of its start.
 const MAX_CONFIG_WAIT: Duration = Duration::from_millis(900);
 const MAX_CONFIG_WAIT_SHARE: f64 = 0.35;
-/// Pause between two looks whether a catalog is known.
+/// Interval at which a waiting request checks for a catalog.
 const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Server {
     /// Serves the requests of one connection.
     pub(crate) async fn serve_caller(self: Rc<Self>, stream: TcpStream) {
-        // Without it the connection only is slower.
+        // If this fails, the connection is only slower.
         let _ = stream.set_nodelay(true);
         let (read_half, mut out) = stream.into_split();
         let mut reader = RequestReader::new(read_half);
@@ -48,7 +48,7 @@
             match state {
                 ConnectionState::KeepAlive => {}
                 ConnectionState::Close => {
-                    // What was written stays; an error means that the caller is gone.
+                    // What was written stays sent; an error means that the caller is gone.
                     let _ = out.shutdown().await;
                     reader.drain().await;
                     return;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Waits for the next request; tells whether it came.
+    /// Waits for the next request; returns whether it came.
     async fn wait_request(&self, reader: &mut RequestReader) -> bool {
         let limits = self.gateway.shared.table.load().as_ref().map(|table| table.limits());
         let idle = Duration::from_millis(limits.unwrap_or_default().idle_ms);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Waits until idle connections are closed because the process stops.
+    /// Waits until idle connections are to be closed because the process stops.
     async fn wait_stopping(&self) {
         loop {
             if self.refuses_requests() {
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Tells whether the stop is so far that requests are no longer served.
+    /// Returns whether the stop has progressed so far that new requests may be refused.
     fn refuses_requests(&self) -> bool {
         self.stopping_since
             .get()
             .is_some_and(|since| since.elapsed() >= DRAIN_TIME)
     }
 
-    /// Waits a short time until a catalog, a list and the own part of the quotas are known.
+    /// Waits a short time until a catalog, an upstream list and the host's quota share are known.
     ///
-    /// After a restart of the whole system they come within a second. A caller who is refused before that has used up its
-    /// one repeat, or comes back later than it would have been served.
+    /// After a restart of the whole system they arrive within a second. A caller refused before that would use up its
+    /// only retry, or come back later than it would have been served.
     async fn wait_configured(&self, max_wait: Option<Duration>) {
         let share = max_wait.unwrap_or(MAX_CONFIG_WAIT).mul_f64(MAX_CONFIG_WAIT_SHARE);
         let deadline = Instant::now() + MAX_CONFIG_WAIT.min(share);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Tells whether a request of a route surely ends before the process does.
+    /// Returns whether a request of a route is certain to end before the process does.
     fn ends_before_stop(&self, route: &Route) -> bool {
         let streams = matches!(route.repeat, Repeatable::Stream | Repeatable::ResumableStream);
         let elapsed = self
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Reads a request and finds who asks and which service it goes to.
+    /// Reads a request, and determines its account, route and service.
     async fn read_request(
         &self,
         reader: &mut RequestReader,
@@ -211,7 +211,7 @@
         })
     }
 
-    /// Reads the body; a caller that waits for it is told to send it.
+    /// Reads the body, after a `100 Continue` if the caller waits for one.
     async fn read_body(
         &self,
         (reader, out): (&mut RequestReader, &mut OwnedWriteHalf),
@@ -266,14 +266,14 @@
     }
 }
 
-/// What becomes of a connection after a request.
+/// What happens to a connection after a request.
 enum ConnectionState {
     KeepAlive,
     Close,
     Gone,
 }
 
-/// A request that is not passed on.
+/// Why a request was not forwarded.
 enum NotForwarded {
     CallerGone,
     Refused(Refusal, bool),
--- a/crates/gateway/src/catalog_copy.rs
+++ b/crates/gateway/src/catalog_copy.rs
@@ -1,4 +1,4 @@
-//! An entry host's copy of the catalog, kept up by transfers from state nodes.
+//! An entry host's copy of the catalog, updated by transfers from state nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,52 +10,52 @@
 
 use crate::routing_table::RoutingTable;
 
-/// A part of a transfer that can't be used; the transfer begins again.
+/// A part of a transfer that can't be used; the transfer starts over.
 #[derive(Debug, Display, Error)]
 pub enum TransferError {
     /// Bytes before the part are missing.
     #[display("part of version {version} starts at byte {offset}, but {held} bytes have arrived")]
     Gap {
-        /// Version to which the transfer leads.
+        /// Version that the transfer leads to.
         version: u64,
-        /// First byte of the part.
+        /// Offset of the part's first byte.
         offset: u64,
-        /// Bytes that have arrived before.
+        /// Bytes received so far.
         held: u64,
     },
-    /// The bytes are not those that the transfer was announced with.
+    /// The checksum of the bytes differs from the announced one.
     #[display("checksum of the transfer of version {version} differs from the announced one")]
     Digest {
-        /// Version to which the transfer leads.
+        /// Version that the transfer leads to.
         version: u64,
     },
-    /// The bytes can't be read.
+    /// The bytes can't be decoded.
     #[display("transfer of version {version} can't be decoded: {source}")]
     Codec {
-        /// Version to which the transfer leads.
+        /// Version that the transfer leads to.
         version: u64,
-        /// Why.
+        /// Cause of the failure.
         source: postcard::Error,
     },
-    /// The transfer changes another version than the one held.
+    /// The transfer is based on another version than the one held.
     #[display("transfer of version {version} is based on version {base:?}, but version {held:?} is held")]
     Base {
-        /// Version to which the transfer leads.
+        /// Version that the transfer leads to.
         version: u64,
-        /// Version that it changes.
+        /// Version that the transfer is based on; `None` for a whole catalog.
         base: Option<u64>,
-        /// Version that is held.
+        /// Version that is held; `None` before the first one.
         held: Option<u64>,
     },
 }
 
-/// A copy of the catalog and the transfer that has begun.
+/// A copy of the catalog, and the transfer in progress.
 #[derive(Debug, Default)]
 pub struct CatalogCopy {
     table: Option<Arc<RoutingTable>>,
     partial: Option<PartialTransfer>,
     page_size: PageSize,
-    /// Version that was the newest when the first transfer began. Before, the copy is older than what others serve.
+    /// Newest version when the first transfer began. A copy below it is older than what other hosts serve.
     min_version: Option<u64>,
 }
 
@@ -66,13 +66,13 @@
 }
 
 impl CatalogCopy {
-    /// Gives the version that is held.
+    /// Returns the version that is held; `None` before the first one.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.table.as_ref().map(|table| table.version())
     }
 
-    /// Gives the table to put in force, once it is as new as the group was when this host began to follow it.
+    /// Returns the table to put in force, once it is as new as the state group was when this host started to follow it.
     #[must_use]
     pub fn ready_table(&self) -> Option<&Arc<RoutingTable>> {
         self.table
@@ -80,13 +80,13 @@
             .filter(|table| Some(table.version()) >= self.min_version)
     }
 
-    /// Tells whether a transfer has begun and is not complete.
+    /// Returns whether a transfer is in progress.
     #[must_use]
     pub const fn is_fetching(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Makes the next question; it waits for news only while no transfer goes on.
+    /// Returns the next request; it waits for a change only while no transfer is in progress.
     #[must_use]
     pub fn next_request(&self, max_wait: Duration) -> Follow {
         let resume = self.partial.as_ref().map(|partial| Resume {
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Takes an answer that came after a time; gives the bytes that it brought.
+    /// Applies a response that took `elapsed`; returns the number of bytes that it brought.
     ///
     /// # Errors
-    /// Tells which part can't be used; what was complete before it is kept.
+    /// Fails on a part that can't be used; what was complete before it is kept.
     pub fn apply_update(&mut self, update: Followed, elapsed: Duration) -> Result<usize, TransferError> {
         self.min_version.get_or_insert(update.newest);
         let bytes = update.parts.iter().map(|part| part.bytes.len()).sum();
-        // The time of a question that waited for news says nothing about the link.
+        // The time of a request that waited for a change says nothing about the link.
         if self.is_fetching() && bytes >= self.page_size.bytes() as usize / 2 {
             self.page_size.record_arrival(elapsed);
         }
@@ -123,7 +123,7 @@
         Ok(bytes)
     }
 
-    /// Notes that a question got no answer in time.
+    /// Records that a request timed out, so that fewer bytes are requested.
     pub fn record_timeout(&mut self) {
         self.page_size.record_loss();
     }
--- a/crates/gateway/src/catalog_follower.rs
+++ b/crates/gateway/src/catalog_follower.rs
@@ -1,4 +1,4 @@
-//! Following the catalog: an entry host asks state nodes for what has changed and puts it in force.
+//! Follows the catalog: fetches changes from state nodes and puts them in force on this entry host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,17 +20,17 @@
 use crate::catalog_copy::CatalogCopy;
 use crate::link::{KnownNodes, StateSync};
 
-/// Longest that a state node holds a question for news. Together with the wait for an answer it is how soon a silent node is
-/// noticed.
+/// Longest time that a state node holds a request until there is a change. A node that went silent is noticed after
+/// this time and the RPC timeout.
 const WATCH_WAIT: Duration = Duration::from_millis(500);
-/// Pause after a node that did not answer.
+/// Pause after a failed request.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Age from which a state node's word is too old: it may be cut off from the leader.
+/// Age of a node's data from which another node is asked, since this one may be cut off from the leader.
 const MAX_REPLY_AGE: Duration = Duration::from_millis(1_200);
-/// Time from which each try that fails is logged.
+/// Duration from which each failed request is logged.
 const SLOW_FAILURE: Duration = Duration::from_millis(100);
 
-/// The thread that follows the catalog.
+/// State of the thread that follows the catalog.
 #[derive(Debug)]
 pub(crate) struct CatalogFollower {
     sync: StateSync,
@@ -39,20 +39,20 @@
     catalog: CatalogCopy,
     selector: NodeSelector,
     client: Option<(SocketAddr, HttpClient)>,
-    /// Newest version that the node asked last has told.
+    /// Newest version that the node asked last knows of.
     node_newest: u64,
-    /// Tries that have failed since the last answer.
+    /// Consecutive failed requests.
     failures: u32,
     cost: TransferCost,
 }
 
-/// What the next version has cost so far.
+/// Cost of fetching the next version.
 #[derive(Debug, Default)]
 struct TransferCost {
     pages: u32,
     bytes: usize,
     failures: u32,
-    /// Time of the questions that brought something or failed.
+    /// Time of the requests that brought data or failed.
     time: Duration,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Follows for as long as the process runs.
+    /// Follows the catalog for as long as the process runs.
     pub(crate) fn run(mut self) {
         loop {
             let Some((peer, client)) = self.next_client() else {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Opens a client to the node that is asked next.
+    /// Returns the node to ask next with a client of it.
     fn next_client(&mut self) -> Option<(SocketAddr, HttpClient)> {
         let nodes = self.sync.nodes(&self.known);
         let newest = self.sync.shared.newest_version.load(Ordering::Relaxed);
@@ -158,7 +158,8 @@
         self.failures = 0;
     }
 
-    /// Puts the version that is complete in force. What is in force never goes back, whichever node is asked.
+    /// Puts a completely fetched version in force. A version is never replaced by an older one, whichever node is
+    /// asked.
     fn activate(&mut self, peer: SocketAddr, age: Duration) {
         let shared = &self.sync.shared;
         let Some(table) = self.catalog.ready_table() else {
@@ -177,7 +178,7 @@
     }
 
     fn record_failure(&mut self, peer: SocketAddr, error: &str, elapsed: Duration) {
-        // A node that refuses connections fails twenty times a second; the first of these tries tells it all.
+        // A node that refuses connections fails twenty times a second; logging the first failure is enough.
         if self.failures == 0 || elapsed >= SLOW_FAILURE {
             warn!(self.sync.logger, "state node lost"; "peer" => %peer, "step" => "follow", "error" => error,
                 "held" => self.catalog.version(), "fetching" => self.catalog.is_fetching(),
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What the headers of callers and upstreams say; the platform's adapter knows their names.
+//! Interface for the headers of callers and upstreams; the platform's adapter knows their names.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use crate::head::{Head, RequestLine, StatusLine};
 use crate::moving::KvCopy;
 
-/// What a request's head asks for.
+/// What the headers of a request tell the gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestInfo {
-    /// The caller's id of this attempt.
+    /// The caller's id of this attempt; empty without one.
     pub id: String,
-    /// How long the caller waits.
+    /// How long the caller waits; `None` if it does not say.
     pub timeout: Option<Duration>,
-    /// Hash of the key that it showed.
+    /// Hash of the caller's key; `None` without one.
     pub key_hash: Option<KeyHash>,
-    /// Id of the last event that the caller has of the stream.
+    /// Id of the last event of the stream that the caller has received.
     pub last_event: Option<u64>,
-    /// Tokens of prompt and answer.
+    /// Token counts of prompt and output; `None` if the caller does not say.
     pub tokens: Option<TokenCounts>,
-    /// Parts of the prompt in order.
+    /// Parts of the prompt in order; prompts that start with the same parts share them in a cache.
     pub prompt_parts: Vec<PromptPart>,
 }
 
@@ -31,91 +31,91 @@
 pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Most tokens of the output.
     pub max_output: u64,
 }
 
-/// What the head of one attempt says besides the caller's own lines.
+/// What the gateway adds to the caller's headers in one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHeaders<'a> {
-    /// Time that is left.
+    /// Time left until the deadline.
     pub remaining: Duration,
-    /// The upstream's incarnation; any other refuses the request.
+    /// Incarnation of the upstream; any other one refuses the request.
     pub incarnation: &'a str,
-    /// Name of the client account.
+    /// Name of the client account; `None` on public routes.
     pub account: Option<&'a str>,
-    /// Id of the last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub after: Option<u64>,
-    /// Rank, 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// The copy of its KV cache with which the upstream goes on.
+    /// Copy of the stream's KV cache from which the upstream continues.
     pub kv_copy: Option<&'a KvCopy>,
 }
 
-/// A call that copies a stream's KV cache to another upstream.
+/// A request to copy a stream's KV cache to another upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvCopyRequest {
-    /// The upstream that runs the stream.
+    /// Address of the upstream that runs the stream.
     pub source: SocketAddr,
-    /// The request's id.
+    /// Id of the request that started the stream.
     pub request_id: String,
-    /// The upstream that gets the copy.
+    /// Address of the upstream that receives the copy.
     pub target: SocketAddr,
-    /// Whether the stream stops first.
+    /// Whether the stream is stopped before the copy.
     pub stop_stream: bool,
 }
 
-/// What an upstream's answer says in its head.
+/// What the headers of an upstream's response tell the gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseInfo {
-    /// Id of the request that it answers.
+    /// Id of the request that it responds to; `None` if it does not say.
     pub id: Option<String>,
-    /// Whether it states that the request was not run.
+    /// Whether the upstream states that it did not run the request.
     pub not_run: bool,
-    /// Whether another incarnation answered than the one that was meant.
+    /// Whether another incarnation responded than the requested one.
     pub wrong_incarnation: bool,
-    /// Whether it bears the upstream's signature.
+    /// Whether the response bears the upstream's signature.
     pub signed: bool,
-    /// Its load.
+    /// Load of the upstream; `None` if it does not say.
     pub load: Option<ReportedLoad>,
-    /// How long the connection may stay idle.
+    /// How long the upstream keeps an idle connection open; `None` if it does not say.
     pub idle_timeout: Option<Duration>,
 }
 
-/// The load that an upstream tells.
+/// Load as an upstream reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that run at once.
+    /// Most requests that run at once.
     pub slots: u32,
 }
 
 /// Reads and writes the headers of callers and upstreams.
 pub trait HeaderCodec {
-    /// Reads a request's head.
+    /// Reads the headers of a request.
     ///
     /// # Errors
-    /// Returns what is wrong with it, in words.
+    /// Returns a message on what is wrong with the headers.
     fn asked(&self, head: &Head<RequestLine>) -> Result<RequestInfo, String>;
 
-    /// Tells whether a caller's header line is passed to upstreams as it is.
+    /// Returns whether a caller's header is forwarded to upstreams unchanged.
     fn passes(&self, name: &[u8]) -> bool;
 
-    /// Writes the header lines of an attempt.
+    /// Writes the headers of an attempt.
     fn write(&self, out: &mut Vec<u8>, attempt: &AttemptHeaders<'_>);
 
-    /// Writes the whole request of a call that copies a KV cache.
+    /// Writes the head and body of a request to copy a KV cache.
     fn write_copy(&self, out: &mut Vec<u8>, copying: &KvCopyRequest);
 
-    /// Reads the name of a copy from the body of the answer to such a call.
+    /// Reads the name of the copy from the body of the response to such a request.
     fn copied(&self, body: &[u8]) -> Option<String>;
 
-    /// Reads an answer's head.
+    /// Reads the headers of a response.
     fn told(&self, head: &Head<StatusLine>) -> ResponseInfo;
 
-    /// Gives the path that tells whether this entry host takes new connections.
+    /// Returns the path of the readiness probe.
     fn ready_path(&self) -> &'static str;
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,50 +1,50 @@
-//! Server-sent events: whole ones only, with their ids in order.
+//! Parses server-sent events, and checks that their ids are in order.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// Longest event; an upstream that never ends one must not fill the memory.
+/// Longest event, so that an upstream which never ends one does not exhaust the memory.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One whole event, with the empty line that ends it.
+/// One complete event with the empty line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes.
+    /// The event as it was received.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// Id of the event; `None` if it has none.
     pub id: Option<u64>,
 }
 
-/// An event that must not be passed on.
+/// Why an event must not be forwarded.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum EventError {
-    /// An event is too long, or its id is no number.
+    /// The event is too long, or its id is not a number.
     #[display("malformed event")]
     Malformed,
-    /// An event came twice or one before it is missing.
+    /// The event repeats an earlier one, or one before it is missing.
     #[display("event {received} after {last}")]
     OutOfOrder {
-        /// The id that came.
+        /// Id of the event.
         received: u64,
-        /// The id before.
+        /// Id of the event before it.
         last: u64,
     },
 }
 
-/// Cuts a stream into events.
+/// Splits a stream into events.
 #[derive(Clone, Debug, Default)]
 pub struct EventParser {
     buffer: BytesMut,
-    /// Id of the last event that was given out.
+    /// Id of the last event returned.
     last_id: Option<u64>,
-    /// Distance of two ids, once two were seen.
+    /// Difference between consecutive ids; `None` until two were seen.
     id_step: Option<u64>,
-    /// Events that were given out.
+    /// Number of events returned.
     event_count: u64,
 }
 
 impl EventParser {
-    /// Begins a stream after an event that the caller has already.
+    /// Starts a stream after the last event that the caller has received.
     #[must_use]
     pub fn resume_after(last_id: Option<u64>) -> Self {
         Self {
@@ -53,24 +53,24 @@
         }
     }
 
-    /// Goes on with what another upstream sends; an unfinished event is forgotten.
+    /// Discards an incomplete event, before the stream continues from another upstream.
     pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
-    /// Gives the id of the last event that was given out.
+    /// Returns the id of the last event returned.
     #[must_use]
     pub const fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Gives the number of events that were given out.
+    /// Returns the number of events returned.
     #[must_use]
     pub const fn event_count(&self) -> u64 {
         self.event_count
     }
 
-    /// Tells whether an event is unfinished.
+    /// Returns whether an event is incomplete.
     #[must_use]
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
@@ -81,7 +81,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Errors
     /// Fails on an event that is malformed or out of order.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt at one upstream: sending the request and reading the answer's head.
+//! Exchange of one request and response with an upstream.
 
 use std::time::Duration;
 
@@ -11,36 +11,38 @@
 use crate::head::{self, Head, StatusLine};
 use crate::pool::Connection;
 
-/// Longest head of an answer.
+/// Longest response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Longest answer that is read whole before it is passed on.
+/// Longest response that is buffered whole before it is forwarded.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Answers to other requests that are skipped before the own one; an upstream that sends more has lost count.
+/// Most responses to earlier requests that are skipped before the request's own; an upstream that sends more has its
+/// responses out of order.
 const MAX_SKIPPED: usize = 4;
 
-/// What is certain about a request that got no answer.
+/// Outcome of a request that got no usable response.
 ///
-/// Only the first two allow another attempt for what may run once, and only they allow an answer that says "not run".
+/// Only [`Self::NotSent`] and [`Self::Refused`] allow another attempt of a request that must run at most once, and only
+/// they allow the response "not run".
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum AttemptError {
-    /// No byte was sent.
+    /// Nothing was sent.
     #[display("not sent: {reason}")]
     NotSent {
-        /// Why.
+        /// Cause of the failure.
         reason: String,
     },
     /// The upstream stated that it did not run the request.
     #[display("refused with {status}")]
     Refused {
-        /// Status of the statement.
+        /// Status code of the upstream's response.
         status: u16,
-        /// Whether another incarnation answers at the address.
+        /// Whether another incarnation responds at the address.
         wrong_incarnation: bool,
     },
-    /// It may have run.
+    /// The request may have run.
     #[display("unknown: {reason}")]
     Unknown {
-        /// Why.
+        /// Cause of the failure.
         reason: String,
     },
 }
@@ -51,25 +53,25 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// The connection.
+    /// Connection that the body is read from.
     pub connection: Connection,
-    /// The head.
+    /// Status line and headers.
     pub head: Head<StatusLine>,
-    /// What it says.
+    /// Contents of the headers that concern the gateway.
     pub info: ResponseInfo,
-    /// Finds the end of the body.
+    /// Detects the end of the body.
     pub decoder: BodyDecoder,
-    /// Whether the whole request was sent before the answer came.
+    /// Whether the whole request was sent before the response arrived.
     request_sent: bool,
 }
 
-/// Sends a request and reads the head of its answer; the caller of this ends the wait when the request's time is over.
+/// Sends a request and reads the response head. There is no timeout: the calling function limits the wait.
 ///
 /// # Errors
-/// Tells what is certain about the request when no answer to it comes.
+/// Returns what is certain about the request if no response to it arrives.
 pub async fn send_request(
     mut connection: Connection,
     request: &[u8],
@@ -93,7 +95,8 @@
     })
 }
 
-/// Sends and reads at the same time: an upstream may answer before it has read a long body, and read on only later.
+/// Sends and reads at the same time, since an upstream may respond before it has read a long body and read the rest
+/// only later.
 async fn send_and_read(
     connection: &mut Connection,
     request: &[u8],
@@ -112,8 +115,8 @@
             if info.id.as_deref().is_none_or(|answered| answered == id) {
                 return Ok((head, info, decoder, request_sent && !write_failed));
             }
-            // An answer to an earlier request that its caller no longer waits for. It must reach nobody, and what
-            // follows it may be the answer to this one.
+            // A response to an earlier request that was abandoned. No caller may get it, and the response to this
+            // request may follow it.
             skip_body(&mut reader, buffer, decoder).await?;
             skipped += 1;
             if skipped > MAX_SKIPPED {
@@ -124,7 +127,7 @@
         tokio::select! {
             written = &mut writing, if !request_sent => {
                 request_sent = true;
-                // The answer may be there already, although the upstream takes no more.
+                // The response may have arrived, even if the upstream accepts no more of the request.
                 write_failed = written.is_err();
             }
             read = reader.read_buf(buffer) => match read {
@@ -138,7 +141,7 @@
 
 type ResponseHead = (Head<StatusLine>, ResponseInfo, BodyDecoder);
 
-/// Takes the next head that is no interim answer.
+/// Takes the next response head from the buffer, past interim responses (status 1xx).
 fn next_response(buffer: &mut BytesMut, codec: &dyn HeaderCodec) -> Result<Option<ResponseHead>, AttemptError> {
     loop {
         let parsed =
@@ -177,20 +180,20 @@
     }
 }
 
-/// A part of a body.
+/// A part of a response body.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BodyChunk {
-    /// Bytes.
+    /// Bytes of the body.
     Bytes(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
 impl UpstreamResponse {
-    /// Reads on in the body.
+    /// Reads the next part of the body.
     ///
     /// # Errors
-    /// Fails when it ends before it is whole.
+    /// Fails if the connection ends before the body is complete.
     pub async fn next_chunk(&mut self) -> Result<BodyChunk, AttemptError> {
         loop {
             let parsed = self.decoder.decode(&mut self.connection.buffer);
@@ -212,7 +215,7 @@
     /// Reads the whole body.
     ///
     /// # Errors
-    /// Fails when it doesn't come whole, or is too long to be kept.
+    /// Fails if the body is incomplete, or too long to be buffered.
     pub async fn read_body(&mut self) -> Result<Bytes, AttemptError> {
         let mut body = BytesMut::new();
         loop {
@@ -227,16 +230,17 @@
         }
     }
 
-    /// Gives the connection if another request may be sent on it, with the time that it may stay idle.
+    /// Returns the connection with its idle timeout if it can carry another request.
     #[must_use]
     pub fn into_reusable(self) -> Option<(Connection, Option<Duration>)> {
-        // The rest of a body that the upstream has not read would be taken for the next request.
+        // The unread rest of a request body would be taken for the next request.
         let is_clean =
             self.request_sent && self.decoder.is_done() && self.connection.buffer.is_empty() && self.head.keeps_alive();
         is_clean.then_some((self.connection, self.info.idle_timeout))
     }
 
-    /// Tells whether it is a success that bears the upstream's signature and its own bytes.
+    /// Returns whether the response may be forwarded: a success needs the upstream's signature, and must not be
+    /// content-coded, since the bytes have to be the upstream's own.
     #[must_use]
     pub fn is_acceptable(&self) -> bool {
         let encoded = self.head.get("content-encoding").is_some();
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry host share.
+//! State of an entry host that all of its requests share.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -27,44 +27,46 @@
 use crate::upstreams::Upstreams;
 use crate::usage::UsageCounter;
 
-/// Part of every limit that an entry host uses before it was told its own: there may be as many as a large deployment has.
+/// Fraction of every quota that an entry host uses until the leader assigns its share; small enough for one of the
+/// hosts of a large deployment.
 const DEFAULT_QUOTA_FRACTION: f64 = 1.0 / 64.0;
-/// Log lines a second for requests that were served as they should be. An entry host serves a tenth of that at the rates
-/// of the users' sheets; refused, failed and late requests are always logged.
+/// Log lines per second for requests that succeeded in time, about ten times the expected rate. Refused, failed and
+/// late requests are always logged.
 const LOG_LINES_PER_S: f64 = 100.0;
-/// Time over which prompts are averaged: longer than the gaps between long prompts at one entry host.
+/// Time constant of the average prefill load; longer than the gaps between long prompts at one entry host.
 const AVERAGING_TIME: Duration = Duration::from_secs(4);
-/// Shortest time that the average is taken to cover; over less, one prompt would look like a flood.
+/// Shortest time that the average is taken to cover; over less, a single prompt would look like a surge.
 const MIN_AVERAGING_TIME: Duration = Duration::from_secs(1);
-/// Entry hosts that are assumed before their number was told.
+/// Number of entry hosts that is assumed until the leader reports it.
 const DEFAULT_ENTRY_COUNT: u32 = 32;
 
-/// What the threads beside the event loop give to it, and take from it.
+/// State exchanged between the event loop and the background threads.
 #[derive(Debug, Default)]
 pub struct Shared {
-    /// The catalog in force here.
+    /// The routing table in force; `None` before the first catalog.
     pub table: ArcSwapOption<RoutingTable>,
-    /// The newest version of the catalog that is known of; the one in force here may be older.
+    /// The newest known catalog version, which may be newer than the one in force.
     pub newest_version: AtomicU64,
-    /// When no version was known to be newer than the one in force here.
+    /// When the version in force was last known to be the newest; `None` before the first confirmation.
     pub confirmed_at: ArcSwap<Option<Tick>>,
-    /// The parts that were told last. They go on holding without news: the parts of all entry hosts that were heard of in
-    /// the last half minute add up to the whole.
+    /// The quota share that the leader assigned last. It stays valid without contact to the leader, because the shares
+    /// of all entry hosts seen within the last half minute add up to the whole quota.
     pub quota_share: ArcSwap<Option<QuotaShare>>,
-    /// Inner address of the leader, if known.
+    /// Internal address of the leader of the state group; `None` while it is unknown.
     pub leader: ArcSwap<Option<SocketAddr>>,
-    /// A list that was read and not taken over yet, with the time at which it was asked for.
+    /// An upstream list that the event loop has not applied yet, with the time at which it was requested.
     pub new_list: Mutex<Option<(Vec<Listed>, Tick)>>,
-    /// When the list that was heard of last was asked for.
+    /// When the latest upstream list was requested.
     pub list_time: ArcSwap<Option<Tick>>,
-    /// What others have seen of upstreams, and when it was told.
+    /// Observations of upstreams by other entry hosts that the event loop has not applied yet, with the time at which
+    /// they arrived.
     pub observations: Mutex<Option<(Vec<UpstreamObservation>, Tick)>>,
-    /// What the next beat tells.
+    /// Content of the next heartbeat to the leader.
     pub heartbeat: Mutex<Heartbeat>,
 }
 
 impl Shared {
-    /// Notes the newest version that a state node knew of at a time.
+    /// Records the newest version that a state node knew of at `confirmed_at`.
     pub fn record_newest(&self, newest: u64, confirmed_at: Tick) {
         self.newest_version.fetch_max(newest, Ordering::Relaxed);
         let held = self.table.load().as_ref().map(|table| table.version());
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Tells whether a table holds all that operators have been told is in force.
+    /// Returns whether a table holds everything that operators have been told is in force.
     #[must_use]
     pub fn is_current(&self, table: &RoutingTable, now: Tick) -> bool {
         let newest = self.newest_version.load(Ordering::Relaxed);
@@ -82,36 +84,36 @@
     }
 }
 
-/// Fixed properties of an entry host.
+/// Settings of an entry host that don't change while it runs.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
-    /// Its data centre.
+    /// Data centre of the host.
     pub zone: Zone,
-    /// Bounds of repeated sends.
+    /// Limits on retries.
     pub retries: RetryBounds,
-    /// Units that may pass beyond an account's quota.
+    /// Units that may be served beyond an account's quota.
     pub quota_slack: Slack,
-    /// Length of a window of usage.
+    /// Length of a window in which started requests are counted.
     pub usage_window: Duration,
 }
 
-/// What all requests share.
+/// State that all requests share.
 pub struct Gateway {
-    /// What headers say.
+    /// Reads and writes the headers of callers and upstreams.
     pub codec: Box<dyn HeaderCodec>,
-    /// What other threads share.
+    /// State exchanged with the background threads.
     pub shared: Arc<Shared>,
-    /// Fixed properties.
+    /// Settings that don't change while the host runs.
     pub settings: HostSettings,
-    /// The clock.
+    /// Monotonic clock that all decisions go by.
     pub clock: Clock,
-    /// The log.
+    /// Logger of the process.
     pub logger: Logger,
-    /// Upstreams.
+    /// Known upstreams with their estimated load.
     pub upstreams: RefCell<Upstreams>,
-    /// Connections to them.
+    /// Idle connections to upstreams.
     pub pool: RefCell<ConnectionPool>,
-    /// Requests that began to run.
+    /// Started requests by window and account.
     pub usage: RefCell<UsageCounter>,
     borrower: QuotaBorrower,
     quota_buckets: RefCell<HashMap<String, Bucket>>,
@@ -121,12 +123,12 @@
     log_bucket: RefCell<Bucket>,
 }
 
-/// An average of what comes a second.
+/// Exponentially decaying average of units per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct RateAverage {
     per_s: f64,
     updated_at: Tick,
-    /// When the first came.
+    /// When the first units were added.
     first_at: Option<Tick>,
 }
 
@@ -143,8 +145,8 @@
         self.updated_at = now;
     }
 
-    /// Gives what comes a second. In the first seconds the average covers less than its time, and would tell of a small part of
-    /// the load.
+    /// Returns the average in units per second. It is corrected for the first seconds, in which the average covers less
+    /// than its time constant and would show only a part of the load.
     fn per_s(&mut self, now: Tick) -> f64 {
         self.decay(now);
         let span = now.since(self.first_at.unwrap_or(now)).max(MIN_AVERAGING_TIME);
@@ -161,17 +163,17 @@
     }
 }
 
-/// How units are taken.
+/// How units are taken from a bucket.
 #[derive(Clone, Copy)]
 enum TakeMode {
-    /// Only if all are there.
+    /// Only if the bucket holds all of them.
     Whole,
-    /// Also if a large request leaves less than nothing.
+    /// Also if a large request leaves the bucket in debt.
     Overdraw,
 }
 
 impl Gateway {
-    /// Makes what requests share.
+    /// Creates the shared state; nothing is known of catalog and upstreams yet.
     #[must_use]
     pub fn new(
         codec: Box<dyn HeaderCodec>,
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Takes over what other threads have brought, and tells them what the next beat says.
+    /// Applies what the background threads have received, and fills in the next heartbeat.
     pub fn sync_threads(&self) {
         if let Some((list, read_at)) = self.shared.new_list.lock().take() {
             let ended = self.upstreams.borrow_mut().update(list, read_at);
@@ -223,10 +225,11 @@
         }
     }
 
-    /// Takes a request's units from its account's quota: from the own part, or else from what the leader lends.
+    /// Takes a request's units from its account's quota, first from the host's own share, then as a loan from the
+    /// leader. Returns the units taken.
     ///
     /// # Errors
-    /// Tells how long it would have to wait when there is no room for it.
+    /// Returns how long the request would have to wait for room in the quota.
     pub async fn admit(&self, account: &ClientAccount, info: &RequestInfo) -> Result<f64, OverQuota> {
         let Some(quota) = account.quota else {
             return Ok(0.0);
@@ -243,7 +246,8 @@
         match self.borrower.borrow(&account.name, units).await {
             Some(true) => Ok(units),
             Some(false) => self.take_units(account, &quota, units, TakeMode::Whole).map(|()| units),
-            // Without a leader each entry host goes on with its own part, and large requests may overdraw it.
+            // While the leader can't be reached, each entry host goes by its own share, which large requests may
+            // overdraw.
             None => self
                 .take_units(account, &quota, units, TakeMode::Overdraw)
                 .map(|()| units),
@@ -263,15 +267,15 @@
         }
     }
 
-    /// Gives back what a request took that no upstream ran.
+    /// Gives an account the units of a request back that no upstream ran.
     pub fn refund(&self, account: &str, units: f64) {
         if let Some(bucket) = self.quota_buckets.borrow_mut().get_mut(account) {
             bucket.refund(units);
         }
     }
 
-    /// Fills every account's bucket from now on, so that a first request finds what its part has saved up. Before the part
-    /// was told, there is none to begin with.
+    /// Starts to fill the buckets of all accounts, so that a first request finds what its share has accumulated. Does
+    /// nothing before the share is known.
     pub fn fill_buckets(&self) {
         if self.shared.quota_share.load().is_none() {
             return;
@@ -292,7 +296,7 @@
         }
     }
 
-    /// Gives the units of each account that came while its part was full, since the start.
+    /// Returns by account the units that overflowed a full bucket since the start.
     fn overflow_units(&self) -> BTreeMap<String, u64> {
         let quota_buckets = self.quota_buckets.borrow();
         let overflow = quota_buckets
@@ -301,8 +305,8 @@
         overflow.filter(|(_, units)| *units > 0).collect()
     }
 
-    /// Gives what may be saved up: the part of the burst and a part of the slack. Callers meet entry hosts by chance, so that
-    /// each needs room for more than its share for a while.
+    /// Returns the most units that a bucket holds: the host's fraction of the burst and a part of the slack. Callers
+    /// reach entry hosts at random, so each host needs room for more than its fraction for a while.
     fn burst_limit(&self, burst: f64, fraction: f64) -> f64 {
         burst * fraction + self.settings.quota_slack.per_entry(self.entry_count())
     }
@@ -314,13 +318,13 @@
             .map_or(DEFAULT_QUOTA_FRACTION, |share| share.floor)
     }
 
-    /// Gives what is known of a service's model engines, if it has some.
+    /// Returns the engine properties of a service; `None` for an unknown or plain service.
     #[must_use]
     pub fn engine_spec(&self, service: &ServiceName) -> Option<EngineSpec> {
         self.shared.table.load().as_ref()?.service(service)?.engine
     }
 
-    /// Gives the number of entry hosts that share limits, as far as known.
+    /// Returns the number of entry hosts that share quotas; an assumed one until the leader reports it.
     #[must_use]
     pub fn entry_count(&self) -> u32 {
         self.shared
@@ -329,7 +333,7 @@
             .map_or(DEFAULT_ENTRY_COUNT, |share| share.entries.max(1))
     }
 
-    /// Tells whether an ordinary decision may be logged now; the others are counted.
+    /// Returns whether a request that succeeded in time may be logged now; counts those that may not.
     #[must_use]
     pub fn may_log(&self) -> bool {
         let now = self.clock.now();
@@ -342,7 +346,7 @@
         allowed
     }
 
-    /// Notes a request for a service.
+    /// Records a request for a service; retries are limited in proportion to these.
     pub fn record_request(&self, service: &ServiceName) {
         let now = self.clock.now();
         let mut windows = self.retry_windows.borrow_mut();
@@ -350,7 +354,7 @@
         window.record_request(now, &self.settings.retries);
     }
 
-    /// Takes a repeated send from the service's budget, if one is left.
+    /// Takes a retry from the service's budget; returns whether there was one.
     #[must_use]
     pub fn may_retry(&self, service: &ServiceName) -> bool {
         let now = self.clock.now();
@@ -359,7 +363,7 @@
         window.take(now, &self.settings.retries, self.entry_count())
     }
 
-    /// Notes a prompt that was sent to an upstream, which reads for so many milliseconds.
+    /// Records a prompt that was sent to an upstream, whose prefill takes `ms` milliseconds.
     pub fn record_prefill(&self, service: &ServiceName, ms: f64) {
         let now = self.clock.now();
         let mut prefill_averages = self.prefill_averages.borrow_mut();
@@ -369,7 +373,7 @@
             .add(ms / 1_000.0, now);
     }
 
-    /// Notes that a service's own running requests change in number.
+    /// Adds `change` to the number of a service's requests that run on this entry host.
     pub fn record_running(&self, service: &ServiceName, change: f64) {
         let mut service_loads = self.service_loads.borrow_mut();
         let load = service_loads.entry(service.to_string()).or_default();
--- a/crates/gateway/src/head.rs
+++ b/crates/gateway/src/head.rs
@@ -1,64 +1,64 @@
-//! Heads of HTTP/1.1 requests and answers.
+//! Parses the heads of HTTP/1.1 requests and responses.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// Most header lines of a head: common servers allow about as many.
+/// Most headers of a message; common servers allow about as many.
 const MAX_HEADERS: usize = 100;
 
-/// One header line.
+/// One header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its name as it was sent.
+    /// Name in the sender's spelling.
     pub name: Bytes,
-    /// Its value without the space around it.
+    /// Value without surrounding white space.
     pub value: Bytes,
 }
 
-/// The head of a request or an answer.
+/// Head of a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head<S> {
-    /// The first line.
+    /// Request line or status line.
     pub start: S,
-    /// Whether it speaks HTTP/1.0.
+    /// Whether the sender speaks HTTP/1.0.
     pub is_http10: bool,
-    /// The header lines in order.
+    /// Headers in order.
     pub headers: Vec<Header>,
 }
 
-/// The first line of a request.
+/// First line of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestLine {
-    /// Method.
+    /// Method, such as `GET`.
     pub method: Bytes,
-    /// Path and query.
+    /// Path and query; starts with a slash.
     pub target: Bytes,
 }
 
-/// The first line of an answer.
+/// First line of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusLine {
     /// Status code.
     pub status: u16,
-    /// Reason in words.
+    /// Reason phrase; may be empty.
     pub reason: Bytes,
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// In chunks.
+    /// By the chunked transfer coding.
     Chunked,
-    /// Everything until the connection ends.
+    /// By the end of the connection.
     Close,
 }
 
-/// Bytes that are no head.
+/// Why bytes are not a valid head.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum HeadError {
-    /// The bytes break the syntax, or leave open where the message ends.
+    /// The bytes violate the syntax, or don't determine where the message ends.
     #[display("malformed head")]
     Malformed,
     /// The head is longer than allowed.
@@ -67,7 +67,7 @@
 }
 
 impl<S> Head<S> {
-    /// Gives the values of all lines with a name.
+    /// Returns the values of all headers with a name.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let headers = self.headers.iter();
         headers
@@ -75,7 +75,7 @@
             .map(|header| &*header.value)
     }
 
-    /// Gives the value of the first line with a name, if it is text.
+    /// Returns the value of the first header with a name, if it is UTF-8.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
@@ -83,7 +83,7 @@
         std::str::from_utf8(&header.value).ok()
     }
 
-    /// Tells whether a comma-separated header holds a word.
+    /// Returns whether a comma-separated header contains a token.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let tokens = |value: &[u8]| {
@@ -93,7 +93,7 @@
         self.values(name).any(tokens)
     }
 
-    /// Tells whether a line concerns only one connection.
+    /// Returns whether a header applies only to one connection.
     #[must_use]
     pub fn is_hop_by_hop(&self, name: &[u8]) -> bool {
         const HOP_BY_HOP: [&str; 11] = [
@@ -116,7 +116,7 @@
             || listed()
     }
 
-    /// Tells whether the sender keeps the connection open.
+    /// Returns whether the sender keeps the connection open.
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
         if self.is_http10 {
@@ -126,10 +126,10 @@
         }
     }
 
-    /// Gives the declared length.
+    /// Returns the declared length.
     ///
-    /// Two lengths, or one that is no plain number, would let two readers find different ends: what one takes for the
-    /// body, the other takes for a request that nobody sent.
+    /// With two lengths, or one that is not a plain number, two parsers could find different ends: what one takes for
+    /// the body, the other takes for a request that nobody sent.
     fn content_length(&self) -> Result<Option<u64>, HeadError> {
         let mut values = self.values("content-length");
         let Some(value) = values.next() else {
@@ -143,7 +143,7 @@
         text.parse().map(Some).map_err(|_too_long| HeadError::Malformed)
     }
 
-    /// Tells whether the body comes in chunks; no other coding is understood.
+    /// Returns whether the body is chunked; no other transfer coding is supported.
     fn is_chunked(&self) -> Result<bool, HeadError> {
         let mut values = self.values("transfer-encoding");
         let Some(value) = values.next() else {
@@ -159,10 +159,10 @@
 }
 
 impl Head<RequestLine> {
-    /// Finds how the request's body ends.
+    /// Returns how the end of the request's body is determined.
     ///
     /// # Errors
-    /// Fails when the head leaves that open.
+    /// Fails if the head leaves that open.
     pub fn framing(&self) -> Result<Framing, HeadError> {
         match (self.is_chunked()?, self.content_length()?) {
             (true, Some(_)) => Err(HeadError::Malformed),
@@ -173,10 +173,10 @@
 }
 
 impl Head<StatusLine> {
-    /// Finds how the answer's body ends.
+    /// Returns how the end of the response's body is determined.
     ///
     /// # Errors
-    /// Fails when the head leaves that open.
+    /// Fails if the head leaves that open.
     pub fn framing(&self) -> Result<Framing, HeadError> {
         if matches!(self.start.status, 204 | 304) || self.start.status < 200 {
             return Ok(Framing::Length(0));
@@ -190,12 +190,12 @@
     }
 }
 
-/// Takes a request's head from the front of a buffer; `None` while it is not whole.
+/// Takes a request's head from the front of a buffer; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// Fails on what is no head, or one that is longer than `most` bytes.
+/// Fails on an invalid head, or one that is longer than `max_bytes`.
 pub fn take_request(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Head<RequestLine>>, HeadError> {
-    // An empty line before a request is allowed: some senders end a body with one too many.
+    // Empty lines before a request are allowed, because some clients send one after a body.
     while buffer.starts_with(b"\r\n") {
         let _ = buffer.split_to(2);
     }
@@ -222,10 +222,10 @@
     }))
 }
 
-/// Takes an answer's head from the front of a buffer; `None` while it is not whole.
+/// Takes a response's head from the front of a buffer; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// Fails on what is no head, or one that is longer than `most` bytes.
+/// Fails on an invalid head, or one that is longer than `max_bytes`.
 pub fn take_response(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Head<StatusLine>>, HeadError> {
     if !buffer.is_empty() && !b"HTTP/1.".starts_with(&buffer[..buffer.len().min(7)]) {
         return Err(HeadError::Malformed);
@@ -272,7 +272,7 @@
     Ok(Some(raw))
 }
 
-/// Tells whether a line ends without a carriage return, or a carriage return stands alone; readers differ on both.
+/// Returns whether the bytes contain a line feed without a carriage return or the reverse; parsers differ on both.
 fn has_bare_line_end(bytes: &[u8]) -> bool {
     let bare_feed = |(index, byte): (usize, &u8)| *byte == b'\n' && (index == 0 || bytes[index - 1] != b'\r');
     let bare_return =
--- a/crates/gateway/src/lender.rs
+++ b/crates/gateway/src/lender.rs
@@ -1,4 +1,4 @@
-//! Asks the leader of the state group for units of a quota beyond the own part.
+//! Borrows units of an account's quota beyond the host's own share from the leader of the state group.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 
 use crate::gate::Shared;
 
-/// Longest wait for the leader's answer: data centres are a few milliseconds apart, and the caller waits meanwhile.
+/// Longest wait for the leader's response. Data centres are a few milliseconds apart, and the caller waits meanwhile.
 const BORROW_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// The client towards the leader.
+/// Client of the leader.
 #[derive(Debug)]
 pub struct QuotaBorrower {
     node: NodeId,
@@ -27,7 +27,7 @@
 }
 
 impl QuotaBorrower {
-    /// Asks in the name of a process.
+    /// Creates a client that identifies itself as `node`.
     #[must_use]
     pub const fn new(node: NodeId, shared: Arc<Shared>) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Asks for units of an account's quota; nothing is known without an answer.
+    /// Borrows units of an account's quota. Returns whether they were lent, or `None` if the leader did not answer.
     pub async fn borrow(&self, account: &str, units: f64) -> Option<bool> {
         let client = self.client()?;
         let request = Borrow {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Counts a question without an answer; the thread that beats logs the loss of the leader itself.
+    /// Counts a failed call; the heartbeat thread logs the loss of the leader.
     fn record_failure(&self) -> Option<bool> {
         counter!("gentian_gateway_borrow_failed_total").increment(1);
         *self.client.borrow_mut() = None;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! Passes requests of client accounts to upstreams by host and path, with streams event by event.
+//! Forwards requests of client accounts to upstreams by host and path, and streams event by event.
 //!
-//! One event loop serves all callers of an entry host; the threads beside it follow the state group and read the list of
-//! upstreams. Which headers say what is the business of a [`dialect::Dialect`].
+//! One event loop serves all callers of an entry host. Background threads follow the state group and read the upstream
+//! list. Header names are left to an implementation of [`dialect::HeaderCodec`].
 
 pub mod attempt;
 pub mod body;
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,4 +1,5 @@
-//! The threads that follow the state group and read the list of upstreams.
+//! Background threads that keep an entry host up to date: one follows the catalog, one sends heartbeats to the leader
+//! of the state group, one reads the upstream list while no leader provides it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,48 +26,49 @@
 use crate::gate::Shared;
 use crate::upstream_list::UpstreamList;
 
-/// Longest wait for an answer; a question for changes of the catalog may be held for a while before it.
+/// Longest wait for a response of a state node. A node may hold a catalog request for a while before this time starts.
 const RPC_TIMEOUT: Duration = Duration::from_millis(400);
-/// Shortest pause between two beats; news of upstreams come with them. A long prompt is read in 0.2 to 1.6 s, and what others
-/// have sent must be known before it is over: in the replay of `worst_load` 157 answers are late or pause at 0.2 s, 190 at 0.4.
+/// Shortest interval between heartbeats, which also bring observations of upstreams. A long prompt takes 0.2 to 1.6 s
+/// to prefill, and other entry hosts must learn of it before it is done; with a longer interval more responses are late
+/// or pause.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
-/// Pause between two beats of an entry host that has not been told its part, or its list to the end: callers wait for them.
+/// Interval between heartbeats until the quota share and the whole upstream list have arrived: callers wait for them.
 const STARTUP_INTERVAL: Duration = Duration::from_millis(50);
-/// Beats a second that a leader takes from all entry hosts together: a tenth of a small host's processor.
+/// Heartbeats per second that a leader receives from all entry hosts together: a tenth of a small host's CPU.
 const MAX_HEARTBEATS_PER_S: f64 = 400.0;
-/// Age of the list from which an entry host reads it for itself. Upstreams that leave must get no new work three seconds
-/// after the list says so.
+/// Age of the upstream list from which an entry host reads the list itself. Upstreams that leave must get no new work
+/// three seconds after the list says so.
 const MAX_LIST_AGE: Duration = Duration::from_millis(1_900);
-/// Pause between two looks at the age of the list.
+/// Interval at which the age of the upstream list is checked.
 const LIST_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause between two own reads of the list.
+/// Shortest interval between two reads of the list by this host.
 const MIN_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Share of the list's rate that all entry hosts together use.
+/// Share of the list's allowed request rate that all entry hosts together use.
 const LIST_RATE_SHARE: f64 = 0.5;
 
-/// What the threads need.
+/// Configuration of the background threads.
 #[derive(Clone, Debug)]
 pub struct StateSync {
     /// Name of this process.
     pub node: NodeId,
-    /// Its incarnation.
+    /// Incarnation of this process; a restart gets another one.
     pub incarnation: u64,
-    /// Inner addresses of state nodes that it was told of.
+    /// Internal addresses of state nodes from the settings.
     pub seeds: Arc<ArcSwap<Vec<SocketAddr>>>,
-    /// What the event loop sees.
+    /// State exchanged with the event loop.
     pub shared: Arc<Shared>,
-    /// The clock.
+    /// Monotonic clock that the event loop uses as well.
     pub clock: Clock,
-    /// The log.
+    /// Logger of the process.
     pub logger: Logger,
 }
 
-/// The state nodes that are known.
+/// State nodes as the nodes themselves report them.
 #[derive(Debug, Default)]
 pub(crate) struct KnownNodes {
-    /// Those that state nodes name.
+    /// Addresses of the members.
     pub(crate) members: BTreeSet<SocketAddr>,
-    /// The leader, as it was told last.
+    /// Address of the leader; `None` while it is unknown.
     pub(crate) leader: Option<SocketAddr>,
 }
 
@@ -74,7 +76,7 @@
     /// Starts the threads.
     ///
     /// # Errors
-    /// Fails when the operating system refuses a thread.
+    /// Fails when the operating system refuses to create a thread.
     pub fn start(&self, directory: Box<dyn Directory>) -> std::io::Result<()> {
         let calls = RpcRuntime::start(1, RPC_TIMEOUT)?;
         let known = Arc::new(Mutex::new(KnownNodes::default()));
@@ -89,7 +91,7 @@
         spawn("list", Box::new(move || sync.poll_list(directory)))
     }
 
-    /// Gives the addresses of all state nodes that are known.
+    /// Returns the addresses of all known state nodes.
     pub(crate) fn nodes(&self, known: &Mutex<KnownNodes>) -> BTreeSet<SocketAddr> {
         let mut nodes = known.lock().members.clone();
         nodes.extend(self.seeds.load().iter().copied());
@@ -102,13 +104,14 @@
         nodes.into_iter().nth(node_index.checked_rem(count)?)
     }
 
-    /// Gives the version in force; zero for none.
+    /// Returns the catalog version in force; zero for none.
     pub(crate) fn active_version(&self) -> u64 {
         let table = self.shared.table.load();
         table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// Tells the leader what this entry host has seen, and learns its parts of the limits.
+    /// Reports to the leader what this entry host has observed, and receives its quota share and updates of the
+    /// upstream list.
     fn send_heartbeats(&self, calls: &RpcRuntime, known: &Mutex<KnownNodes>) {
         let mut node_index = self.incarnation as usize;
         let mut client = None;
@@ -190,7 +193,8 @@
         (**share).map_or(1, |share| share.entries)
     }
 
-    /// Takes over news of the list. `handed` is when the list that the event loop got last from here was asked for.
+    /// Applies an update of the upstream list. `published` is the time of the list that this thread passed to the event
+    /// loop last.
     fn merge_list(
         &self,
         upstream_list: &mut UpstreamList,
@@ -204,7 +208,7 @@
         let sent_at = self.clock.now() - Duration::from_millis(age_ms);
         upstream_list.apply_update(update, sent_at, elapsed);
         let latest = **self.shared.list_time.load();
-        // An own read may be newer than what the leader has.
+        // This host's own read may be newer than the leader's list.
         if !upstream_list.is_complete() || latest.is_some_and(|latest| latest > sent_at) {
             return;
         }
@@ -215,7 +219,7 @@
         self.shared.list_time.store(Arc::new(*published));
     }
 
-    /// Reads the list of upstreams while no leader tells it.
+    /// Reads the upstream list while no leader provides it.
     fn poll_list(&self, mut directory: Box<dyn Directory>) {
         let mut failures = 0;
         loop {
@@ -248,7 +252,7 @@
 
     fn list_interval(&self, rate: f64) -> Duration {
         let interval = f64::from(self.entry_count()) / (rate * LIST_RATE_SHARE).max(0.1);
-        // Processes that start together would ask together for ever.
+        // Processes that start together would otherwise stay in step forever.
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
         MIN_LIST_INTERVAL.max(Duration::from_secs_f64(interval)).mul_f64(jitter)
     }
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -1,8 +1,9 @@
-//! Moves a stream's KV cache to another upstream before its own is taken away.
+//! Moves a stream's KV cache to another upstream before its own is reclaimed.
 //!
-//! A whole data centre of reclaimable upstreams ends a second or two after its notice. Streams that end with their upstream
-//! are lost where they may run only once, and read their whole prompt again elsewhere where not. The cache is copied while
-//! the stream goes on; then the upstream stops it, hands over what has been added meanwhile, and the stream goes on there.
+//! Reclaimable upstreams get a notice a second or two before they end, often all of a data centre at once. Without a
+//! move, a stream that must not run twice is lost, and any other has to prefill its whole prompt again elsewhere. The
+//! cache is copied while the stream keeps running; then the upstream stops the stream and hands over the tokens added
+//! meanwhile, and the stream continues on the target.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -27,84 +28,84 @@
 use crate::request::Request;
 use crate::upstreams::ChosenUpstream;
 
-/// Longest wait for a copy: the time between a notice and the end that it announces is two seconds and a half.
+/// Longest wait for a copy. A notice leaves two and a half seconds, so a later copy is of no use.
 const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Factor on the copy of a token's cache between data centres, where the links are half as fast.
+/// Factor on the copy time of a token between data centres, whose links have half the bandwidth.
 const REMOTE_COPY_FACTOR: f64 = 2.0;
-/// Time up to which a copy is made at once, with the stream stopped: callers notice no pause, and a second call would queue
-/// once more behind the other copies on the link.
+/// Longest copy that is made in one call with the stream stopped. Callers don't notice a pause this short, and a second
+/// call would queue behind the other copies on the link again.
 const MAX_ONE_STEP_COPY: Duration = Duration::from_millis(25);
-/// Longest wait for the end of a stream that its upstream has handed over. Its last events are made anew from the copy, so
-/// that a connection which falls silent costs no more than this.
+/// Longest wait for the connection of a handed-over stream to end. The target generates the last events again from the
+/// copy, so a connection that goes silent costs no more than this.
 const HANDOVER_WAIT: Duration = Duration::from_millis(150);
-/// Part of the time left by which streams that can begin anew elsewhere let the others go first: what may run only once is
-/// lost without a copy, and one link carries one copy after the other.
+/// Share of the time left for which streams that can restart elsewhere wait before copying. One link carries one copy
+/// after the other, and streams that must not run twice are lost without a copy, so those go first.
 const YIELD_SHARE: f64 = 0.25;
-/// Time between two tokens until a stream has shown its own; four times that of an idle engine.
+/// Assumed time between two tokens until the stream has shown its own; four times that of an idle engine.
 const DEFAULT_TOKEN_INTERVAL: Duration = Duration::from_millis(16);
 
-/// A copy that came to nothing.
+/// A copy of a stream's KV cache that failed.
 #[derive(Clone, Debug, Display, Error)]
 pub enum MoveError {
-    /// The upstream was not reached, or its answer broke off.
+    /// The source could not be reached, or its response broke off.
     #[display("copy from {from}: {error}")]
     Broken {
-        /// Where the stream runs.
+        /// Address of the upstream that runs the stream.
         from: SocketAddr,
-        /// What is known of the call.
+        /// Failure of the copy call.
         error: AttemptError,
     },
-    /// No answer in time.
+    /// The source did not answer within [`COPY_TIMEOUT`].
     #[display("copy from {from}: no answer in time")]
     Timeout {
-        /// Where the stream runs.
+        /// Address of the upstream that runs the stream.
         from: SocketAddr,
     },
-    /// The upstream refused: no room at the other, or no such stream.
+    /// The source refused: the target has no room, or the stream does not exist.
     #[display("copy from {from} to {target}: refused with {status}")]
     Refused {
-        /// Where the stream runs.
+        /// Address of the upstream that runs the stream.
         from: SocketAddr,
-        /// Where it was to go.
+        /// Address of the upstream that was to receive the copy.
         target: SocketAddr,
-        /// Status of the refusal.
+        /// Status code of the refusal.
         status: u16,
     },
 }
 
-/// A stream's cache at another upstream, for the request that goes on with it.
+/// A copy of a stream's KV cache from which a request can continue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvCopy {
     /// The upstream that holds the copy.
     pub upstream: ChosenUpstream,
-    /// Where the copy came from.
+    /// Address of the upstream that the cache was copied from.
     pub source: SocketAddr,
-    /// Name of the copy there.
+    /// Name of the copy on the upstream that holds it.
     pub handle: String,
 }
 
 type CopyCall = Pin<Box<dyn Future<Output = Result<String, MoveError>>>>;
 
-/// How far the move of a stream is.
+/// Progress of a move.
 enum MoveState {
-    /// Nothing is announced, or nothing can be done about it.
+    /// No end was announced, or the stream stays where it is.
     Idle,
-    /// Streams that would be lost go first.
+    /// Waits so that streams that must not run twice are copied first.
     Yielding(Pin<Box<Sleep>>),
-    /// The cache is copied while the stream goes on.
+    /// Copies the cache while the stream keeps running.
     Copying(ChosenUpstream, CopyCall),
-    /// The upstream stops the stream and hands the rest over.
+    /// The source has been told to stop the stream and hand over the rest.
     Stopping(ChosenUpstream, CopyCall),
-    /// The copy is whole, and the stream's connection ends.
+    /// The copy is complete; waits for the stream's connection to end.
     Ready(KvCopy, Pin<Box<Sleep>>),
 }
 
-/// Moves one stream away from an upstream that is taken away.
+/// Moves one stream away from an upstream that is about to be reclaimed.
 pub(crate) struct StreamMover {
     source: ChosenUpstream,
     notice: Rc<ReclaimNotice>,
     state: MoveState,
-    /// Whether the end was looked at; streams that end in time, or can't be moved, stay.
+    /// Whether the announced end has been handled; streams that finish in time or can't be moved stay where they are.
     decided: bool,
     failed_copies: u32,
 }
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Waits until the move is one step further, and tells whether the stream has been handed over long enough for its
-    /// connection to have ended; ends never while there is nothing to do. It may be dropped and called again.
+    /// Waits for the next step of the move and returns whether the stream's connection should have ended by now, as its
+    /// handover was long enough ago. Pends forever while there is nothing to do. Cancel safe.
     pub(crate) async fn advance(&mut self, request: &Request, gateway: &Rc<Gateway>, parser: &EventParser) -> bool {
         match &mut self.state {
             MoveState::Idle if self.decided => std::future::pending().await,
@@ -147,7 +148,7 @@
         false
     }
 
-    /// Gives the time for which a stream lets others go first.
+    /// Returns how long a stream lets others copy first.
     fn yield_time(&self, request: &Request, gateway: &Gateway) -> Duration {
         if !request.is_idempotent() {
             return Duration::ZERO;
@@ -156,7 +157,7 @@
         time_left.unwrap_or_default().mul_f64(YIELD_SHARE)
     }
 
-    /// Takes the next step after a call for a copy has ended.
+    /// Moves on to the next state after a copy call has ended.
     fn copy_ended(
         &mut self,
         result: Result<String, MoveError>,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Notes a copy that came to nothing; one that did not stop the stream is made once more.
+    /// Records a failed copy, and starts another one if the stream is still running.
     fn copy_failed(
         &mut self,
         state: &MoveState,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Gives the copy once the stream has ended at its upstream; waits for it if the upstream is handing it over.
+    /// Returns the copy after the stream's connection has ended; waits for it if the upstream is handing over.
     pub(crate) async fn take_copy(
         &mut self,
         request: &Request,
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Begins to copy the cache, unless the stream ends in time or the copy would not.
+    /// Starts to copy the cache, unless the stream finishes in time or the copy would not.
     fn start_copy(&mut self, request: &Request, gateway: &Rc<Gateway>, parser: &EventParser) {
         let Some(time_left) = self.notice.time_left(gateway.clock.now()) else {
             return;
@@ -243,15 +244,15 @@
         }
     }
 
-    /// Chooses where the stream goes on; a move is one more send of the request.
+    /// Chooses the target; a move counts as a retry of the request.
     fn choose_target(&self, request: &Request, gateway: &Rc<Gateway>) -> Option<ChosenUpstream> {
         let tried = [self.source.id.clone()];
         let chosen = request.choose_upstream(gateway, &tried).ok()?;
-        // A copy takes a slot there at once.
+        // The copy occupies a slot on the target at once.
         if !chosen.prediction.has_slot || !gateway.may_retry(&request.service) {
             return None;
         }
-        // The copy brings everything that was read.
+        // Nothing is left to prefill on the target.
         let prompt_tokens = request.info.prompt_parts.iter().map(|part| part.tokens).sum();
         let prefill = PrefillWork {
             cached: prompt_tokens,
@@ -315,7 +316,7 @@
     }
 }
 
-/// Decides what becomes of a stream whose upstream ends.
+/// Decides whether a stream on an upstream that ends is finished, moved or replayed.
 fn choose_action(stream: &Stream<()>, engine: EngineSpec, engine_rates: pace::EngineRates) -> StreamAction {
     let rates = MoveRates {
         export: copy_time(&engine, 1),
@@ -326,13 +327,13 @@
         .map_or(StreamAction::Finish, |(_, action)| *action)
 }
 
-/// Gives the time to copy the cache of so many tokens to another data centre, if engines can.
+/// Returns the time to copy the cache of `tokens` tokens to another data centre, or `None` if engines can't copy.
 fn copy_time(engine: &EngineSpec, tokens: u64) -> Option<Duration> {
     let one = Duration::from_nanos(engine.copy_ns?).mul_f64(REMOTE_COPY_FACTOR);
     Some(one.mul_f64(tokens as f64))
 }
 
-/// Asks an upstream to copy a stream's cache; gives status and body of its answer.
+/// Asks an upstream to copy a stream's cache; returns status and body of the response.
 async fn request_copy(gateway: &Gateway, copy_request: &KvCopyRequest) -> Result<(u16, bytes::Bytes), AttemptError> {
     let connection = connect(copy_request.source, COPY_TIMEOUT)
         .await
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to upstreams.
+//! Pools idle connections to upstreams.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -9,26 +9,27 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Idle connections that are kept to one upstream; more would take places from other entry hosts.
+/// Most idle connections to one upstream; more would take connection slots away from other entry hosts.
 const MAX_IDLE_PER_UPSTREAM: usize = 8;
-/// How long a connection is kept whose upstream names no time.
+/// Idle timeout of a connection whose upstream announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time before an upstream closes an idle connection from which it is not used any more: a request that crosses the close
-/// has an unknown outcome.
+/// Time before an upstream closes an idle connection at which it is no longer used. A request sent while the upstream
+/// closes the connection has an unknown outcome.
 const CLOSE_MARGIN: Duration = Duration::from_millis(600);
-/// Idle time after which a connection is not trusted with a request that may run only once.
+/// Idle time after which a connection is not used for a request that must run at most once.
 const MAX_ONCE_IDLE: Duration = Duration::from_secs(1);
-/// Longest wait for a connection. Data centres are a few milliseconds apart; an upstream without power never answers.
+/// Longest wait for a connection. Data centres are a few milliseconds apart, and an upstream without power never
+/// answers.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A connection to an upstream.
 #[derive(Debug)]
 pub struct Connection {
-    /// The stream.
+    /// Socket of the connection.
     pub stream: TcpStream,
-    /// What was read and not used yet.
+    /// Bytes that were read but not parsed yet.
     pub buffer: BytesMut,
-    /// Whether it has served a request before.
+    /// Whether the connection has served a request before.
     pub reused: bool,
 }
 
@@ -39,14 +40,14 @@
     expires_at: Instant,
 }
 
-/// Idle connections by address.
+/// Idle connections by upstream address.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: HashMap<SocketAddr, Vec<IdleConnection>>,
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection that is still good; `once` asks for one that was in use a moment ago.
+    /// Takes a usable idle connection; with `runs_once` only one that was in use a moment ago.
     pub fn take(&mut self, address: SocketAddr, runs_once: bool) -> Option<Connection> {
         let idle = self.idle.get_mut(&address)?;
         let now = Instant::now();
@@ -63,7 +64,7 @@
         None
     }
 
-    /// Keeps a connection whose last answer was whole.
+    /// Adds a connection whose last response is complete; `idle_timeout` is that of the upstream.
     pub fn put(&mut self, address: SocketAddr, connection: Connection, idle_timeout: Option<Duration>) {
         let idle_since = Instant::now();
         let lifetime = idle_timeout
@@ -83,7 +84,7 @@
         });
     }
 
-    /// Closes what has been idle for its time.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&mut self) {
         let now = Instant::now();
         for idle in self.idle.values_mut() {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Tells whether nothing has arrived since the last answer, neither an end nor bytes that belong to no request.
+/// Returns whether nothing has arrived since the last response, neither the end of the connection nor unexpected bytes.
 fn is_quiet(connection: &mut Connection) -> bool {
     let mut byte = [0; 1];
     let no_data = |error: &std::io::Error| error.kind() == ErrorKind::WouldBlock;
@@ -107,7 +108,7 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// Fails when the upstream doesn't accept one in time; nothing was sent then.
+/// Fails if the upstream does not accept the connection in time; nothing was sent then.
 pub async fn connect(address: SocketAddr, max_wait: Duration) -> std::io::Result<Connection> {
     let stream = timeout(max_wait.min(CONNECT_TIMEOUT), TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
--- a/crates/gateway/src/rate_reporter.rs
+++ b/crates/gateway/src/rate_reporter.rs
@@ -1,4 +1,4 @@
-//! Tells what has been learnt of upstreams: in metrics always, and in the log when it has changed.
+//! Reports the learnt speed of engines: always as metrics, and in the log when it has changed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,19 +12,19 @@
 
 use crate::upstreams::Upstreams;
 
-/// Shortest time between two lines about a service; rates settle within some seconds of load.
+/// Shortest interval between two log lines about a service; rates settle within some seconds of load.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Change of a rate, as a part of it, that is worth a line: what shows in predictions.
+/// Relative change of a rate that is logged; a smaller one hardly shows in predictions.
 const MIN_LOG_CHANGE: f64 = 0.2;
 
-/// What was logged last of each service.
+/// The rates of each service that were logged last.
 #[derive(Debug, Default)]
 pub(crate) struct RateReporter {
     reported: RefCell<HashMap<ServiceName, (Tick, EngineRates)>>,
 }
 
 impl RateReporter {
-    /// Tells what is learnt now.
+    /// Updates the metrics, and logs the rates that have changed.
     pub(crate) fn report(&self, upstreams: &Upstreams, logger: &Logger, now: Tick) {
         for (service, rates) in upstreams.all_rates() {
             let name = service.to_string();
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,25 +1,25 @@
-//! Answers that the entry host gives itself.
+//! Responses of the entry host's own.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// An answer of the entry host's own.
+/// A response with which the entry host refuses a request.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display("{status} {reason}")]
 pub struct Refusal {
     /// Status code.
     pub status: u16,
-    /// Why, in words.
+    /// Why the request was refused; sent as the body.
     pub reason: String,
-    /// When to come back.
+    /// Delay after which the caller should try again; `None` if it need not.
     pub retry_after: Option<Duration>,
-    /// Whether the connection ends with it.
+    /// Whether the connection is closed after the response.
     pub close: bool,
 }
 
 impl Refusal {
-    /// Makes an answer that keeps the connection.
+    /// Creates a response that keeps the connection open.
     #[must_use]
     pub fn new(status: u16, reason: impl Into<String>) -> Self {
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Makes an answer after which nothing more can be read from the caller.
+    /// Creates a response after which nothing more can be read from the caller.
     #[must_use]
     pub fn closing(status: u16, reason: impl Into<String>) -> Self {
         Self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the delay after which the caller should try again.
     #[must_use]
     pub fn with_retry_after(self, after: Duration) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Writes the answer.
+    /// Renders the response; `close` announces the end of the connection.
     #[must_use]
     pub fn render(&self, close: bool) -> Vec<u8> {
         let status = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
@@ -68,7 +68,7 @@
     }
 }
 
-/// Gives the usual words for a status.
+/// Returns the standard reason phrase of a status code.
 #[must_use]
 pub const fn reason_phrase(status: u16) -> &'static str {
     match status {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its final answer.
+//! Serves one request, from its head to its final response.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,81 +23,81 @@
 use crate::stream;
 use crate::upstreams::{ChosenUpstream, NoUpstream, UpstreamNeed};
 
-/// Connections that may fail before the request is given up; nothing was sent on them.
+/// Connection attempts that may fail before the request is given up; nothing was sent on them.
 const MAX_FAILED_CONNECTS: usize = 3;
-/// Shortest and longest time after which a refused caller is asked to come back; spread evenly, so that those who were
-/// refused together don't come back together.
+/// Shortest and longest retry delay for a refused caller, in seconds. The delay is random, so that callers refused
+/// together don't return together.
 const RETRY_AFTER_S: (f64, f64) = (0.25, 0.9);
-/// Share of the time that is left beyond which callers don't wait for a second try.
+/// Longest retry delay as a share of the time left; with a longer one callers give up instead of trying again.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.33;
 
 /// A request that is being served.
 #[derive(Debug)]
 pub struct Request {
-    /// Its head.
+    /// Request line and headers.
     pub head: Head<RequestLine>,
-    /// What the head asks for.
+    /// Contents of the headers that concern the gateway.
     pub info: RequestInfo,
-    /// Its body.
+    /// The whole body, without its framing.
     pub body: Bytes,
-    /// The route.
+    /// Route that the request matched.
     pub route: Route,
-    /// The service that was drawn.
+    /// Service that the route's weights selected.
     pub service: ServiceName,
-    /// The client account.
+    /// Account that the key belongs to; `None` without a known key.
     pub account: Option<ClientAccount>,
-    /// When it came.
+    /// When the first bytes of the request had arrived.
     pub arrived: Instant,
-    /// When it gets its final answer at the latest.
+    /// When the final response is sent at the latest.
     pub deadline: Instant,
-    /// Units of the account's quota that it took.
+    /// Units taken from the account's quota.
     pub quota_units: f64,
-    /// Whether the connection is kept afterwards.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// How far it is.
+    /// Progress so far.
     pub progress: Cell<Progress>,
-    /// The upstream that was chosen last.
+    /// The upstream that was chosen last; `None` before the first choice.
     pub last_upstream: RefCell<Option<ChosenUpstream>>,
 }
 
-/// How far a request is, for what is answered when its time is over.
+/// Progress of a request, which determines the response when its time is up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Whether an upstream may have run it.
+    /// Whether an upstream may have run the request.
     pub may_have_run: bool,
-    /// Whether a part of the answer has left.
+    /// Whether a part of the response was sent.
     pub output_started: bool,
-    /// Whether it was counted as begun.
+    /// Whether the request was counted as started.
     pub counted: bool,
-    /// Upstreams that it was sent to.
+    /// Number of upstreams that the request was sent to.
     pub sends: u32,
-    /// Milliseconds until the first part of the answer left.
+    /// Milliseconds from arrival to the first part of the response; `None` before it.
     pub first_ms: Option<u64>,
-    /// Milliseconds of the longest pause between two parts.
+    /// Longest pause between two parts of the response, in milliseconds.
     pub max_pause_ms: u64,
-    /// Milliseconds until the last part left.
+    /// Milliseconds from arrival to the last part of the response so far.
     pub last_ms: u64,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The answer was passed on whole.
+    /// The whole response of an upstream was forwarded.
     Passed {
-        /// Its status.
+        /// Status code of the response.
         status: u16,
     },
-    /// The entry host answered itself.
+    /// The entry host sent a response of its own.
     Refused(Refusal),
-    /// The answer broke off midway.
+    /// The response broke off.
     Broken {
-        /// Why.
+        /// Why the response broke off.
         reason: String,
     },
 }
 
 impl Request {
-    /// Serves the request and tells how it ended; what is written has left by then.
+    /// Serves the request and returns how it ended, after everything has been written.
     pub async fn serve(&self, gateway: &Rc<Gateway>, out: &mut OwnedWriteHalf) -> Outcome {
         gateway.record_running(&self.service, 1.0);
         let outcome = match timeout_at(self.deadline, self.run_attempts(gateway, out)).await {
@@ -107,7 +107,7 @@
         gateway.record_running(&self.service, -1.0);
         if let (Outcome::Refused(_), Some(account), false) = (&outcome, &self.account, self.progress.get().may_have_run)
         {
-            // What was not run must not count against the account when its caller comes back.
+            // A request that was not run must not use up quota, or its retry would be refused.
             gateway.refund(&account.name, self.quota_units);
         }
         let outcome = self.send_refusal(outcome, out).await;
@@ -115,7 +115,7 @@
         outcome
     }
 
-    /// Writes the entry host's own answer.
+    /// Writes the entry host's own response, if that is the outcome.
     async fn send_refusal(&self, outcome: Outcome, out: &mut OwnedWriteHalf) -> Outcome {
         if let Outcome::Refused(refusal) = &outcome
             && out.write_all(&refusal.render(!self.keep_alive)).await.is_err()
@@ -127,7 +127,7 @@
         outcome
     }
 
-    /// Gives the final answer of a request whose time is over.
+    /// Returns the outcome of a request whose time is up.
     fn timeout_outcome(&self) -> Outcome {
         let progress = self.progress.get();
         if progress.output_started {
@@ -180,7 +180,7 @@
         self.failure_outcome(last_error)
     }
 
-    /// Gives the final answer when no further attempt is made.
+    /// Returns the outcome when no further attempt is made.
     fn failure_outcome(&self, last_error: Option<AttemptError>) -> Outcome {
         let reason = last_error.map_or_else(|| "no attempt was made".to_owned(), |error| error.to_string());
         if self.progress.get().may_have_run {
@@ -206,17 +206,17 @@
         Refusal::new(503, format!("not run: {reason}")).with_retry_after(self.retry_delay())
     }
 
-    /// Gives when a refused caller should come back.
+    /// Returns the delay after which a refused caller should try again.
     fn retry_delay(&self) -> Duration {
         let left = self.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
         let delay = rand::rng().random_range(RETRY_AFTER_S.0..RETRY_AFTER_S.1);
         Duration::from_secs_f64(delay.min(left * MAX_RETRY_AFTER_SHARE).max(0.01))
     }
 
-    /// Passes an answer on.
+    /// Forwards a response.
     ///
     /// # Errors
-    /// Tells what is certain about the request when nothing of the answer has left yet and it can't be used.
+    /// Returns the outcome of the attempt if the response can't be used and no part of it was sent.
     async fn forward(
         &self,
         gateway: &Rc<Gateway>,
@@ -260,17 +260,17 @@
         })
     }
 
-    /// Tells whether another attempt could be made.
+    /// Returns whether another attempt may be made.
     fn has_attempts_left(&self) -> bool {
         self.progress.get().sends < self.route.attempts
     }
 
-    /// Tells whether the request may run more than once.
+    /// Returns whether the request may run more than once.
     pub(crate) fn is_idempotent(&self) -> bool {
         matches!(self.route.repeat, Repeatable::Idempotent | Repeatable::ResumableStream)
     }
 
-    /// Notes that a part of the answer leaves.
+    /// Records that a part of the response is being sent.
     pub(crate) fn record_output(&self) {
         let mut progress = self.progress.get();
         let now_ms = self.arrived.elapsed().as_millis() as u64;
@@ -283,7 +283,7 @@
         self.progress.set(progress);
     }
 
-    /// Counts the request as begun, once.
+    /// Counts the request as started, once.
     pub(crate) fn count_usage(&self, gateway: &Gateway) {
         let mut progress = self.progress.get();
         if let (Some(account), false) = (&self.account, progress.counted) {
@@ -293,7 +293,7 @@
         self.progress.set(progress);
     }
 
-    /// Gives the time between two tokens of the answer so far.
+    /// Returns the mean time between the tokens sent so far.
     pub(crate) fn token_interval(&self, tokens: u64) -> Option<Duration> {
         let first = Duration::from_millis(self.progress.get().first_ms?);
         let elapsed = self.arrived.elapsed().saturating_sub(first);
--- a/crates/gateway/src/request_reader.rs
+++ b/crates/gateway/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! The reading side of a caller's connection.
+//! Reads requests from a caller's connection.
 
 use std::time::Duration;
 
@@ -10,36 +10,36 @@
 use crate::body::BodyDecoder;
 use crate::head::{self, Framing, Head, HeadError, RequestLine};
 
-/// Bytes of later requests that are read while one is served; a caller that sends more has to wait.
+/// Most bytes of later requests that are read while one is served; a caller that sends more has to wait.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// How long what a caller still sends is read after its connection has ended on this side; a reset would else destroy the
-/// answer on its way.
+/// Longest time for which a caller's bytes are read after this side has closed the connection; closing at once would
+/// send a reset, which destroys a response on its way.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(1);
 
-/// The reading side of a connection.
+/// Read half of a caller's connection.
 #[derive(Debug)]
 pub struct RequestReader {
     reader: OwnedReadHalf,
     buffer: BytesMut,
 }
 
-/// What came instead of a whole request.
+/// Why no whole request was read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The caller is gone, or was idle for too long between requests.
+    /// The caller closed the connection, or left it idle between requests for too long.
     Closed,
-    /// The head is not as it should be.
+    /// The head is invalid or too long.
     Head(HeadError),
-    /// The body breaks its framing.
+    /// The body violates its framing.
     MalformedBody,
-    /// The body is larger than allowed.
+    /// The body is longer than allowed.
     BodyTooLarge,
-    /// The rest did not come in time.
+    /// The rest of the request did not arrive in time.
     Timeout,
 }
 
 impl RequestReader {
-    /// Reads from a connection.
+    /// Creates a reader of a connection.
     #[must_use]
     pub fn new(reader: OwnedReadHalf) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Waits until a request begins.
+    /// Waits for the first bytes of a request; returns whether they arrived.
     pub async fn wait_for_data(&mut self) -> bool {
         if !self.buffer.is_empty() {
             return true;
@@ -59,7 +59,7 @@
     /// Reads a head.
     ///
     /// # Errors
-    /// Tells what came instead.
+    /// Fails if no valid head arrives in time.
     pub async fn read_head(&mut self, max_bytes: usize, max_wait: Duration) -> Result<Head<RequestLine>, ReadError> {
         let deadline = Instant::now() + max_wait;
         loop {
@@ -73,7 +73,7 @@
     /// Reads a body.
     ///
     /// # Errors
-    /// Tells what came instead.
+    /// Fails if no valid body arrives in time.
     pub async fn read_body(
         &mut self,
         framing: Framing,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Waits until the caller has gone; what it sends meanwhile is kept for later.
+    /// Waits until the caller closes the connection; bytes that arrive meanwhile are kept for the next request.
     pub async fn wait_closed(&mut self) {
         while self.buffer.len() < MAX_READ_AHEAD_BYTES {
             match self.reader.read_buf(&mut self.buffer).await {
@@ -113,7 +113,7 @@
         std::future::pending::<()>().await;
     }
 
-    /// Reads and forgets what the caller still sends.
+    /// Reads and discards what the caller still sends.
     pub async fn drain(&mut self) {
         let deadline = Instant::now() + MAX_DRAIN_TIME;
         loop {
--- a/crates/gateway/src/response_head.rs
+++ b/crates/gateway/src/response_head.rs
@@ -1,12 +1,12 @@
-//! Heads of answers as callers get them.
+//! Writes response heads for callers.
 
 use crate::head::{Head, StatusLine};
 use crate::refusal::reason_phrase;
 
-/// Largest answer, with its head, whose buffer is made at once.
+/// Initial buffer capacity for a message head; a larger head grows the buffer.
 pub(crate) const HEAD_CAPACITY: usize = 512;
 
-/// Writes the head of an answer; without a length the body comes in chunks.
+/// Writes the head of a response; without a length the body is chunked.
 pub(crate) fn response_head(head: &Head<StatusLine>, length: Option<usize>, keep_alive: bool) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEAD_CAPACITY + length.unwrap_or(0));
     let status = head.start.status;
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, and how long it may take.
+//! Determines where a request goes, and how long it may take.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 use crate::refusal::Refusal;
 use crate::routing_table::{RoutingTable, pick_service};
 
-/// Time before a caller's deadline at which its final answer leaves, so that it arrives in time.
+/// Time before a caller's deadline at which the final response is sent, so that it arrives in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// Wait that is taken for a caller's that names none.
+/// Timeout of a request whose caller sets none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time after which a caller comes back that found a host without a configuration.
+/// Retry delay for a caller whose route or key may be in a catalog version that this host doesn't have yet.
 const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Gateway {
-    /// Finds route, service and account of a request.
+    /// Determines the route, service and account of a request.
     ///
     /// # Errors
-    /// Gives the answer of a request that can't be served.
+    /// Returns the response to a request that can't be served.
     pub fn route_request(
         &self,
         head: &Head<RequestLine>,
@@ -49,7 +49,8 @@
         Ok((route.clone(), service.clone(), account.cloned()))
     }
 
-    /// Gives the answer to a request for what the table doesn't hold: final only where no newer version may hold it.
+    /// Returns the response to a request whose route or key the table doesn't hold. It is final only if no newer
+    /// catalog version may hold them.
     fn not_found(&self, table: &RoutingTable, refusal: Refusal) -> Refusal {
         if self.shared.is_current(table, self.clock.now()) {
             return refusal;
@@ -57,7 +58,7 @@
         Refusal::new(503, "not run: the configuration here may not be the newest").with_retry_after(CONFIG_RETRY_AFTER)
     }
 
-    /// Gives the time at which a request gets its final answer at the latest.
+    /// Returns the deadline of a request's final response.
     #[must_use]
     pub fn deadline(&self, arrived: Instant, info: &RequestInfo, route: &Route) -> Instant {
         let max_wait = info.timeout.unwrap_or(DEFAULT_TIMEOUT).saturating_sub(DEADLINE_MARGIN);
--- a/crates/gateway/src/routing_table.rs
+++ b/crates/gateway/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! The catalog in the form in which requests look things up.
+//! The catalog in the form in which requests are looked up.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 /// A version of the catalog.
 ///
-/// Versions share what they have in common, so that the next one costs as much as it changes.
+/// Versions share unchanged data, so that a new version costs only as much as its changes.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
     version: u64,
@@ -17,7 +17,7 @@
     accounts: Arc<Accounts>,
 }
 
-/// Routes by host in lower case, those with the longest prefix first.
+/// Routes by lower-case host; routes with the longest prefix come first.
 type RoutesByHost = Arc<HashMap<Arc<str>, Arc<Vec<Arc<Route>>>>>;
 
 #[derive(Clone, Debug, Default)]
@@ -27,13 +27,13 @@
 }
 
 impl RoutingTable {
-    /// Makes the table of a catalog.
+    /// Builds the table of a whole catalog.
     #[must_use]
     pub fn new(catalog: &Catalog) -> Self {
         Self::default().with_delta(&Delta::whole(catalog))
     }
 
-    /// Gives the table to which a delta leads.
+    /// Returns the table after a delta.
     #[must_use]
     pub fn with_delta(&self, delta: &Delta) -> Self {
         let empty = Self::default();
@@ -105,36 +105,37 @@
         }
     }
 
-    /// Gives the version.
+    /// Returns the version of the catalog.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Gives what callers may send.
+    /// Returns the limits on what callers may send.
     #[must_use]
     pub const fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Gives the number of routes.
+    /// Returns the number of routes of all hosts.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.routes.values().map(|routes| routes.len()).sum()
     }
 
-    /// Gives the client accounts.
+    /// Returns all client accounts, ordered by name.
     pub fn accounts(&self) -> impl Iterator<Item = &ClientAccount> {
         self.accounts.by_name.values().flatten().map(|account| &**account)
     }
 
-    /// Finds a service.
+    /// Finds a service by its name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Finds the route of a request: among those of its host the one with the longest prefix that begins the path.
+    /// Finds the route of a request: of the routes of its host, the one with the longest prefix that the path starts
+    /// with.
     #[must_use]
     pub fn find_route(&self, host: &str, target: &str) -> Option<&Route> {
         let path = target.split(['?', '#']).next().unwrap_or_default();
@@ -153,14 +154,14 @@
         self.accounts.by_key.get(key).map(|account| &**account)
     }
 
-    /// Tells whether requests need a key unless their route is public.
+    /// Returns whether requests need a key unless their route is public.
     #[must_use]
     pub fn requires_key(&self) -> bool {
         !self.accounts.by_name.is_empty()
     }
 }
 
-/// Draws one of a route's services by weight; `draw` is uniform from 0 to 1.
+/// Picks one of a route's services by weight; `draw` is uniform in [0, 1). Returns `None` if no service has a weight.
 #[must_use]
 pub fn pick_service(route: &Route, draw: f64) -> Option<&ServiceName> {
     let sum: u64 = route.split.iter().map(|share| u64::from(share.weight)).sum();
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The listeners of an entry host and its planned stop.
+//! The listeners of an entry host, and its planned stop.
 
 use std::cell::Cell;
 use std::io;
@@ -20,49 +20,49 @@
 use crate::head::{self, Head, RequestLine};
 use crate::rate_reporter::RateReporter;
 
-/// Pause between two looks at what other threads have brought.
+/// Interval at which the event loop exchanges state with the background threads.
 pub(crate) const SYNC_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after the request to stop in which the balancer notices that the host is not ready; idle connections stay until
-/// then, and requests are served. It asks once a second and wants two misses. What comes later and could be cut by the end
+/// Time after the request to stop in which requests are still served and idle connections stay open. The balancer
+/// probes once a second and takes a host out after two failed probes. A later request that could be cut off by the end
 /// of the process is refused as not run.
 pub(crate) const DRAIN_TIME: Duration = Duration::from_millis(2_700);
-/// Time before the process is ended from outside at which it ends itself.
+/// Time before the process is killed from outside at which it ends itself.
 pub(crate) const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// Connections that may wait to be accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Longest wait for a question of the balancer.
+/// Longest wait for a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest question of the balancer.
+/// Longest request head of a probe.
 const MAX_PROBE_HEAD_BYTES: usize = 8 * 1024;
-/// Pause after a connection could not be accepted, for instance because there are no descriptors left.
+/// Pause after a connection could not be accepted, for instance for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Where an entry host listens, and how long a stop may take.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSettings {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the host takes new connections.
+    /// Address for the balancer's readiness probe.
     pub ready: SocketAddr,
-    /// For scrapers.
+    /// Address for metrics scrapes; `None` to serve no metrics.
     pub metrics: Option<SocketAddr>,
-    /// Time from the request to stop until the process is ended from outside.
+    /// Time from the request to stop until the process is killed from outside.
     pub stop_grace: Duration,
 }
 
-/// What the connections of a process share besides the gate.
+/// State that the connections of a process share.
 pub(crate) struct Server {
     pub(crate) gateway: Rc<Gateway>,
     stop: Arc<AtomicBool>,
-    /// When the request to stop came.
+    /// When the process was asked to stop; `None` while it was not.
     pub(crate) stopping_since: Cell<Option<Instant>>,
-    /// Requests that are being served.
+    /// Number of requests that are being served.
     pub(crate) active: Cell<usize>,
     pub(crate) grace: Duration,
     render: Box<dyn Fn() -> String>,
 }
 
-/// Serves callers until the process is told to stop; `render` gives the metrics.
+/// Serves callers until `stop` is set; `render` returns the metrics as text.
 ///
 /// # Errors
 /// Fails when an address can't be listened on.
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Answers the balancer or a scraper.
+    /// Answers a readiness probe or a metrics scrape.
     async fn serve_probe(self: Rc<Self>, mut stream: TcpStream) {
         let mut buffer = BytesMut::new();
         loop {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Tells whether a catalog and a list of upstreams are known.
+    /// Returns whether a catalog and an upstream list are known.
     pub(crate) fn has_config(&self) -> bool {
         self.gateway.shared.table.load().is_some() && self.gateway.upstreams.borrow().list_time.is_some()
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: whole events, passed on as they come, and gone on with at another upstream where the route allows it.
+//! Forwards streams event by event, and resumes them at another upstream where the route allows it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,16 +19,17 @@
 use crate::request::{Outcome, Request};
 use crate::response_head::response_head;
 
-/// Silence before the first event after which a stream that can go on elsewhere does; an engine with a long queue may
-/// take this long, and a second run would only lengthen it.
+/// Silence before the first event after which a resumable stream is tried elsewhere. An engine with a long queue may
+/// take this long, and a second run would only lengthen the queue.
 const MAX_FIRST_SILENCE: Duration = Duration::from_secs(3);
-/// Silence between two events after which it does. Callers leave after two seconds or more.
+/// Silence between two events after which a resumable stream is resumed elsewhere. Callers leave after two seconds or
+/// more.
 const MAX_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// Passes a stream on.
+/// Forwards a stream.
 ///
 /// # Errors
-/// Tells what is certain about the request when it breaks off before its first event.
+/// Returns the outcome of the attempt if the stream breaks off before its first event.
 pub(crate) async fn forward_stream(
     request: &Request,
     gateway: &Rc<Gateway>,
@@ -58,7 +59,7 @@
         if kv_copy.is_none() {
             source.attempt.record_failure(gateway);
         }
-        // The upstream stops when its connection closes; it must have before another goes on.
+        // The upstream stops the run when its connection closes; it must have stopped before another one continues.
         drop(source);
         if !request.progress.get().output_started {
             return Err(error);
@@ -83,7 +84,7 @@
     }
 }
 
-/// Where events come from.
+/// The upstream side of a stream.
 struct EventSource {
     response: UpstreamResponse,
     attempt: ActiveAttempt,
@@ -110,10 +111,10 @@
     }
 }
 
-/// Where events go to.
+/// The caller side of a stream.
 struct EventSink<'a> {
     out: &'a mut OwnedWriteHalf,
-    /// The answer's head, until the first event.
+    /// The response head until the first event is written.
     head: Option<Vec<u8>>,
 }
 
@@ -136,13 +137,13 @@
     }
 }
 
-/// Why events no longer come or go.
+/// The side on which a stream failed.
 enum ForwardError {
     Caller(String),
     Upstream(AttemptError),
 }
 
-/// Passes events on until the stream is whole.
+/// Forwards events until the stream is complete.
 async fn forward_events(
     request: &Request,
     gateway: &Rc<Gateway>,
@@ -186,7 +187,7 @@
     }
 }
 
-/// Reads on in a stream; silence beyond the patience counts as its end.
+/// Reads the next part of a stream; silence for longer than `max_silence` counts as its end.
 async fn next_chunk(response: &mut UpstreamResponse, max_silence: Option<Duration>) -> Result<BodyChunk, AttemptError> {
     let Some(max_silence) = max_silence else {
         return response.next_chunk().await;
@@ -195,7 +196,7 @@
     chunk.unwrap_or_else(|_silent| Err(AttemptError::unknown("silent")))
 }
 
-/// Takes the whole events that have come; what was good before a bad one is passed on.
+/// Takes the complete events received so far, up to an invalid one.
 fn take_events(parser: &mut EventParser) -> (Vec<Event>, Option<EventError>) {
     let mut events = Vec::new();
     loop {
@@ -207,7 +208,7 @@
     }
 }
 
-/// Goes on where the stream's KV cache was moved to, after the last event that was passed on.
+/// Resumes the stream after the last forwarded event, at the upstream that holds the copy of its KV cache.
 async fn resume_from_copy(
     request: &Request,
     gateway: &Rc<Gateway>,
@@ -238,7 +239,7 @@
     }
 }
 
-/// Goes on at another upstream after the last event that was passed on.
+/// Resumes the stream after the last forwarded event, at another upstream.
 async fn resume_elsewhere(
     request: &Request,
     gateway: &Rc<Gateway>,
--- a/crates/gateway/src/upstream_list.rs
+++ b/crates/gateway/src/upstream_list.rs
@@ -1,4 +1,4 @@
-//! An entry host's copy of the leader's list of upstreams.
+//! An entry host's copy of the leader's upstream list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 use policy::paging::PageSize;
 use wire::registry::{Heartbeat, ListPosition, ListUpdate};
 
-/// Bytes that an entry takes in an answer, rounded up.
+/// Size of an entry in a response, rounded up.
 const BYTES_PER_ENTRY: u32 = 256;
 
-/// Entries with the times at which the list that brought them was asked for.
+/// Entries by upstream id, each with the time at which the list that brought it was requested.
 type Entries = BTreeMap<String, (Listed, Tick)>;
 
-/// The copy, and how far it has got.
+/// The copy, and how much of the list it covers.
 #[derive(Debug, Default)]
 pub struct UpstreamList {
     position: ListPosition,
     entries: Entries,
-    /// A whole list that has not arrived to its end; the old one is used until it has.
+    /// The part of a whole list that has arrived so far; the old list is used until the new one is complete.
     incoming: Option<Entries>,
     complete: bool,
     changed: bool,
@@ -27,7 +27,7 @@
 }
 
 impl UpstreamList {
-    /// Says in a beat what is known, and how much may come.
+    /// States in a heartbeat how much of the list is known, and how many entries may come.
     pub fn fill_request(&self, heartbeat: &mut Heartbeat) {
         heartbeat.list.clone_from(&self.position);
         heartbeat.max_listed = Some(self.max_entries());
@@ -37,13 +37,13 @@
         (self.page_size.bytes() / BYTES_PER_ENTRY).max(1)
     }
 
-    /// Tells whether more of the list is to come at once.
+    /// Returns whether a whole list is on its way, so that the next part should be requested at once.
     #[must_use]
     pub const fn is_incoming(&self) -> bool {
         self.incoming.is_some()
     }
 
-    /// Takes news of a list that was asked for at a time; the answer came after another.
+    /// Applies an update of a list that was requested at `requested_at`; the response took `elapsed`.
     pub fn apply_update(&mut self, update: ListUpdate, requested_at: Tick, elapsed: Duration) {
         if (update.put.len() + update.gone.len()) as u32 >= self.max_entries() / 2 {
             self.page_size.record_arrival(elapsed);
@@ -70,23 +70,23 @@
         }
     }
 
-    /// Notes that a beat got no answer in time.
+    /// Records that a heartbeat timed out, so that fewer entries are requested.
     pub fn record_timeout(&mut self) {
         self.page_size.record_loss();
     }
 
-    /// Tells whether the copy is equal to the leader's list.
+    /// Returns whether the copy equals the leader's list.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Tells whether the list has changed since the last call.
+    /// Returns whether the list has changed since the last call.
     pub const fn take_changed(&mut self) -> bool {
         std::mem::replace(&mut self.changed, false)
     }
 
-    /// Gives the list as if all of it had been asked for at a time.
+    /// Returns the list as if all entries had been requested at `requested_at`.
     #[must_use]
     pub fn entries_at(&self, requested_at: Tick) -> Vec<Listed> {
         let aged = |(entry, entry_time): &(Listed, Tick)| {
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams of the list, with what is known of each: load, failures, cached parts of prompts.
+//! The listed upstreams with the state known of each: load, failures and cached prompt parts.
 
 mod upstream;
 
@@ -18,42 +18,42 @@
 
 pub use upstream::Upstream;
 
-/// Milliseconds by which predictions may differ and still count as equal, so that entry hosts agree on the place of a
-/// prompt's parts instead of spreading them over all. Replayed with 75 engines, 0.49 of the shared tokens are read again at 25,
-/// 0.42 at 60 and 0.37 at 120, and no more answers are late.
+/// Milliseconds by which predictions may differ and still count as equal. Among equal ones entry hosts prefer the same
+/// upstream for the same prompt parts. A smaller value spreads the parts, so that more shared tokens are prefilled
+/// again; a larger one takes slower upstreams.
 const EQUAL_WITHIN_MS: f64 = 100.0;
-/// Queue places behind the slots that may be filled; an upstream refuses what comes on top.
+/// Requests per slot up to which an upstream is chosen: one that runs and one in its queue. It refuses any more.
 const MAX_LOAD_PER_SLOT: f64 = 2.0;
 
-/// All upstreams.
+/// All listed upstreams.
 #[derive(Debug, Default)]
 pub struct Upstreams {
     all: HashMap<String, Upstream>,
     reachability: HashMap<Zone, Rc<Reachability>>,
-    /// How fast the upstreams of a service read prompts.
+    /// Learnt prefill speed by service.
     speeds: HashMap<ServiceName, Rc<RefCell<SpeedEstimate>>>,
     /// How often prompts share their parts.
     part_usage: PartUsage,
-    /// When the newest list was asked for.
+    /// When the newest list was requested; `None` before the first one.
     pub list_time: Option<Tick>,
 }
 
-/// What a request needs of an upstream.
+/// Requirements of a request on its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamNeed<'a> {
-    /// The service.
+    /// Service that the upstream has to serve.
     pub service: &'a ServiceName,
-    /// Parts of the prompt.
+    /// Parts of the prompt in order; empty for a plain request.
     pub prompt_parts: &'a [PromptPart],
     /// Incarnations that were tried already.
     pub tried: &'a [String],
-    /// Own data centre.
+    /// Data centre of this entry host.
     pub zone: &'a Zone,
-    /// Whether the request may run only once.
+    /// Whether the request must run at most once.
     pub runs_once: bool,
-    /// Milliseconds of the longest pause of an answer in time; zero where it comes whole.
+    /// Longest pause in an output that counts as in time, in milliseconds; zero if the response comes as a whole.
     pub max_pause_ms: u64,
-    /// Entry hosts that share the upstreams.
+    /// Number of entry hosts that share the upstreams.
     pub entry_hosts: u32,
 }
 
@@ -66,45 +66,46 @@
         }
     }
 
-    /// Gives the tokens of the prompt.
+    /// Returns the number of prompt tokens.
     fn tokens(&self) -> u64 {
         self.prompt_parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Gives the tokens that other prompts may share; the last part belongs to the request alone.
+    /// Returns the number of tokens that other prompts may share; the last part belongs to this request alone.
     fn shared_tokens(&self) -> u64 {
         self.prompt_parts.iter().rev().skip(1).map(|part| part.tokens).sum()
     }
 }
 
-/// Gives the key of the innermost part that others share, by which the home of a prompt is found.
+/// Returns the key of the last part that prompts share. It determines the home of a prompt, the upstream that all entry
+/// hosts prefer for it.
 fn shared_key(parts: &[PromptPart]) -> u64 {
     let at = parts.len().saturating_sub(2);
     parts.get(at).map_or(0, |part| part.key)
 }
 
-/// The upstream that was chosen.
+/// The upstream chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChosenUpstream {
-    /// Its incarnation.
+    /// Incarnation of the upstream.
     pub id: String,
-    /// Where it answers.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// What was predicted.
+    /// Predicted times that led to the choice.
     pub prediction: Prediction,
-    /// Load that the prediction rests on.
+    /// Load that the prediction assumes, in requests.
     pub load: f64,
-    /// What the prompt is believed to ask of it.
+    /// Prompt tokens that the upstream is assumed to have cached, and those that it has to prefill.
     pub prefill: PrefillWork,
 }
 
 /// Why no upstream was chosen.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum NoUpstream {
-    /// The list names none.
+    /// The list has none for the service.
     #[display("no upstream is listed")]
     NoneListed,
-    /// All that are listed fail or were tried.
+    /// All listed ones fail or were tried.
     #[display("every upstream fails")]
     AllFailing,
     /// All are full.
@@ -113,7 +114,8 @@
 }
 
 impl Upstreams {
-    /// Takes a list over; what is known of upstreams that stay is kept. Returns those that began to leave or are gone.
+    /// Applies a list, keeping the state of upstreams that stay. Returns the upstreams that started to leave or are
+    /// gone.
     pub fn update(&mut self, list: Vec<Listed>, read_at: Tick) -> Vec<String> {
         let mut ended: Vec<String> = Vec::new();
         let mut previous = std::mem::take(&mut self.all);
@@ -146,7 +148,7 @@
     /// Chooses an upstream for a request.
     ///
     /// # Errors
-    /// Tells why there is none.
+    /// Returns why there is none.
     pub fn choose(&self, need: &UpstreamNeed<'_>, now: Tick) -> Result<ChosenUpstream, NoUpstream> {
         self.check_reachability(now);
         let usable = self.usable(need, now)?;
@@ -164,7 +166,7 @@
             self.part_usage
                 .cached_by_others(shared_key, other_entries, listed_for, now)
         });
-        // Without a prompt there is nothing that entry hosts could agree on: the least loaded one is taken.
+        // Without a prompt there is no cache to share, so the least loaded upstream is taken.
         let equal_within_ms = if need.prompt_parts.is_empty() {
             0.0
         } else {
@@ -182,7 +184,7 @@
         })
     }
 
-    /// Judges data centres by the requests that wait there.
+    /// Updates the reachability of data centres from the requests that wait there.
     fn check_reachability(&self, now: Tick) {
         for upstream in self.all.values() {
             if let Some(sent) = upstream.backlog.oldest() {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Gives the upstreams of a service that may take a request, in the order of their names.
+    /// Returns the upstreams of a service that may take a request, ordered by id.
     fn usable(&self, need: &UpstreamNeed<'_>, now: Tick) -> Result<Vec<&Upstream>, NoUpstream> {
         let serves = |upstream: &&Upstream| upstream.listed.service == *need.service && !upstream.listed.leaving;
         let serving: Vec<&Upstream> = self.all.values().filter(serves).collect();
@@ -205,7 +207,7 @@
         if usable.is_empty() {
             return Err(NoUpstream::AllFailing);
         }
-        // Where all others are cut off too, being cut off is no reason to refuse.
+        // If all upstreams are cut off, they are used all the same.
         let reached = |upstream: &&Upstream| !upstream.reachability.is_silent(need.runs_once, now);
         if usable.iter().any(reached) {
             usable.retain(|upstream| reached(upstream));
@@ -214,7 +216,7 @@
         Ok(usable)
     }
 
-    /// Gives what the others should know.
+    /// Returns what other entry hosts should know of the upstreams.
     #[must_use]
     pub fn observations(&self, now: Tick) -> Vec<UpstreamObservation> {
         self.all
@@ -223,7 +225,7 @@
             .collect()
     }
 
-    /// Takes what others have seen.
+    /// Applies the observations of other entry hosts.
     pub fn merge_observations(&mut self, observations: &[UpstreamObservation], received_at: Tick) {
         for observation in observations {
             let Some(upstream) = self.all.get_mut(&observation.id) else {
@@ -237,28 +239,28 @@
         }
     }
 
-    /// Notes that a prompt is sent.
+    /// Records that a prompt is sent.
     pub fn record_use(&mut self, parts: &[PromptPart], now: Tick) {
         if parts.len() > 1 {
             self.part_usage.record(shared_key(parts), now);
         }
     }
 
-    /// Gives the services of which something may have been learnt, with what it is.
+    /// Returns the learnt rates of all services; default rates if nothing was learnt.
     pub fn all_rates(&self) -> impl Iterator<Item = (&ServiceName, EngineRates)> {
         self.speeds
             .iter()
             .map(|(service, speed)| (service, speed.borrow().rates()))
     }
 
-    /// Gives what has been learnt of the upstreams of a service.
+    /// Returns the learnt rates of a service; default rates if nothing was learnt.
     #[must_use]
     pub fn rates(&self, service: &ServiceName) -> EngineRates {
         let speed = self.speeds.get(service);
         speed.map_or_else(EngineRates::default, |speed| speed.borrow().rates())
     }
 
-    /// Gives an upstream.
+    /// Returns an upstream by its incarnation.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Upstream> {
         self.all.get_mut(id)
     }
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream with what is known of it.
+//! One upstream with the state known of it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,45 +19,45 @@
 use crate::dialect::ReportedLoad;
 use crate::reclaim_notice::ReclaimNotice;
 
-/// How long a load that an upstream told counts; afterwards own requests stand for those of all entry hosts. What others
-/// have seen takes two beats to come here.
+/// Age up to which a reported load counts. After that, the load is estimated from this host's own requests.
+/// Observations of other entry hosts take two heartbeats to arrive.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(2_500);
-/// Age up to which an own sight of an upstream's load is told to the others; longer than a beat.
+/// Age up to which a load reported to this host is passed on to the others; longer than a heartbeat interval.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
-/// Milliseconds of work before a request that don't show in the time to its first event.
+/// Milliseconds of queued work that hardly show in the time to the first event of the next request.
 const MAX_UNQUEUED_MS: f64 = 5.0;
-/// Part of an upstream's slots up to which the other requests there don't hold up the reading of a prompt.
+/// Share of an upstream's slots up to which other requests hardly slow down the prefill of a prompt.
 const MAX_UNQUEUED_SHARE: f64 = 0.5;
 
-/// An upstream with what is known of it.
+/// An upstream with the state known of it.
 #[derive(Debug)]
 pub struct Upstream {
-    /// As the list names it.
+    /// Entry of the upstream list.
     pub listed: Listed,
     load: LoadEstimate,
     pub(super) breaker: Breaker,
     cached: CachedParts,
-    /// Own requests there.
+    /// Number of requests that this host runs there.
     own_requests: u32,
-    /// Hash of its name, for the homes of prompts.
+    /// Hash of the id, from which the homes of prompts are determined.
     id_hash: u64,
-    /// When it was listed first.
+    /// When the upstream was first listed.
     pub(super) listed_since: Tick,
     pub(super) backlog: Backlog,
-    /// Load that it told this entry host, and when.
+    /// Load that the upstream reported to this host, with the time.
     last_report: Option<(ReportedLoad, Tick)>,
-    /// Until when it reads what other entry hosts have sent.
+    /// When the upstream will have prefilled the prompts of other entry hosts.
     pub(super) others_busy_until: Tick,
-    /// Until when requests of other entry hosts are taken to be overdue there.
+    /// Until when requests of other entry hosts count as overdue there.
     pub(super) overdue_until: Tick,
-    /// What is learnt of its service's upstreams, and how it differs from them.
+    /// Learnt speed of the service's upstreams, and this upstream's speed relative to it.
     service_speed: Rc<RefCell<SpeedEstimate>>,
     relative_speed: RelativeSpeed,
-    /// What is heard of its data centre.
+    /// Reachability of the data centre.
     pub(super) reachability: Rc<Reachability>,
-    /// It said that it is another incarnation.
+    /// Whether another incarnation responds at the address.
     pub(super) replaced: bool,
-    /// Its announced end.
+    /// Announced end of the upstream.
     pub(super) notice: Rc<ReclaimNotice>,
 }
 
@@ -88,7 +88,7 @@
     }
 
     pub(super) fn candidate(&self, at: usize, shared_key: u64, need: &UpstreamNeed<'_>, now: Tick) -> Candidate {
-        // Other entry hosts send about as much as this one; without a fresh report the own requests stand for theirs.
+        // Without a recent report, each entry host is assumed to have sent as much as this one.
         let estimated = f64::from(self.own_requests) * f64::from(need.entry_hosts.clamp(1, 4));
         let predicted = self.load.predict(now, MAX_LOAD_AGE, true);
         Candidate {
@@ -103,16 +103,15 @@
         }
     }
 
-    /// Gives the milliseconds of work that goes before a request that is sent now: what is known to be unread, or by how much
-    /// requests are seen to wait longer, here or at another entry host.
+    /// Returns the milliseconds of work queued before a request that is sent now. It is the known prefill backlog, or
+    /// the delay of overdue requests of this and other entry hosts if that is longer.
     fn queued_ms(&self, now: Tick) -> f64 {
         let ms = |until: Tick| until.since(now).as_secs_f64() * 1_000.0;
         let pending = self.backlog.pending_ms(now) + ms(self.others_busy_until);
         pending.max(self.backlog.overdue_ms(now)).max(ms(self.overdue_until))
     }
 
-    /// Notes that a request is sent; with a prompt, its parts will be cached. Gives the number under which it waits for
-    /// its first event.
+    /// Records that a request is sent; the parts of its prompt will be cached. Returns its id in the backlog.
     pub fn record_sent(&mut self, prompt_parts: &[PromptPart], chosen: &ChosenUpstream, now: Tick) -> u64 {
         let unqueued =
             self.queued_ms(now) < MAX_UNQUEUED_MS && chosen.load < f64::from(self.listed.slots) * MAX_UNQUEUED_SHARE;
@@ -126,12 +125,12 @@
         self.own_requests += 1;
         self.load.sent(now);
         self.cached.store(prompt_parts, now);
-        // The choice has looked at the breaker; the claim keeps a second request from following a probe.
+        // The choice has already asked the breaker; the claim keeps further requests away while it tests the upstream.
         let _ = self.breaker.claim(now);
         backlog_id
     }
 
-    /// Notes that a request got its first event, or its whole answer.
+    /// Records the first event of a request, or its whole response.
     pub fn record_first_event(&mut self, backlog_id: u64, now: Tick) {
         self.breaker.succeeded();
         let Some(first_event) = self
@@ -148,7 +147,7 @@
         service_speed.learn(prefill, first_event.elapsed_ms, self.relative_speed.factor());
     }
 
-    /// Notes that a request has ended there.
+    /// Records that a request has ended.
     pub fn record_end(&mut self, backlog_id: u64, sent_at: Tick, now: Tick) {
         self.service_speed
             .borrow_mut()
@@ -158,35 +157,35 @@
         self.load.ended(now);
     }
 
-    /// Gives its announced end.
+    /// Returns the announced end.
     #[must_use]
     pub fn notice(&self) -> Rc<ReclaimNotice> {
         Rc::clone(&self.notice)
     }
 
-    /// Gives what is heard of its data centre.
+    /// Returns the reachability of the data centre.
     #[must_use]
     pub fn reachability(&self) -> Rc<Reachability> {
         Rc::clone(&self.reachability)
     }
 
-    /// Notes that it did not accept a connection.
+    /// Records that the upstream did not accept a connection.
     pub fn record_connect_failure(&mut self, now: Tick) {
         self.reachability.record_connect_timeout(now);
         self.breaker.failed(now);
     }
 
-    /// Notes a failure.
+    /// Records a failed request.
     pub fn record_failure(&mut self, now: Tick) {
         self.breaker.failed(now);
     }
 
-    /// Notes that another incarnation answers at its address.
+    /// Records that another incarnation responds at the address.
     pub fn mark_replaced(&mut self) {
         self.replaced = true;
     }
 
-    /// Notes the load that it told.
+    /// Records a load that the upstream reported.
     pub fn record_load(&mut self, load: ReportedLoad, now: Tick) {
         if load.slots > 0 {
             self.listed.slots = load.slots;
@@ -204,7 +203,7 @@
         });
     }
 
-    /// Gives what the others should know of it, if there is something.
+    /// Returns what other entry hosts should know of the upstream, if anything.
     pub(super) fn observation(&self, now: Tick) -> Option<UpstreamObservation> {
         let fresh = self.last_report.filter(|(_, at)| now.since(*at) < MAX_REPORT_AGE);
         let load = fresh.map(|(load, at)| (load.running, load.waiting, now.since(at).as_millis() as u32));
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,11 +1,11 @@
-//! Requests that began to run, by window of true time and client account.
+//! Counts started requests by window of wall-clock time and client account.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use telemetry::clock::wall_ms;
 
-/// Windows that are told again and again, so that a new leader hears of them too.
+/// Number of windows that every heartbeat repeats, so that a new leader learns of them too.
 const MAX_WINDOWS: usize = 6;
 
 /// Counts of the newest windows.
@@ -16,7 +16,7 @@
 }
 
 impl UsageCounter {
-    /// Counts in windows of a length that begin with 1970.
+    /// Creates a counter with windows of a length, numbered from the Unix epoch.
     #[must_use]
     pub const fn new(window: Duration) -> Self {
         Self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Counts a request of an account that begins now.
+    /// Counts a request of an account that starts now.
     pub fn add(&mut self, account: &str) {
         let window = wall_ms() / (self.window.as_millis() as u64).max(1);
         let counts = self.counts.entry(window).or_default();
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Gives the newest windows.
+    /// Returns the counts by window number and account.
     #[must_use]
     pub const fn counts(&self) -> &BTreeMap<u64, BTreeMap<String, u64>> {
         &self.counts
