--- a/crates/gateway/tests/body_framing.rs
+++ b/crates/gateway/tests/body_framing.rs
@@ -1,4 +1,5 @@
-//! Bodies: however the bytes are cut on their way, the same body comes out, and what breaks the framing is noticed.
+//! Decoding of bodies: the result does not depend on how the bytes are split, and violations of the framing are
+//! detected.
 
 use bytes::BytesMut;
 use gateway::body::{BodyDecoder, BodyError};
@@ -30,15 +31,15 @@
 }
 
 quickcheck! {
-    fn any_cuts(parts: Vec<Vec<u8>>, cut: usize) -> TestResult {
+    fn any_split(parts: Vec<Vec<u8>>, cut: usize) -> TestResult {
         let bytes = chunked(&parts);
         let (a, b) = bytes.split_at(cut % bytes.len());
         let whole = decode(Framing::Chunked, &[a, b]) == Ok((parts.concat(), true, 0));
         TestResult::from_bool(whole)
     }
 
-    /// A connection that breaks anywhere within a body must never look like its end.
-    fn cut_short(parts: Vec<Vec<u8>>, cut: usize) -> bool {
+    /// Guards against a truncated body that looks complete, because the connection broke at an unfortunate place.
+    fn truncated_body(parts: Vec<Vec<u8>>, cut: usize) -> bool {
         let bytes = chunked(&parts);
         let cut = cut % bytes.len();
         decode(Framing::Chunked, &[&bytes[..cut]]).is_ok_and(|(_, done, _)| !done)
@@ -46,13 +47,13 @@
 }
 
 #[test]
-fn later_bytes() {
+fn following_bytes() {
     let read = decode(Framing::Length(3), &[b"ab", b"cGET /"]);
     assert_eq!(read, Ok((b"abc".to_vec(), true, 5)));
 }
 
 #[test]
-fn odd_chunks() {
+fn malformed_chunks() {
     for bytes in [
         &b"+3\r\nabc\r\n0\r\n\r\n"[..],
         b"3\nabc\r\n0\r\n\r\n",
--- a/crates/gateway/tests/common/caller.rs
+++ b/crates/gateway/tests/common/caller.rs
@@ -1,36 +1,36 @@
-//! A caller's connection and the answers that it reads.
+//! A caller's connection and the responses that it reads.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 /// A caller's connection.
 pub struct Caller(pub BufReader<TcpStream>);
 
-/// An answer as a caller read it.
+/// A response as a caller reads it.
 #[derive(Debug)]
-pub struct Reply {
-    /// Status code; zero when the connection ended before an answer.
+pub struct Response {
+    /// Status code; zero if the connection ended before a response.
     pub status: u16,
-    /// Its head.
+    /// Status line and headers.
     pub head: String,
-    /// Its body as far as it came.
+    /// The body as far as it arrived.
     pub body: String,
-    /// Whether the body came whole.
-    pub whole: bool,
+    /// Whether the whole body arrived.
+    pub complete: bool,
 }
 
 impl Caller {
-    /// Sends a request.
-    pub fn send(&mut self, lines: &str, body: &str) {
-        self.send_to("/x/1", lines, body);
+    /// Sends a request to the path of the test route.
+    pub fn send(&mut self, headers: &str, body: &str) {
+        self.send_to("/x/1", headers, body);
     }
 
-    /// Sends a request for a path.
-    pub fn send_to(&mut self, path: &str, lines: &str, body: &str) {
-        let head = format!("POST {path} HTTP/1.1\r\nHost: a.example\r\nId: q1\r\n{lines}");
+    /// Sends a request to a path.
+    pub fn send_to(&mut self, path: &str, headers: &str, body: &str) {
+        let head = format!("POST {path} HTTP/1.1\r\nHost: a.example\r\nId: q1\r\n{headers}");
         let text = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
         self.write(&text);
     }
@@ -40,39 +40,39 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Reads an answer.
-    pub fn reply(&mut self) -> Reply {
+    /// Reads a response.
+    pub fn read_response(&mut self) -> Response {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
             let mut line = String::new();
             if self.0.read_line(&mut line).unwrap_or(0) == 0 {
-                return Reply {
+                return Response {
                     status: 0,
                     head,
                     body: String::new(),
-                    whole: false,
+                    complete: false,
                 };
             }
             head += &line;
         }
         let status = head.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
-        let (body, whole) = if head.contains("Transfer-Encoding: chunked") {
-            self.chunks()
+        let (body, complete) = if head.contains("Transfer-Encoding: chunked") {
+            self.read_chunks()
         } else {
             let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
             let mut body = vec![0; length.map_or(0, |text| text.parse().unwrap())];
-            let whole = self.0.read_exact(&mut body).is_ok();
-            (String::from_utf8(body).unwrap(), whole)
+            let complete = self.0.read_exact(&mut body).is_ok();
+            (String::from_utf8(body).unwrap(), complete)
         };
-        Reply {
+        Response {
             status,
             head,
             body,
-            whole,
+            complete,
         }
     }
 
-    fn chunks(&mut self) -> (String, bool) {
+    fn read_chunks(&mut self) -> (String, bool) {
         let mut body = String::new();
         loop {
             let mut line = String::new();
--- a/crates/gateway/tests/common/words.rs
+++ b/crates/gateway/tests/common/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of the tests' own.
+//! Header names for the tests.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use gateway::dialect::{AttemptHeaders, HeaderCodec, KvCopyRequest, RequestInfo, ResponseInfo, TokenCounts};
 use gateway::head::{Head, RequestLine, StatusLine};
 
-/// Headers of the tests' own.
-pub(super) struct Words;
+/// Headers with names for the tests.
+pub(super) struct TestHeaders;
 
-impl HeaderCodec for Words {
+impl HeaderCodec for TestHeaders {
     fn asked(&self, head: &Head<RequestLine>) -> Result<RequestInfo, String> {
         let number = |name| head.get(name).and_then(|text| text.parse().ok());
         Ok(RequestInfo {
@@ -40,8 +40,8 @@
             .kv_copy
             .map(|copy| format!("Copy: {}/{}\r\n", copy.source, copy.handle));
         let copy = copy.unwrap_or_default();
-        let lines = format!("Wait-Ms: {left}\r\nMeant: {upstream}\r\n{after}{copy}");
-        out.extend_from_slice(lines.as_bytes());
+        let headers = format!("Wait-Ms: {left}\r\nMeant: {upstream}\r\n{after}{copy}");
+        out.extend_from_slice(headers.as_bytes());
     }
 
     fn write_copy(&self, out: &mut Vec<u8>, copying: &KvCopyRequest) {
@@ -52,7 +52,8 @@
             ..
         } = copying;
         let text = format!(
-            "POST /copy HTTP/1.1\r\nOf: {request_id}\r\nTo: {target}\r\nLast: {stop_stream}\r\nContent-Length: 0\r\n\r\n"
+            "POST /copy HTTP/1.1\r\nOf: {request_id}\r\nTo: {target}\r\nLast: {stop_stream}\r\n\
+             Content-Length: 0\r\n\r\n"
         );
         out.extend_from_slice(text.as_bytes());
     }
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -22,31 +22,31 @@
 use telemetry::Clock;
 use wire::registry::QuotaShare;
 
-use super::words::Words;
-use super::{Caller, PATIENCE, Reply, Upstream, listed};
+use super::headers::TestHeaders;
+use super::{Caller, Response, TEST_TIMEOUT, Upstream, listed};
 
 /// A running entry host.
 pub struct Host {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks.
+    /// Address for readiness probes.
     pub ready: SocketAddr,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Host {
-    /// Starts one whose single route leads to the upstreams.
+    /// Starts a host with a single route to the upstreams.
     pub fn start(repeat: Repeatable, attempts: u32, upstreams: &[&Upstream]) -> Self {
-        Self::with(repeat, attempts, 5_000, upstreams)
+        Self::with_timeout(repeat, attempts, 5_000, upstreams)
     }
 
-    /// Starts one with a timeout of its route.
-    pub fn with(repeat: Repeatable, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Self {
+    /// Starts a host whose route has a timeout.
+    pub fn with_timeout(repeat: Repeatable, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Self {
         Self::run(Self::shared(repeat, attempts, timeout_ms, upstreams))
     }
 
-    /// Starts one that lets an account with the key `k` use so many requests a second.
+    /// Starts a host that limits the account with the key `k` to `per_s` requests per second.
     pub fn with_quota(upstreams: &[&Upstream], per_s: f64) -> Self {
         let shared = Self::shared(Repeatable::Once, 1, 5_000, upstreams);
         let mut catalog = Self::catalog(Repeatable::Once, 1, 5_000);
@@ -65,7 +65,7 @@
         Self::run(shared)
     }
 
-    /// Makes the catalog of such a host.
+    /// Returns the catalog of such a host.
     pub fn catalog(repeat: Repeatable, attempts: u32, timeout_ms: u64) -> Catalog {
         let service = ServiceName::from("till");
         let route = Route {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Makes what such a host knows.
+    /// Returns the shared state of such a host.
     pub fn shared(repeat: Repeatable, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Arc<Shared> {
         let catalog = Self::catalog(repeat, attempts, timeout_ms);
         let shared = Arc::new(Shared::default());
@@ -106,14 +106,15 @@
         shared
     }
 
-    /// Starts one that knows nothing yet.
+    /// Starts a host with a shared state.
     pub fn run(shared: Arc<Shared>) -> Self {
-        // Not a port that the system gives out: another test or process would be given it before the host listens there.
+        // Not a port assigned by the system, which could assign it to another test or process before the host listens
+        // on it.
         let (callers, ready) = (free_address(), free_address());
         let stop = Arc::new(AtomicBool::new(false));
-        let flag = Arc::clone(&stop);
-        let work = move || {
-            let place = HostSettings {
+        let stop_flag = Arc::clone(&stop);
+        let run_server = move || {
+            let settings = HostSettings {
                 zone: Zone::from("z"),
                 retries: RetryBounds {
                     ratio: 0.2,
@@ -123,38 +124,38 @@
                 quota_slack: Slack::default(),
                 usage_window: Duration::from_secs(5),
             };
-            let lender = QuotaBorrower::new(NodeId::from("e"), Arc::clone(&shared));
+            let borrower = QuotaBorrower::new(NodeId::from("e"), Arc::clone(&shared));
             let log = (Clock::start(), Logger::root(Discard, o!()));
-            let gate = Gateway::new(Box::new(Words), shared, place, lender, log);
-            let listen = ServerSettings {
+            let gateway = Gateway::new(Box::new(TestHeaders), shared, settings, borrower, log);
+            let server_settings = ServerSettings {
                 callers,
                 ready,
                 metrics: None,
                 stop_grace: Duration::from_secs(8),
             };
-            server::run(gate, listen, flag, Box::new(String::new)).unwrap();
+            server::run(gateway, server_settings, stop_flag, Box::new(String::new)).unwrap();
         };
         let host = Self {
             callers,
             ready,
             stop,
-            thread: Some(thread::spawn(work)),
+            thread: Some(thread::spawn(run_server)),
         };
         host.wait_listening();
         host
     }
 
     fn wait_listening(&self) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while TcpStream::connect(self.callers).is_err() {
-            assert!(begun.elapsed() < PATIENCE, "the host does not listen");
+            assert!(started.elapsed() < TEST_TIMEOUT, "the host does not listen");
             thread::sleep(Duration::from_millis(5));
         }
-        // The list is taken over at the next exchange.
+        // The host applies the upstream list at the next exchange with its background threads.
         thread::sleep(Duration::from_millis(250));
     }
 
-    /// Tells the host to stop.
+    /// Asks the host to stop.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
@@ -162,15 +163,15 @@
     /// Opens a connection.
     pub fn connect(&self) -> Caller {
         let stream = TcpStream::connect(self.callers).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Caller(BufReader::new(stream))
     }
 
-    /// Sends a request on a new connection and reads its answer.
-    pub fn ask(&self, lines: &str, body: &str) -> Reply {
+    /// Sends a request on a new connection and reads the response.
+    pub fn request(&self, headers: &str, body: &str) -> Response {
         let mut caller = self.connect();
-        caller.send(lines, body);
-        caller.reply()
+        caller.send(headers, body);
+        caller.read_response()
     }
 }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! An entry host with scripted upstreams on loopback.
+//! An entry host with scripted upstreams on the loopback interface.
 #![allow(dead_code, unused_imports, reason = "each test uses another part of it")]
 
 mod caller;
+mod headers;
 mod host;
 mod upstream;
-mod words;
 
 use std::time::Duration;
 
-pub use caller::{Caller, Reply};
+pub use caller::{Caller, Response};
 pub use host::Host;
-pub use upstream::{Script, Seen, Upstream, answer, begin_stream, listed, send_event};
+pub use upstream::{ReceivedRequest, Script, Upstream, listed, respond, send_event, start_stream};
 
-/// Longest wait for anything; only a guard against hanging.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for anything, so that no test hangs.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/gateway/tests/common/upstream.rs
+++ b/crates/gateway/tests/common/upstream.rs
@@ -10,80 +10,85 @@
 use load::trial::process::free_address;
 use parking_lot::Mutex;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
-/// A request as an upstream read it.
+/// A request as an upstream reads it.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Its head.
+pub struct ReceivedRequest {
+    /// Request line and headers.
     pub head: String,
-    /// Its body.
+    /// The whole body.
     pub body: Vec<u8>,
 }
 
-impl Seen {
-    /// Gives the value of a header.
+impl ReceivedRequest {
+    /// Returns the value of a header.
     pub fn get(&self, name: &str) -> Option<String> {
-        let start = format!("{name}: ");
-        let line = self.head.lines().find(|line| line.starts_with(&start));
-        line.map(|line| line[start.len()..].to_owned())
+        let prefix = format!("{name}: ");
+        let line = self.head.lines().find(|line| line.starts_with(&prefix));
+        line.map(|line| line[prefix.len()..].to_owned())
     }
 }
 
-/// What an upstream does with a request; it returns whether the connection stays open.
-pub type Script = Box<dyn Fn(&Seen, &mut TcpStream) -> bool + Send + Sync>;
+/// Responds to a request; returns whether the connection stays open.
+pub type Script = Box<dyn Fn(&ReceivedRequest, &mut TcpStream) -> bool + Send + Sync>;
 
 /// A scripted upstream.
 pub struct Upstream {
-    /// Where it answers.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Requests that it read.
-    pub seen: Arc<Mutex<Vec<Seen>>>,
-    /// Connections whose other side has closed.
+    /// Requests received so far.
+    pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    /// When connections were closed by the other side.
     pub closed: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl Upstream {
-    /// Starts one.
+    /// Starts an upstream.
     pub fn start(script: Script) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (seen, closed) = (Arc::default(), Arc::default());
-        let (notes, ends) = (Arc::clone(&seen), Arc::clone(&closed));
+        let (requests, closed) = (Arc::default(), Arc::default());
+        let (received, closed_at) = (Arc::clone(&requests), Arc::clone(&closed));
         let script = Arc::new(script);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (script, notes, ends) = (Arc::clone(&script), Arc::clone(&notes), Arc::clone(&ends));
-                thread::spawn(move || serve(stream, &**script, &notes, &ends));
+                let (script, received, closed_at) =
+                    (Arc::clone(&script), Arc::clone(&received), Arc::clone(&closed_at));
+                thread::spawn(move || serve(stream, &**script, &received, &closed_at));
             }
         });
-        Self { address, seen, closed }
+        Self {
+            address,
+            requests,
+            closed,
+        }
     }
 
-    /// Gives the number of requests that it read.
-    pub fn count(&self) -> usize {
-        self.seen.lock().len()
+    /// Returns the number of requests received so far.
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().len()
     }
 }
 
 fn serve(
     mut stream: TcpStream,
-    script: &(dyn Fn(&Seen, &mut TcpStream) -> bool + Send + Sync),
-    notes: &Mutex<Vec<Seen>>,
-    ends: &Mutex<Vec<Instant>>,
+    script: &(dyn Fn(&ReceivedRequest, &mut TcpStream) -> bool + Send + Sync),
+    received: &Mutex<Vec<ReceivedRequest>>,
+    closed_at: &Mutex<Vec<Instant>>,
 ) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    while let Some(seen) = read_request(&mut reader) {
-        notes.lock().push(seen.clone());
-        if !script(&seen, &mut stream) {
+    while let Some(request) = read_request(&mut reader) {
+        received.lock().push(request.clone());
+        if !script(&request, &mut stream) {
             return;
         }
     }
-    ends.lock().push(Instant::now());
+    closed_at.lock().push(Instant::now());
 }
 
-fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Seen> {
-    let mut seen = Seen::default();
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<ReceivedRequest> {
+    let mut request = ReceivedRequest::default();
     loop {
         let mut line = String::new();
         if reader.read_line(&mut line).ok()? == 0 {
@@ -92,27 +97,27 @@
         if line == "\r\n" {
             break;
         }
-        seen.head += &line;
+        request.head += &line;
     }
-    let length = seen.get("Content-Length").and_then(|text| text.trim().parse().ok());
-    seen.body = vec![0; length.unwrap_or(0)];
-    reader.read_exact(&mut seen.body).ok()?;
-    Some(seen)
+    let length = request.get("Content-Length").and_then(|text| text.trim().parse().ok());
+    request.body = vec![0; length.unwrap_or(0)];
+    reader.read_exact(&mut request.body).ok()?;
+    Some(request)
 }
 
-/// Writes an answer with a length.
-pub fn answer(seen: &Seen, stream: &mut TcpStream, status: &str, lines: &str, body: &str) -> bool {
-    let id = seen.get("Id").unwrap_or_default();
+/// Writes a response with a length.
+pub fn respond(request: &ReceivedRequest, stream: &mut TcpStream, status: &str, headers: &str, body: &str) -> bool {
+    let id = request.get("Id").unwrap_or_default();
     let text = format!(
-        "HTTP/1.1 {status}\r\nId: {id}\r\n{lines}Content-Length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status}\r\nId: {id}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
     stream.write_all(text.as_bytes()).is_ok()
 }
 
-/// Writes the head of a stream that ends with its connection or its last chunk.
-pub fn begin_stream(seen: &Seen, stream: &mut TcpStream) {
-    let id = seen.get("Id").unwrap_or_default();
+/// Writes the head of a chunked stream.
+pub fn start_stream(request: &ReceivedRequest, stream: &mut TcpStream) {
+    let id = request.get("Id").unwrap_or_default();
     let head = format!("HTTP/1.1 200 OK\r\nId: {id}\r\nSigned: s\r\nTransfer-Encoding: chunked\r\n\r\n");
     stream.write_all(head.as_bytes()).unwrap();
 }
@@ -120,14 +125,14 @@
 /// Writes one event as a chunk.
 pub fn send_event(stream: &mut TcpStream, id: u64) {
     let event = format!("id: {id}\ndata: piece {id}\n\n");
-    // The other side may have closed, which some tests want.
+    // Some tests close the other side.
     let _ = stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes());
 }
 
-/// Lists upstreams as ready, under the names `u0`, `u1` and so on.
+/// Returns list entries of upstreams that are ready, with the ids `u0`, `u1` and so on.
 pub fn listed(upstreams: &[&Upstream]) -> Vec<Listed> {
-    let one = |(at, upstream): (usize, &&Upstream)| Listed {
-        id: format!("u{at}"),
+    let entry = |(index, upstream): (usize, &&Upstream)| Listed {
+        id: format!("u{index}"),
         start: 1,
         service: ServiceName::from("till"),
         address: upstream.address,
@@ -138,5 +143,5 @@
         cold: Duration::ZERO,
         left: None,
     };
-    upstreams.iter().enumerate().map(one).collect()
+    upstreams.iter().enumerate().map(entry).collect()
 }
--- a/crates/gateway/tests/event_order.rs
+++ b/crates/gateway/tests/event_order.rs
@@ -1,4 +1,4 @@
-//! Events of a stream: whole ones only, each once and in order.
+//! Parsing of events: each is returned as a whole, once and in order.
 
 use gateway::events::{EventError, EventParser};
 use quickcheck::quickcheck;
@@ -7,7 +7,7 @@
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-fn ids(events: &mut EventParser, bytes: &[u8]) -> Result<Vec<u64>, EventError> {
+fn next_ids(events: &mut EventParser, bytes: &[u8]) -> Result<Vec<u64>, EventError> {
     events.push(bytes);
     let mut ids = Vec::new();
     while let Some(event) = events.next_event()? {
@@ -21,30 +21,30 @@
         let text: String = (1..=u64::from(count)).map(event).collect();
         let cut = cut % (text.len() + 1);
         let mut events = EventParser::default();
-        let mut seen = ids(&mut events, &text.as_bytes()[..cut]).unwrap();
-        seen.extend(ids(&mut events, &text.as_bytes()[cut..]).unwrap());
-        seen == (1..=u64::from(count)).collect::<Vec<_>>() && !events.is_partial()
+        let mut received = next_ids(&mut events, &text.as_bytes()[..cut]).unwrap();
+        received.extend(next_ids(&mut events, &text.as_bytes()[cut..]).unwrap());
+        received == (1..=u64::from(count)).collect::<Vec<_>>() && !events.is_partial()
     }
 }
 
-/// An upstream sends an event twice, or leaves one out. The caller would see a piece twice or miss one without a sign.
+/// Guards against an upstream that repeats or omits an event: the caller would get a part of the output twice, or miss
+/// one unnoticed.
 #[test]
-fn doubled_and_missing() {
+fn duplicate_and_missing() {
     let mut events = EventParser::default();
-    assert_eq!(ids(&mut events, (event(1) + &event(2)).as_bytes()), Ok(vec![1, 2]));
-    let doubled = ids(&mut events.clone(), event(2).as_bytes());
-    assert_eq!(doubled, Err(EventError::OutOfOrder { received: 2, last: 2 }));
-    let missing = ids(&mut events, event(4).as_bytes());
+    assert_eq!(next_ids(&mut events, (event(1) + &event(2)).as_bytes()), Ok(vec![1, 2]));
+    let duplicate = next_ids(&mut events.clone(), event(2).as_bytes());
+    assert_eq!(duplicate, Err(EventError::OutOfOrder { received: 2, last: 2 }));
+    let missing = next_ids(&mut events, event(4).as_bytes());
     assert_eq!(missing, Err(EventError::OutOfOrder { received: 4, last: 2 }));
 }
 
-/// An upstream dies in the middle of an event, and another goes on. What was unfinished must not be joined with what the
-/// other sends.
+/// Guards against an incomplete event of a failed upstream that is joined with the bytes of the next one.
 #[test]
-fn torn_event() {
+fn partial_event() {
     let mut events = EventParser::default();
     assert_eq!(
-        ids(&mut events, (event(1) + "id: 2\ndata: pie").as_bytes()),
+        next_ids(&mut events, (event(1) + "id: 2\ndata: pie").as_bytes()),
         Ok(vec![1])
     );
     assert!(events.is_partial());
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn goes_on() {
+fn resumed_ids() {
     let mut events = EventParser::resume_after(Some(7));
-    assert_eq!(ids(&mut events, event(8).as_bytes()), Ok(vec![8]));
+    assert_eq!(next_ids(&mut events, event(8).as_bytes()), Ok(vec![8]));
     let mut events = EventParser::resume_after(Some(7));
-    ids(&mut events, event(7).as_bytes()).unwrap_err();
+    next_ids(&mut events, event(7).as_bytes()).unwrap_err();
 }
--- a/crates/gateway/tests/fleet/engine.rs
+++ b/crates/gateway/tests/fleet/engine.rs
@@ -1,157 +1,163 @@
-//! A model engine: prompts are read in chunks between the tokens of the requests that run.
+//! A simulated LLM engine with chunked prefill: prompts are prefilled in chunks within the decode steps of running
+//! requests.
 
 use std::collections::VecDeque;
 
 use policy::place::PromptPart;
 
-/// Milliseconds of a step without a prompt; the users' sheets give 3.8 and 4.2.
-const STEP_MS: f64 = 4.2;
-/// Prompt tokens that one step reads at most.
-const CHUNK: u64 = 4_096;
-/// Prompt tokens that are read in a millisecond.
-const READ_PER_MS: f64 = 64.0;
-/// Milliseconds for a million pairs of tokens, since each token looks at all before it.
-const PAIRS_MS: f64 = 0.65;
-/// Tokens of prompts that are kept.
-const KEPT: u64 = 300_000;
-/// Tokens in one event.
-const EVENT: u64 = 8;
+/// Milliseconds of a step without prefill; the users' data sheets give 3.8 and 4.2.
+const BASE_STEP_MS: f64 = 4.2;
+/// Most prompt tokens that one step prefills.
+const MAX_STEP_TOKENS: u64 = 4_096;
+/// Prompt tokens prefilled per millisecond, without attention.
+const PREFILL_TOKENS_PER_MS: f64 = 64.0;
+/// Attention time in milliseconds per million token pairs: each token attends to all before it.
+const ATTENTION_MS: f64 = 0.65;
+/// Tokens that the prefix cache holds.
+const CACHE_TOKENS: u64 = 300_000;
+/// Output tokens per event.
+const TOKENS_PER_EVENT: u64 = 8;
 /// Requests that run at once.
 pub const SLOTS: usize = 12;
-/// Longest pause between two events for an answer in time.
-const GAP_MS: f64 = 600.0;
+/// Longest pause between two events, in milliseconds, of an output that counts as in time.
+const MAX_PAUSE_MS: f64 = 600.0;
 
 /// A request at an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Number of the request.
-    pub number: usize,
-    /// Its prompt.
-    pub parts: Vec<PromptPart>,
-    /// Prompt tokens that are to be read.
-    pub unread: u64,
-    /// Prompt tokens that were read or found.
-    pub read: u64,
-    /// Tokens of the answer still to come.
-    pub left: u64,
-    /// When the last event was made.
-    last_ms: Option<f64>,
-    /// Whether a pause was too long.
+    /// Index of the request in the replay.
+    pub id: usize,
+    /// Parts of the prompt in order.
+    pub prompt_parts: Vec<PromptPart>,
+    /// Prompt tokens still to prefill.
+    pub pending: u64,
+    /// Prompt tokens that were prefilled or cached.
+    pub processed: u64,
+    /// Output tokens still to generate.
+    pub output_left: u64,
+    /// When the last event was sent.
+    last_event_ms: Option<f64>,
+    /// Whether a pause between events was too long.
     paused: bool,
 }
 
-/// What a step brought.
+/// Something that a step brings about.
 #[derive(Debug)]
-pub enum Made {
-    /// A first event.
-    First(usize),
-    /// The end, and whether a pause was too long.
+pub enum StepEvent {
+    /// The first event of a request.
+    FirstEvent(usize),
+    /// The end of a request, and whether a pause was too long.
     End(usize, bool),
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug, Default)]
 pub struct Engine {
-    /// Requests without a slot.
+    /// Requests that wait for a slot.
     pub waiting: VecDeque<Job>,
-    /// Requests that run.
+    /// Requests that occupy a slot.
     pub running: Vec<Job>,
-    kept: VecDeque<(u64, u64)>,
-    /// Shared tokens that were read and those that were found.
-    pub shared: (u64, u64),
+    cache: VecDeque<(u64, u64)>,
+    /// Shared prompt tokens that were prefilled, and those that were cached.
+    pub shared_tokens: (u64, u64),
 }
 
 impl Engine {
-    /// Takes a request.
-    pub fn take(&mut self, number: usize, parts: Vec<PromptPart>, left: u64) {
+    /// Adds a request to the queue.
+    pub fn enqueue(&mut self, id: usize, prompt_parts: Vec<PromptPart>, output_left: u64) {
         self.waiting.push_back(Job {
-            number,
-            parts,
-            unread: 0,
-            read: 0,
-            left,
-            last_ms: None,
+            id,
+            prompt_parts,
+            pending: 0,
+            processed: 0,
+            output_left,
+            last_event_ms: None,
             paused: false,
         });
     }
 
-    /// Tells whether there is something to do.
-    pub fn busy(&self) -> bool {
+    /// Returns whether there are any requests.
+    pub fn is_busy(&self) -> bool {
         !self.waiting.is_empty() || !self.running.is_empty()
     }
 
-    /// Makes one step that begins at a time; gives its length and what it brought.
-    pub fn step(&mut self, now_ms: f64) -> (f64, Vec<Made>) {
+    /// Runs one step that begins at `now_ms`; returns its length in milliseconds and what it brings about.
+    pub fn step(&mut self, now_ms: f64) -> (f64, Vec<StepEvent>) {
         while self.running.len() < SLOTS {
             let Some(mut job) = self.waiting.pop_front() else {
                 break;
             };
-            self.look_up(&mut job);
+            self.look_up_cache(&mut job);
             self.running.push(job);
         }
-        let mut took = STEP_MS;
-        let mut room = CHUNK;
-        let mut read_now = Vec::new();
-        for job in self.running.iter_mut().filter(|job| job.unread > 0) {
-            let chunk = job.unread.min(room);
-            room -= chunk;
-            let pairs = chunk as f64 * (job.read as f64 + chunk as f64 / 2.0) / 1e6;
-            took += chunk as f64 / READ_PER_MS + pairs * PAIRS_MS;
-            job.unread -= chunk;
-            job.read += chunk;
+        let mut step_ms = BASE_STEP_MS;
+        let mut token_budget = MAX_STEP_TOKENS;
+        let mut prefilling = Vec::new();
+        for job in self.running.iter_mut().filter(|job| job.pending > 0) {
+            let chunk = job.pending.min(token_budget);
+            token_budget -= chunk;
+            let pairs = chunk as f64 * (job.processed as f64 + chunk as f64 / 2.0) / 1e6;
+            step_ms += chunk as f64 / PREFILL_TOKENS_PER_MS + pairs * ATTENTION_MS;
+            job.pending -= chunk;
+            job.processed += chunk;
             if chunk > 0 {
-                read_now.push(job.number);
+                prefilling.push(job.id);
             }
         }
-        let at = now_ms + took;
-        let mut made = Vec::new();
+        let end_ms = now_ms + step_ms;
+        let mut events = Vec::new();
         for job in &mut self.running {
-            if job.unread > 0 || (read_now.contains(&job.number) && job.last_ms.is_some()) {
+            if job.pending > 0 || (prefilling.contains(&job.id) && job.last_event_ms.is_some()) {
                 continue;
             }
-            job.left -= 1;
-            let first = job.last_ms.is_none();
+            job.output_left -= 1;
+            let first = job.last_event_ms.is_none();
             if first {
-                made.push(Made::First(job.number));
+                events.push(StepEvent::FirstEvent(job.id));
             }
-            if first || job.left.is_multiple_of(EVENT) {
-                job.paused |= job.last_ms.is_some_and(|last| at - last > GAP_MS);
-                job.last_ms = Some(at);
+            if first || job.output_left.is_multiple_of(TOKENS_PER_EVENT) {
+                job.paused |= job.last_event_ms.is_some_and(|last| end_ms - last > MAX_PAUSE_MS);
+                job.last_event_ms = Some(end_ms);
             }
-            if job.left == 0 {
-                made.push(Made::End(job.number, job.paused));
+            if job.output_left == 0 {
+                events.push(StepEvent::End(job.id, job.paused));
             }
         }
-        for done in self.running.extract_if(.., |job| job.left == 0) {
-            for part in &done.parts {
-                keep(&mut self.kept, *part);
+        for done in self.running.extract_if(.., |job| job.output_left == 0) {
+            for part in &done.prompt_parts {
+                touch(&mut self.cache, *part);
             }
         }
-        (took, made)
+        (step_ms, events)
     }
 
-    /// Finds what is kept of a prompt.
-    fn look_up(&mut self, job: &mut Job) {
-        let held = |part: &&PromptPart| self.kept.iter().any(|(key, _)| *key == part.key);
-        let found: u64 = job.parts.iter().take_while(held).map(|part| part.tokens).sum();
-        let all: u64 = job.parts.iter().map(|part| part.tokens).sum();
-        let shared: u64 = job.parts.iter().rev().skip(1).map(|part| part.tokens).sum();
-        self.shared.0 += shared.saturating_sub(found);
-        self.shared.1 += found.min(shared);
-        job.read = found.min(all - 1);
-        job.unread = all - job.read;
-        for part in &job.parts {
-            keep(&mut self.kept, *part);
+    /// Looks up which parts of a prompt are cached.
+    fn look_up_cache(&mut self, job: &mut Job) {
+        let is_cached = |part: &&PromptPart| self.cache.iter().any(|(key, _)| *key == part.key);
+        let found: u64 = job
+            .prompt_parts
+            .iter()
+            .take_while(is_cached)
+            .map(|part| part.tokens)
+            .sum();
+        let all: u64 = job.prompt_parts.iter().map(|part| part.tokens).sum();
+        let shared: u64 = job.prompt_parts.iter().rev().skip(1).map(|part| part.tokens).sum();
+        self.shared_tokens.0 += shared.saturating_sub(found);
+        self.shared_tokens.1 += found.min(shared);
+        job.processed = found.min(all - 1);
+        job.pending = all - job.processed;
+        for part in &job.prompt_parts {
+            touch(&mut self.cache, *part);
         }
     }
 }
 
-/// Notes a part as used last; the others make room.
-fn keep(kept: &mut VecDeque<(u64, u64)>, part: PromptPart) {
-    kept.retain(|(key, _)| *key != part.key);
-    kept.push_back((part.key, part.tokens));
-    let mut sum: u64 = kept.iter().map(|(_, tokens)| tokens).sum();
-    while sum > KEPT {
-        sum -= kept.pop_front().map_or(sum, |(_, tokens)| tokens);
+/// Marks a part as most recently used, and evicts others to make room.
+fn touch(cache: &mut VecDeque<(u64, u64)>, part: PromptPart) {
+    cache.retain(|(key, _)| *key != part.key);
+    cache.push_back((part.key, part.tokens));
+    let mut total: u64 = cache.iter().map(|(_, tokens)| tokens).sum();
+    while total > CACHE_TOKENS {
+        total -= cache.pop_front().map_or(total, |(_, tokens)| tokens);
     }
 }
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Replays the load of a large deployment on the choice of upstreams: entry hosts with their own views, which learn from
-//! one another through the leader, and engines that read prompts between tokens.
+//! Replays the load of a large deployment on the choice of upstreams. Each entry host has a view of its own and learns
+//! of the others through the leader; engines are simulated.
 
 pub mod engine;
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use contract::{Listed, NodeId, ServiceName, Zone};
-use gateway::dialect::ReportedLoad as ResponseInfo;
+use gateway::dialect::ReportedLoad;
 use gateway::upstreams::{ChosenUpstream, UpstreamNeed, Upstreams};
 use policy::Tick;
 use policy::place::PromptPart;
@@ -17,92 +17,92 @@
 use state::registry::{EntryRegistry, SharedLimits};
 use wire::registry::Heartbeat;
 
-use engine::{Engine, Made, SLOTS};
+use engine::{Engine, SLOTS, StepEvent};
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
-    /// Requests a second, over all entry hosts.
+pub struct RequestKind {
+    /// Requests per second over all entry hosts.
     pub per_s: f64,
-    /// Milliseconds in which an answer must begin.
+    /// Time in milliseconds within which the output must begin.
     pub target_ms: f64,
-    /// Shared beginnings: mean tokens and how many there are, the outermost first.
-    pub shared: [(f64, u64); 2],
-    /// Tokens of the request's own: mean, spread of the logarithm, most.
-    pub own: (f64, f64, f64),
-    /// Tokens of the answer: mean, spread, most.
-    pub answer: (f64, f64, f64),
+    /// Shared prompt parts, the outermost first: mean number of tokens, and number of variants.
+    pub shared_parts: [(f64, u64); 2],
+    /// Tokens of the request's own prompt part: mean, standard deviation of the logarithm, maximum.
+    pub own_tokens: (f64, f64, f64),
+    /// Output tokens: mean, standard deviation of the logarithm, maximum.
+    pub output_tokens: (f64, f64, f64),
 }
 
-/// What is replayed.
+/// The load to replay.
 #[derive(Clone, Debug)]
-pub struct Load {
-    /// Entry hosts.
+pub struct ReplayLoad {
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
     /// Kinds of requests.
-    pub kinds: Vec<Kind>,
-    /// Seconds.
+    pub kinds: Vec<RequestKind>,
+    /// Length of the replay in seconds.
     pub length_s: f64,
-    /// Seconds between two beats of an entry host.
-    pub beat_s: f64,
+    /// Interval between heartbeats of an entry host in seconds.
+    pub heartbeat_s: f64,
 }
 
-/// What came of the requests of a kind.
+/// What happened to the requests of a kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// All.
+    /// Number of requests.
     pub all: u32,
-    /// Those whose answer began too late.
+    /// Requests whose output began too late.
     pub late: u32,
-    /// Those whose answer began in time and paused too long.
+    /// Requests whose output began in time and then paused for too long.
     pub paused: u32,
-    /// Those that were refused.
+    /// Requests that no upstream took.
     pub refused: u32,
 }
 
-/// What came of a replay.
+/// Result of a replay.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// By kind.
+    /// Outcomes by kind.
     pub kinds: Vec<Outcome>,
-    /// Part of the shared tokens that was read again.
+    /// Fraction of the shared prompt tokens that was prefilled again.
     pub read_again: f64,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct SentRequest {
     host: usize,
     kind: usize,
-    came_ms: f64,
+    arrived_ms: f64,
     chosen: ChosenUpstream,
-    number: u64,
-    begun_late: bool,
+    backlog_id: u64,
+    late: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Come(usize),
-    Step(usize),
-    Beat(usize),
+    Arrival(usize),
+    StepEnd(usize),
+    Heartbeat(usize),
 }
 
 struct Replay<'a> {
-    load: &'a Load,
+    load: &'a ReplayLoad,
     rng: StdRng,
     hosts: Vec<Upstreams>,
     engines: Vec<Engine>,
-    asked: Vec<Asked>,
+    requests: Vec<SentRequest>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// What the step under way brings at its end, by engine.
-    made: Vec<Option<Vec<Made>>>,
+    /// By engine, what the current step brings about at its end; `None` while it is idle.
+    step_events: Vec<Option<Vec<StepEvent>>>,
     registry: EntryRegistry,
     report: Report,
 }
 
-/// Replays a load.
-pub fn replay(load: &Load, seed: u64) -> Report {
+/// Replays a load; equal seeds give equal results.
+pub fn replay(load: &ReplayLoad, seed: u64) -> Report {
     let list: Vec<Listed> = (0..load.engines).map(listed).collect();
     let mut hosts: Vec<Upstreams> = (0..load.hosts).map(|_| Upstreams::default()).collect();
     for host in &mut hosts {
@@ -113,9 +113,9 @@
         rng: StdRng::seed_from_u64(seed),
         hosts,
         engines: (0..load.engines).map(|_| Engine::default()).collect(),
-        asked: Vec::new(),
+        requests: Vec::new(),
         events: BinaryHeap::new(),
-        made: (0..load.engines).map(|_| None).collect(),
+        step_events: (0..load.engines).map(|_| None).collect(),
         registry: EntryRegistry::default(),
         report: Report {
             kinds: vec![Outcome::default(); load.kinds.len()],
@@ -126,10 +126,10 @@
     replay.report
 }
 
-/// Gives an upstream by its number.
-pub fn listed(at: usize) -> Listed {
+/// Returns the list entry of an upstream.
+pub fn listed(index: usize) -> Listed {
     Listed {
-        id: format!("u{at:03}"),
+        id: format!("u{index:03}"),
         start: 1,
         service: ServiceName::from("m"),
         address: ([127, 0, 0, 1], 1).into(),
@@ -145,11 +145,11 @@
 impl Replay<'_> {
     fn run(&mut self) {
         for kind in 0..self.load.kinds.len() {
-            self.push(0.0, Event::Come(kind));
+            self.push(0.0, Event::Arrival(kind));
         }
         for host in 0..self.load.hosts {
-            let first = self.rng.random_range(0.0..self.load.beat_s * 1_000.0);
-            self.push(first, Event::Beat(host));
+            let first = self.rng.random_range(0.0..self.load.heartbeat_s * 1_000.0);
+            self.push(first, Event::Heartbeat(host));
         }
         while let Some(Reverse((us, event))) = self.events.pop() {
             let now_ms = us as f64 / 1_000.0;
@@ -157,30 +157,29 @@
                 break;
             }
             match event {
-                Event::Come(kind) => self.come(kind, now_ms),
-                Event::Step(at) => self.step(at, now_ms),
-                Event::Beat(host) => self.beat(host, now_ms),
+                Event::Arrival(kind) => self.arrive(kind, now_ms),
+                Event::StepEnd(index) => self.end_step(index, now_ms),
+                Event::Heartbeat(host) => self.send_heartbeat(host, now_ms),
             }
         }
-        let (read, found) = self
-            .engines
-            .iter()
-            .fold((0, 0), |sum, engine| (sum.0 + engine.shared.0, sum.1 + engine.shared.1));
-        self.report.read_again = read as f64 / (read + found).max(1) as f64;
+        let (prefilled, cached) = self.engines.iter().fold((0, 0), |sum, engine| {
+            (sum.0 + engine.shared_tokens.0, sum.1 + engine.shared_tokens.1)
+        });
+        self.report.read_again = prefilled as f64 / (prefilled + cached).max(1) as f64;
     }
 
     fn push(&mut self, at_ms: f64, event: Event) {
         self.events.push(Reverse(((at_ms * 1_000.0) as u64, event)));
     }
 
-    fn come(&mut self, kind: usize, now_ms: f64) {
-        let what = self.load.kinds[kind];
-        let pause = -self.rng.random_range(f64::EPSILON..1.0f64).ln() * 1_000.0 / what.per_s;
-        self.push(now_ms + pause, Event::Come(kind));
-        let parts = self.parts(kind, &what);
-        let answer = self.size(what.answer).max(2);
+    fn arrive(&mut self, kind: usize, now_ms: f64) {
+        let params = self.load.kinds[kind];
+        let gap_ms = -self.rng.random_range(f64::EPSILON..1.0f64).ln() * 1_000.0 / params.per_s;
+        self.push(now_ms + gap_ms, Event::Arrival(kind));
+        let parts = self.draw_prompt(kind, &params);
+        let output = self.draw_size(params.output_tokens).max(2);
         let host = self.rng.random_range(0..self.load.hosts);
-        let now = tick(now_ms);
+        let now = to_tick(now_ms);
         let (service, zone) = (ServiceName::from("m"), Zone::from("z"));
         let need = UpstreamNeed {
             service: &service,
@@ -197,103 +196,105 @@
             return;
         };
         self.hosts[host].record_use(&parts, now);
-        let upstream = self.hosts[host].get_mut(&chosen.id).expect("the choice is listed");
-        let number = upstream.record_sent(&parts, &chosen, now);
-        let at: usize = chosen.id[1..].parse().expect("a number");
-        self.engines[at].take(self.asked.len(), parts, answer);
-        self.asked.push(Asked {
+        let upstream = self.hosts[host]
+            .get_mut(&chosen.id)
+            .expect("the chosen upstream is listed");
+        let backlog_id = upstream.record_sent(&parts, &chosen, now);
+        let index: usize = chosen.id[1..].parse().expect("a number");
+        self.engines[index].enqueue(self.requests.len(), parts, output);
+        self.requests.push(SentRequest {
             host,
             kind,
-            came_ms: now_ms,
+            arrived_ms: now_ms,
             chosen,
-            number,
-            begun_late: false,
+            backlog_id,
+            late: false,
         });
-        if self.made[at].is_none() {
-            self.begin_step(at, now_ms);
+        if self.step_events[index].is_none() {
+            self.start_step(index, now_ms);
         }
     }
 
-    fn begin_step(&mut self, at: usize, now_ms: f64) {
-        let (took, made) = self.engines[at].step(now_ms);
-        self.made[at] = Some(made);
-        self.push(now_ms + took, Event::Step(at));
+    fn start_step(&mut self, index: usize, now_ms: f64) {
+        let (step_ms, events) = self.engines[index].step(now_ms);
+        self.step_events[index] = Some(events);
+        self.push(now_ms + step_ms, Event::StepEnd(index));
     }
 
-    fn step(&mut self, at: usize, now_ms: f64) {
-        let now = tick(now_ms);
-        let load = ResponseInfo {
-            running: self.engines[at].running.len() as u32,
-            waiting: self.engines[at].waiting.len() as u32,
+    fn end_step(&mut self, index: usize, now_ms: f64) {
+        let now = to_tick(now_ms);
+        let load = ReportedLoad {
+            running: self.engines[index].running.len() as u32,
+            waiting: self.engines[index].waiting.len() as u32,
             slots: SLOTS as u32,
         };
-        for made in self.made[at].take().unwrap_or_default() {
-            match made {
-                Made::First(number) => {
-                    let asked = &mut self.asked[number];
-                    let target = self.load.kinds[asked.kind].target_ms;
-                    asked.begun_late = now_ms - asked.came_ms > target;
-                    self.report.kinds[asked.kind].late += u32::from(asked.begun_late);
-                    if let Some(upstream) = self.hosts[asked.host].get_mut(&asked.chosen.id) {
+        for event in self.step_events[index].take().unwrap_or_default() {
+            match event {
+                StepEvent::FirstEvent(id) => {
+                    let request = &mut self.requests[id];
+                    let target = self.load.kinds[request.kind].target_ms;
+                    request.late = now_ms - request.arrived_ms > target;
+                    self.report.kinds[request.kind].late += u32::from(request.late);
+                    if let Some(upstream) = self.hosts[request.host].get_mut(&request.chosen.id) {
                         upstream.record_load(load, now);
-                        upstream.record_first_event(asked.number, now);
+                        upstream.record_first_event(request.backlog_id, now);
                     }
                 }
-                Made::End(number, paused) => {
-                    let asked = &self.asked[number];
-                    self.report.kinds[asked.kind].paused += u32::from(paused && !asked.begun_late);
-                    if let Some(upstream) = self.hosts[asked.host].get_mut(&asked.chosen.id) {
-                        upstream.record_end(asked.number, tick(asked.came_ms), now);
+                StepEvent::End(id, paused) => {
+                    let request = &self.requests[id];
+                    self.report.kinds[request.kind].paused += u32::from(paused && !request.late);
+                    if let Some(upstream) = self.hosts[request.host].get_mut(&request.chosen.id) {
+                        upstream.record_end(request.backlog_id, to_tick(request.arrived_ms), now);
                     }
                 }
             }
         }
-        if self.engines[at].busy() {
-            self.begin_step(at, now_ms);
+        if self.engines[index].is_busy() {
+            self.start_step(index, now_ms);
         }
     }
 
-    fn beat(&mut self, host: usize, now_ms: f64) {
-        let now = tick(now_ms);
-        let beat = Heartbeat {
+    fn send_heartbeat(&mut self, host: usize, now_ms: f64) {
+        let now = to_tick(now_ms);
+        let heartbeat = Heartbeat {
             run: 1,
             signs: self.hosts[host].observations(now),
             ..Heartbeat::default()
         };
         let node = NodeId::from(format!("e{host}"));
-        let sharing = SharedLimits {
+        let limits = SharedLimits {
             entry_hosts: self.load.hosts as u32,
             ..SharedLimits::default()
         };
-        if let Some(news) = self.registry.heartbeat(1, (&node, beat), &sharing, now) {
-            self.hosts[host].merge_observations(&news.signs, now);
+        if let Some(update) = self.registry.heartbeat(1, (&node, heartbeat), &limits, now) {
+            self.hosts[host].merge_observations(&update.signs, now);
         }
-        self.push(now_ms + self.load.beat_s * 1_000.0, Event::Beat(host));
+        self.push(now_ms + self.load.heartbeat_s * 1_000.0, Event::Heartbeat(host));
     }
 
-    fn parts(&mut self, kind: usize, what: &Kind) -> Vec<PromptPart> {
-        let thing = self.rng.random_range(0..what.shared[1].1);
+    fn draw_prompt(&mut self, kind: usize, params: &RequestKind) -> Vec<PromptPart> {
+        let topic = self.rng.random_range(0..params.shared_parts[1].1);
         let mut parts = Vec::new();
-        for (mean, things) in what.shared {
+        for (mean, count) in params.shared_parts {
             // Each inner part belongs to one outer part.
-            let key = ((kind as u64 + 1) * 10 + parts.len() as u64) * 1_000_003 + thing % things;
+            let key = ((kind as u64 + 1) * 10 + parts.len() as u64) * 1_000_003 + topic % count;
             let tokens = (mean * (0.5 + (key % 101) as f64 / 100.0)) as u64;
             parts.push(PromptPart { key, tokens });
         }
         let key = self.rng.random();
-        let tokens = self.size(what.own).max(16);
+        let tokens = self.draw_size(params.own_tokens).max(16);
         parts.push(PromptPart { key, tokens });
         parts
     }
 
-    /// Draws a size with a long tail.
-    fn size(&mut self, (mean, spread, most): (f64, f64, f64)) -> u64 {
+    /// Draws a log-normally distributed size.
+    fn draw_size(&mut self, (mean, spread, max): (f64, f64, f64)) -> u64 {
         let (a, b): (f64, f64) = (self.rng.random_range(f64::EPSILON..1.0), self.rng.random());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
-        (mean.ln() - spread * spread / 2.0 + spread * normal).exp().min(most) as u64
+        (mean.ln() - spread * spread / 2.0 + spread * normal).exp().min(max) as u64
     }
 }
 
-fn tick(ms: f64) -> Tick {
+fn to_tick(ms: f64) -> Tick {
     Tick(Duration::from_secs_f64(ms / 1_000.0))
 }
--- a/crates/gateway/tests/head_syntax.rs
+++ b/crates/gateway/tests/head_syntax.rs
@@ -1,18 +1,20 @@
-//! Heads of requests: what leaves open where a message ends is refused.
+//! Parsing of heads: a message whose end is ambiguous is refused.
 
 use bytes::BytesMut;
 use gateway::head::{Framing, HeadError, take_request, take_response};
 use quickcheck::quickcheck;
 
-const MOST: usize = 4_096;
+const MAX_HEAD_BYTES: usize = 4_096;
 
-fn framing(text: &str) -> Result<Framing, HeadError> {
+fn parse_framing(text: &str) -> Result<Framing, HeadError> {
     let mut buffer = BytesMut::from(text);
-    take_request(&mut buffer, MOST)?.ok_or(HeadError::Malformed)?.framing()
+    take_request(&mut buffer, MAX_HEAD_BYTES)?
+        .ok_or(HeadError::Malformed)?
+        .framing()
 }
 
-fn post(lines: &str) -> Result<Framing, HeadError> {
-    framing(&format!("POST /a/ HTTP/1.1\r\nHost: a\r\n{lines}\r\n"))
+fn post(headers: &str) -> Result<Framing, HeadError> {
+    parse_framing(&format!("POST /a/ HTTP/1.1\r\nHost: a\r\n{headers}\r\n"))
 }
 
 #[test]
@@ -22,11 +24,11 @@
     assert_eq!(post(""), Ok(Framing::Length(0)));
 }
 
-/// A caller sends a request whose end two readers would find at different places. If it were passed on, an upstream could
-/// take a part of its body for a request that nobody sent.
+/// Guards against request smuggling: a caller sends a request whose end two parsers find at different places. If it
+/// were forwarded, an upstream could take a part of its body for another request.
 #[test]
-fn smuggled_requests() {
-    for lines in [
+fn request_smuggling() {
+    for headers in [
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 4\r\nContent-Length: 5\r\n",
         "Content-Length: 4\r\nContent-Length: 4\r\n",
@@ -43,34 +45,37 @@
         "A: b\rContent-Length: 4\r\n",
         " folded\r\n",
     ] {
-        assert_eq!(post(lines), Err(HeadError::Malformed), "{lines:?}");
+        assert_eq!(post(headers), Err(HeadError::Malformed), "{headers:?}");
     }
 }
 
 #[test]
-fn bare_ends() {
+fn bare_line_ends() {
     let mut buffer = BytesMut::from("GET /a/ HTTP/1.1\nHost: a\n\n");
-    assert_eq!(take_request(&mut buffer, MOST), Err(HeadError::Malformed));
+    assert_eq!(take_request(&mut buffer, MAX_HEAD_BYTES), Err(HeadError::Malformed));
 }
 
 #[test]
 fn long_head() {
-    let line = format!("GET /a/ HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "x".repeat(MOST));
+    let line = format!(
+        "GET /a/ HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
+        "x".repeat(MAX_HEAD_BYTES)
+    );
     let mut buffer = BytesMut::from(line.as_str());
-    assert_eq!(take_request(&mut buffer, MOST), Err(HeadError::TooLarge));
+    assert_eq!(take_request(&mut buffer, MAX_HEAD_BYTES), Err(HeadError::TooLarge));
 }
 
 #[test]
-fn no_answer() {
+fn invalid_response() {
     let mut buffer = BytesMut::from("garbage that is no answer");
-    assert_eq!(take_response(&mut buffer, MOST), Err(HeadError::Malformed));
+    assert_eq!(take_response(&mut buffer, MAX_HEAD_BYTES), Err(HeadError::Malformed));
 }
 
 quickcheck! {
-    /// Whatever bytes come, reading ends without a panic and takes nothing while a head is not whole.
+    /// Guards against bytes that make the parser panic, or that it consumes before a head is complete.
     fn any_bytes(bytes: Vec<u8>) -> bool {
         let mut buffer = BytesMut::from(&*bytes);
-        match take_request(&mut buffer, MOST) {
+        match take_request(&mut buffer, MAX_HEAD_BYTES) {
             Ok(None) => buffer.len() <= bytes.len(),
             Ok(Some(_)) | Err(_) => true,
         }
--- a/crates/gateway/tests/list_copy.rs
+++ b/crates/gateway/tests/list_copy.rs
@@ -1,4 +1,4 @@
-//! An entry host's copy of the leader's list of upstreams.
+//! An entry host's copy of the leader's upstream list.
 
 use std::time::Duration;
 
@@ -26,27 +26,27 @@
     }
 }
 
-/// Beats once, with so many entries in the answer at most.
-fn beat(registry: &EntryRegistry, copy: &mut UpstreamList, most: u32, now: Tick) -> ListUpdate {
-    let sharing = SharedLimits {
+/// Sends one heartbeat; the response holds at most `max_entries`.
+fn send_heartbeat(registry: &EntryRegistry, copy: &mut UpstreamList, max_entries: u32, now: Tick) -> ListUpdate {
+    let limits = SharedLimits {
         entry_hosts: 1,
         ..SharedLimits::default()
     };
-    let mut beat = Heartbeat::default();
-    copy.fill_request(&mut beat);
-    beat.max_listed = Some(most);
-    let news = registry.heartbeat(TERM, (&NodeId::from("e"), beat), &sharing, now);
-    let news = news.expect("the number of sharers is known").list;
-    if let Some(age_ms) = news.age_ms {
-        copy.apply_update(news.clone(), now - Duration::from_millis(age_ms), Duration::ZERO);
+    let mut heartbeat = Heartbeat::default();
+    copy.fill_request(&mut heartbeat);
+    heartbeat.max_listed = Some(max_entries);
+    let update = registry.heartbeat(TERM, (&NodeId::from("e"), heartbeat), &limits, now);
+    let update = update.expect("the number of entry hosts is known").list;
+    if let Some(age_ms) = update.age_ms {
+        copy.apply_update(update.clone(), now - Duration::from_millis(age_ms), Duration::ZERO);
     }
-    news
+    update
 }
 
 quickcheck! {
-    /// Guards against upstreams that an entry host misses, or keeps although they are gone, when the list changes while it is on
-    /// its way in pieces, or another leader tells it.
-    fn copy_is_equal(lists: Vec<Vec<(u8, u8)>>, beats: Vec<u8>, other_leader: bool) -> bool {
+    /// Guards against upstreams that an entry host misses, or keeps although they are gone, because the list changes
+    /// during its transfer or another leader continues it.
+    fn copy_is_equal(lists: Vec<Vec<(u8, u8)>>, heartbeat_counts: Vec<u8>, other_leader: bool) -> bool {
         let mut registry = EntryRegistry::default();
         let mut copy = UpstreamList::default();
         let mut newest = Vec::new();
@@ -61,24 +61,24 @@
             }
             let term = if other_leader && at >= lists.len() / 2 { TERM + 1 } else { TERM };
             registry.set_list(term, newest.clone(), Tick::from_millis(now_ms));
-            for _ in 0..beats.get(at).copied().unwrap_or_default() % 4 {
+            for _ in 0..heartbeat_counts.get(at).copied().unwrap_or_default() % 4 {
                 now_ms += 100;
-                beat(&registry, &mut copy, 2, Tick::from_millis(now_ms));
+                send_heartbeat(&registry, &mut copy, 2, Tick::from_millis(now_ms));
             }
         }
-        let asked = Tick::from_millis(now_ms);
+        let requested_at = Tick::from_millis(now_ms);
         for _ in 0..300 {
-            if beat(&registry, &mut copy, 2, asked).complete {
+            if send_heartbeat(&registry, &mut copy, 2, requested_at).complete {
                 break;
             }
         }
-        let same = |(one, other): (&Listed, &Listed)| (&one.id, one.slots) == (&other.id, other.slots);
-        let list = copy.entries_at(asked);
-        list.len() == newest.len() && list.iter().zip(&newest).all(same)
+        let is_same = |(entry, other): (&Listed, &Listed)| (&entry.id, entry.slots) == (&other.id, other.slots);
+        let list = copy.entries_at(requested_at);
+        list.len() == newest.len() && list.iter().zip(&newest).all(is_same)
     }
 }
 
-/// Guards against an answer with all entries when one of them has changed.
+/// Guards against a response with all entries when only one has changed.
 #[test]
 fn one_entry_changed() {
     let registry = EntryRegistry::default();
@@ -86,36 +86,38 @@
     let mut list: Vec<Listed> = (0..3_300).map(|id| listed(id, 4)).collect();
     registry.set_list(TERM, list.clone(), Tick::from_millis(1_000));
     assert_eq!(
-        beat(&registry, &mut copy, 4_000, Tick::from_millis(1_100)).put.len(),
+        send_heartbeat(&registry, &mut copy, 4_000, Tick::from_millis(1_100))
+            .put
+            .len(),
         3_300
     );
     list[7].leaving = true;
     list.pop();
     registry.set_list(TERM, list, Tick::from_millis(2_000));
-    let news = beat(&registry, &mut copy, 4_000, Tick::from_millis(2_100));
-    assert_eq!((news.put.len(), news.gone.len(), news.complete), (1, 1, true));
-    let copied = copy.entries_at(Tick::from_millis(2_000));
-    assert_eq!((copied.len(), copied[7].leaving), (3_299, true));
+    let update = send_heartbeat(&registry, &mut copy, 4_000, Tick::from_millis(2_100));
+    assert_eq!((update.put.len(), update.gone.len(), update.complete), (1, 1, true));
+    let entries = copy.entries_at(Tick::from_millis(2_000));
+    assert_eq!((entries.len(), entries[7].leaving), (3_299, true));
     assert_eq!(
-        copied[3].cold,
+        entries[3].cold,
         Duration::from_secs(8),
         "a second has passed since the entry was told"
     );
 }
 
-/// Guards against a copy that is told the whole list for ever, after many upstreams have come and gone.
+/// Guards against a copy that gets the whole list again and again, after many upstreams have come and gone.
 #[test]
-fn many_gone() {
+fn many_removed() {
     let registry = EntryRegistry::default();
     let mut copy = UpstreamList::default();
     for round in 0..30 {
         let list: Vec<Listed> = (0..200).map(|id| listed(round * 200 + id, 4)).collect();
         let now = Tick::from_millis(u64::from(round) * 1_000);
         registry.set_list(TERM, list.clone(), now);
-        let mut beats = 0;
-        while !beat(&registry, &mut copy, 64, now).complete {
-            beats += 1;
-            assert!(beats < 100, "round {round}: the list never comes to its end");
+        let mut heartbeats = 0;
+        while !send_heartbeat(&registry, &mut copy, 64, now).complete {
+            heartbeats += 1;
+            assert!(heartbeats < 100, "round {round}: the list is never complete");
         }
         assert_eq!(copy.entries_at(now).len(), 200);
     }
--- a/crates/gateway/tests/moved_streams.rs
+++ b/crates/gateway/tests/moved_streams.rs
@@ -1,4 +1,4 @@
-//! Streams of an upstream that is taken away: moved with what it has computed, before it is gone.
+//! Streams on an upstream that is reclaimed: they are moved with their KV cache before it is gone.
 
 mod common;
 
@@ -9,33 +9,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{Host, Reply, Seen, Upstream, answer, begin_stream, listed, send_event};
+use common::{Host, ReceivedRequest, Response, Upstream, listed, respond, send_event, start_stream};
 use contract::{EngineSpec, Repeatable};
 use gateway::gate::Shared;
 use gateway::routing_table::RoutingTable;
 use policy::Tick;
 
 /// Events of every stream.
-const EVENTS: u64 = 6;
-/// Events that the leaving upstream sends before it is told to stop.
-const BEFORE: u64 = 3;
-/// Time that the notice leaves, from the start of the host's clock.
-const LEFT: Duration = Duration::from_secs(8);
-/// Copies of the prompt that take a millisecond, and a tenth of a second.
-const QUICK: u64 = 1_000;
-const SLOW: u64 = 100_000;
-/// Longest silence that a caller bears.
-const SILENCE: Duration = Duration::from_secs(3);
-/// A prompt and an answer that last longer than the notice leaves.
-const LONG: &str = "Prompt: 500\r\nMost: 100000\r\n";
+const EVENT_COUNT: u64 = 6;
+/// Events that the reclaimed upstream sends before it is asked to stop the stream.
+const EVENTS_BEFORE_STOP: u64 = 3;
+/// Time from the start of the host's clock until the upstream is gone.
+const TIME_LEFT: Duration = Duration::from_secs(8);
+/// Copy time per token, for a prompt whose copy takes a millisecond, and one whose copy takes a tenth of a second.
+const FAST_COPY_NS: u64 = 1_000;
+const SLOW_COPY_NS: u64 = 100_000;
+/// Longest silence before the caller gives up.
+const MAX_SILENCE: Duration = Duration::from_secs(3);
+/// Prompt and output that take longer than the time left.
+const LONG_REQUEST: &str = "Prompt: 500\r\nMost: 100000\r\n";
 
 fn events(ids: std::ops::RangeInclusive<u64>) -> String {
     let events: Vec<String> = ids.map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect();
     events.concat()
 }
 
-/// Makes what a host knows whose engines can copy their caches, in so many nanoseconds a token.
-fn engines(copy_ns: u64, upstreams: &[&Upstream]) -> Arc<Shared> {
+/// Returns the shared state of a host whose engines copy caches in `copy_ns` per token.
+fn shared_state(copy_ns: u64, upstreams: &[&Upstream]) -> Arc<Shared> {
     let shared = Host::shared(Repeatable::Stream, 1, 10_000, upstreams);
     let mut catalog = Host::catalog(Repeatable::Stream, 1, 10_000);
     catalog.services[0].engine = Some(EngineSpec {
@@ -48,154 +48,158 @@
     shared
 }
 
-/// Lists a second upstream, and that the first is taken away.
-fn announce(shared: &Shared, leaving: &Upstream, other: &Upstream) {
-    let mut list = listed(&[leaving, other]);
+/// Lists a second upstream, and the reclaim of the first one.
+fn announce_reclaim(shared: &Shared, source: &Upstream, target: &Upstream) {
+    let mut list = listed(&[source, target]);
     list[0].leaving = true;
-    list[0].left = Some(LEFT);
+    list[0].left = Some(TIME_LEFT);
     *shared.new_list.lock() = Some((list, Tick::default()));
 }
 
-/// An upstream whose streams stop, in the middle of an event, when it is told to hand the last part of a copy over. Copies
-/// get the status.
-fn leaving(status: &'static str) -> Upstream {
-    ending(status, true)
+/// Starts an upstream whose stream stops in the middle of an event when the last part of a copy is requested. It
+/// answers copy requests with `status`.
+fn reclaimed_upstream(status: &'static str) -> Upstream {
+    reclaimed_upstream_with(status, true)
 }
 
-fn ending(status: &'static str, closes: bool) -> Upstream {
-    let stopped = AtomicBool::new(false);
-    Upstream::start(Box::new(move |seen, stream| {
-        if seen.head.starts_with("POST /copy") {
-            let last = seen.get("Last").as_deref().map(str::trim) == Some("true");
-            stopped.store(last, Ordering::SeqCst);
+fn reclaimed_upstream_with(status: &'static str, closes_connection: bool) -> Upstream {
+    let stop_requested = AtomicBool::new(false);
+    Upstream::start(Box::new(move |request, stream| {
+        if request.head.starts_with("POST /copy") {
+            let stop_stream = request.get("Last").as_deref().map(str::trim) == Some("true");
+            stop_requested.store(stop_stream, Ordering::SeqCst);
             let text = format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nh7");
             return stream.write_all(text.as_bytes()).is_ok();
         }
-        begin_stream(seen, stream);
-        (1..=BEFORE).for_each(|id| send_event(stream, id));
-        let begun = Instant::now();
-        while !stopped.load(Ordering::SeqCst) && begun.elapsed() < Duration::from_secs(4) {
+        start_stream(request, stream);
+        (1..=EVENTS_BEFORE_STOP).for_each(|id| send_event(stream, id));
+        let started = Instant::now();
+        while !stop_requested.load(Ordering::SeqCst) && started.elapsed() < Duration::from_secs(4) {
             thread::sleep(Duration::from_millis(5));
         }
         let _ = stream.write_all(b"20\r\nid: 4\ndata: pie");
-        if !closes {
+        if !closes_connection {
             thread::sleep(Duration::from_secs(4));
         }
         false
     }))
 }
 
-/// An upstream that goes on with a copy, and refuses what has none.
-fn taking() -> Upstream {
-    Upstream::start(Box::new(|seen: &Seen, stream: &mut TcpStream| {
-        if seen.get("Copy").is_none() {
-            return answer(seen, stream, "503 Full", "Not-Run: 1\r\n", "");
+/// Starts an upstream that continues a stream from a copy, and refuses requests without one.
+fn copy_target() -> Upstream {
+    Upstream::start(Box::new(|request: &ReceivedRequest, stream: &mut TcpStream| {
+        if request.get("Copy").is_none() {
+            return respond(request, stream, "503 Full", "Not-Run: 1\r\n", "");
         }
-        begin_stream(seen, stream);
-        let after: u64 = seen.get("After").and_then(|text| text.trim().parse().ok()).unwrap_or(0);
-        (after + 1..=EVENTS).for_each(|id| send_event(stream, id));
+        start_stream(request, stream);
+        let after: u64 = request
+            .get("After")
+            .and_then(|text| text.trim().parse().ok())
+            .unwrap_or(0);
+        (after + 1..=EVENT_COUNT).for_each(|id| send_event(stream, id));
         stream.write_all(b"0\r\n\r\n").is_ok()
     }))
 }
 
-/// Asks for a long stream, calls its upstream back, and reads what the caller gets.
-fn called_back(copy_ns: u64, leaving: &Upstream, other: &Upstream) -> Reply {
-    let shared = engines(copy_ns, &[leaving]);
+/// Starts a long stream, reclaims its upstream, and returns what the caller gets.
+fn reclaim_during_stream(copy_ns: u64, source: &Upstream, target: &Upstream) -> Response {
+    let shared = shared_state(copy_ns, &[source]);
     let host = Host::run(Arc::clone(&shared));
     let mut caller = host.connect();
-    caller.send(LONG, "prompt");
-    wait_for(leaving);
-    announce(&shared, leaving, other);
-    caller.0.get_mut().set_read_timeout(Some(SILENCE)).unwrap();
-    caller.reply()
+    caller.send(LONG_REQUEST, "prompt");
+    wait_for_request(source);
+    announce_reclaim(&shared, source, target);
+    caller.0.get_mut().set_read_timeout(Some(MAX_SILENCE)).unwrap();
+    caller.read_response()
 }
 
-/// Gives for each copy that the upstream was asked for whether it stopped the stream.
-fn copies(upstream: &Upstream) -> Vec<String> {
-    let seen = upstream.seen.lock();
-    let last = seen.iter().filter_map(|seen| seen.get("Last"));
-    last.map(|last| last.trim().to_owned()).collect()
+/// Returns for each copy request of the upstream whether it asked to stop the stream.
+fn copy_requests(upstream: &Upstream) -> Vec<String> {
+    let requests = upstream.requests.lock();
+    let stop_stream = requests.iter().filter_map(|request| request.get("Last"));
+    stop_stream.map(|stop_stream| stop_stream.trim().to_owned()).collect()
 }
 
-fn wait_for(upstream: &Upstream) {
-    let begun = Instant::now();
-    while upstream.count() == 0 {
-        assert!(begun.elapsed() < common::PATIENCE, "no request comes");
+fn wait_for_request(upstream: &Upstream) {
+    let started = Instant::now();
+    while upstream.request_count() == 0 {
+        assert!(started.elapsed() < common::TEST_TIMEOUT, "no request arrives");
         thread::sleep(Duration::from_millis(5));
     }
-    // The first events are on their way.
+    // Lets the first events reach the caller.
     thread::sleep(Duration::from_millis(200));
 }
 
-/// All reclaimable engines of a data centre are taken away, seconds after the notice. A stream that may run only once would
-/// end in the middle, and its caller would have to begin anew. It goes on at another engine from the copy of what the first
-/// has computed: the caller sees every piece once, in one answer.
+/// Guards against the loss of streams when all reclaimable engines of a data centre are reclaimed within seconds. A
+/// stream that must run at most once would break off. It continues at another engine from a copy of its KV cache, and
+/// the caller gets every event once, in one response.
 #[test]
-fn moved_once() {
-    let (leaving, other) = (leaving("200 OK"), taking());
-    let reply = called_back(SLOW, &leaving, &other);
-    assert_eq!((reply.status, reply.whole), (200, true), "{reply:?}");
-    assert_eq!(reply.body, events(1..=EVENTS));
-    let went_on = other.seen.lock()[0].clone();
-    assert_eq!(went_on.get("Copy").unwrap().trim(), format!("{}/h7", leaving.address));
-    assert_eq!(went_on.get("After").unwrap().trim(), BEFORE.to_string());
+fn stream_moved() {
+    let (source, target) = (reclaimed_upstream("200 OK"), copy_target());
+    let response = reclaim_during_stream(SLOW_COPY_NS, &source, &target);
+    assert_eq!((response.status, response.complete), (200, true), "{response:?}");
+    assert_eq!(response.body, events(1..=EVENT_COUNT));
+    let continued = target.requests.lock()[0].clone();
+    assert_eq!(continued.get("Copy").unwrap().trim(), format!("{}/h7", source.address));
+    assert_eq!(continued.get("After").unwrap().trim(), EVENTS_BEFORE_STOP.to_string());
     assert_eq!(
-        copies(&leaving),
+        copy_requests(&source),
         ["false", "true"],
-        "copied while it goes on, then stopped"
+        "copied while the stream runs, then stopped"
     );
 }
 
-/// Twenty streams of an engine have to leave within a second, and one link carries one copy after the other. A short one is
-/// copied in one call: a second one would wait behind the copies of all others, with its stream stopped.
+/// Guards against a short copy that is made in two calls: the second would queue behind the copies of all other streams
+/// on the link, with this stream stopped.
 #[test]
 fn short_copy() {
-    let (leaving, other) = (leaving("200 OK"), taking());
-    let reply = called_back(QUICK, &leaving, &other);
-    assert_eq!((reply.body, reply.whole), (events(1..=EVENTS), true));
-    assert_eq!(copies(&leaving), ["true"]);
+    let (source, target) = (reclaimed_upstream("200 OK"), copy_target());
+    let response = reclaim_during_stream(FAST_COPY_NS, &source, &target);
+    assert_eq!((response.body, response.complete), (events(1..=EVENT_COUNT), true));
+    assert_eq!(copy_requests(&source), ["true"]);
 }
 
-/// The engine has handed the stream over, but the end of its connection gets lost. Nothing more will come from there; waiting
-/// for it would hold up a caller who has begun to read.
+/// Guards against a wait for the end of a handed-over stream that never arrives, because the end of its connection was
+/// lost. The caller would see a pause.
 #[test]
-fn silent_end() {
-    let (leaving, other) = (ending("200 OK", false), taking());
-    let reply = called_back(QUICK, &leaving, &other);
-    assert_eq!((reply.body, reply.whole), (events(1..=EVENTS), true));
+fn silent_handover() {
+    let (source, target) = (reclaimed_upstream_with("200 OK", false), copy_target());
+    let response = reclaim_during_stream(FAST_COPY_NS, &source, &target);
+    assert_eq!((response.body, response.complete), (events(1..=EVENT_COUNT), true));
 }
 
-/// No engine has room for the copy. The stream is left where it is until it ends with its engine; it must not begin anew
-/// elsewhere, since it may run only once, and its answer must not look complete.
+/// Guards against a stream that is restarted although it must run at most once, because no engine has room for the
+/// copy. It stays where it is until its engine ends, and its response must not look complete.
 #[test]
-fn no_room() {
-    let (leaving, other) = (leaving("503 Full"), taking());
-    let reply = called_back(QUICK, &leaving, &other);
-    assert_eq!(reply.body, events(1..=BEFORE));
-    assert!(!reply.whole);
-    assert_eq!(other.count(), 0);
+fn target_full() {
+    let (source, target) = (reclaimed_upstream("503 Full"), copy_target());
+    let response = reclaim_during_stream(FAST_COPY_NS, &source, &target);
+    assert_eq!(response.body, events(1..=EVENTS_BEFORE_STOP));
+    assert!(!response.complete);
+    assert_eq!(target.request_count(), 0);
 }
 
-/// The notice leaves more time than the answer needs. Nothing is copied: it would cost the links and a slot for nothing.
+/// Guards against a useless copy, which would take link time and a slot: the notice leaves more time than the output
+/// needs.
 #[test]
-fn ends_in_time() {
-    let short = Upstream::start(Box::new(|seen, stream| {
-        begin_stream(seen, stream);
-        for id in 1..=EVENTS {
+fn finishes_in_time() {
+    let short_stream = Upstream::start(Box::new(|request, stream| {
+        start_stream(request, stream);
+        for id in 1..=EVENT_COUNT {
             thread::sleep(Duration::from_millis(100));
             send_event(stream, id);
         }
         stream.write_all(b"0\r\n\r\n").is_ok()
     }));
-    let other = taking();
-    let shared = engines(QUICK, &[&short]);
+    let target = copy_target();
+    let shared = shared_state(FAST_COPY_NS, &[&short_stream]);
     let host = Host::run(Arc::clone(&shared));
     let mut caller = host.connect();
     caller.send("Prompt: 500\r\nMost: 30\r\n", "prompt");
-    wait_for(&short);
-    announce(&shared, &short, &other);
-    let reply = caller.reply();
-    assert_eq!(reply.body, events(1..=EVENTS));
-    assert!(reply.whole);
-    assert_eq!((short.count(), other.count()), (1, 0));
+    wait_for_request(&short_stream);
+    announce_reclaim(&shared, &short_stream, &target);
+    let response = caller.read_response();
+    assert_eq!(response.body, events(1..=EVENT_COUNT));
+    assert!(response.complete);
+    assert_eq!((short_stream.request_count(), target.request_count()), (1, 0));
 }
--- a/crates/gateway/tests/passed_streams.rs
+++ b/crates/gateway/tests/passed_streams.rs
@@ -1,11 +1,12 @@
-//! Streams: events as they come, gone on with elsewhere where the route allows it, and broken visibly where not.
+//! Streams are forwarded event by event. If the upstream fails, they are resumed elsewhere or visibly incomplete, as
+//! the route allows.
 
 mod common;
 
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use common::{Host, Upstream, begin_stream, send_event};
+use common::{Host, Upstream, send_event, start_stream};
 use contract::Repeatable;
 
 fn events(ids: std::ops::RangeInclusive<u64>) -> String {
@@ -13,14 +14,17 @@
     events.concat()
 }
 
-/// An upstream that sends a stream to its end, or dies after an event, in the middle of the next one.
-fn streaming(dies_after: Option<u64>) -> Upstream {
-    Upstream::start(Box::new(move |seen, stream| {
-        begin_stream(seen, stream);
-        let after: u64 = seen.get("After").and_then(|text| text.trim().parse().ok()).unwrap_or(0);
+/// Starts an upstream that sends a whole stream, or fails in the middle of the event after `fails_after`.
+fn streaming_upstream(fails_after: Option<u64>) -> Upstream {
+    Upstream::start(Box::new(move |request, stream| {
+        start_stream(request, stream);
+        let after: u64 = request
+            .get("After")
+            .and_then(|text| text.trim().parse().ok())
+            .unwrap_or(0);
         for id in after + 1..=6 {
             send_event(stream, id);
-            if dies_after == Some(id) {
+            if fails_after == Some(id) {
                 stream.write_all(b"20\r\nid: 9\ndata: pie").unwrap();
                 return false;
             }
@@ -31,76 +35,81 @@
 
 #[test]
 fn whole_stream() {
-    let upstream = streaming(None);
+    let upstream = streaming_upstream(None);
     let host = Host::start(Repeatable::Stream, 1, &[&upstream]);
-    let reply = host.ask("", "prompt");
-    assert_eq!((reply.status, reply.whole), (200, true));
-    assert_eq!(reply.body, events(1..=6));
+    let response = host.request("", "prompt");
+    assert_eq!((response.status, response.complete), (200, true));
+    assert_eq!(response.body, events(1..=6));
 }
 
-/// An engine dies in the middle of an event. The caller sees every piece once, in one answer with the first engine's head.
+/// Guards against lost or repeated events when an engine fails in the middle of one. The caller gets every event once,
+/// in one response with the head of the first engine.
 #[test]
-fn goes_on_elsewhere() {
-    let dying = streaming(Some(3));
-    let also = streaming(Some(3));
-    let host = Host::start(Repeatable::ResumableStream, 2, &[&dying, &also]);
-    let reply = host.ask("", "prompt");
-    // Whichever was asked first died after three events; the other began after them and went on to the end.
-    assert_eq!(reply.status, 200);
-    assert_eq!(reply.body, events(1..=6));
-    assert!(reply.whole);
-    assert_eq!(dying.count() + also.count(), 2);
+fn resumed_elsewhere() {
+    let first = streaming_upstream(Some(3));
+    let second = streaming_upstream(Some(3));
+    let host = Host::start(Repeatable::ResumableStream, 2, &[&first, &second]);
+    let response = host.request("", "prompt");
+    // Whichever engine came first failed after three events; the other one continued after them to the end.
+    assert_eq!(response.status, 200);
+    assert_eq!(response.body, events(1..=6));
+    assert!(response.complete);
+    assert_eq!(first.request_count() + second.request_count(), 2);
 }
 
-/// A stream that may run only once breaks off. No other engine gets it, and the answer does not look complete.
+/// Guards against a second run of a stream that must run at most once. It breaks off, no other engine gets it, and the
+/// response does not look complete.
 #[test]
-fn broken_once() {
-    let dying = streaming(Some(2));
-    let other = streaming(Some(2));
-    let host = Host::start(Repeatable::Stream, 2, &[&dying, &other]);
-    let reply = host.ask("", "prompt");
-    assert_eq!(reply.body, events(1..=2));
-    assert!(!reply.whole);
-    assert_eq!(dying.count() + other.count(), 1);
+fn once_not_resumed() {
+    let first = streaming_upstream(Some(2));
+    let second = streaming_upstream(Some(2));
+    let host = Host::start(Repeatable::Stream, 2, &[&first, &second]);
+    let response = host.request("", "prompt");
+    assert_eq!(response.body, events(1..=2));
+    assert!(!response.complete);
+    assert_eq!(first.request_count() + second.request_count(), 1);
 }
 
-/// An engine leaves an event out. The caller must not see the pieces behind the gap as if nothing were missing.
+/// Guards against a missing event that the caller does not notice, because the events after the gap are forwarded.
 #[test]
 fn missing_event() {
-    let skipping = Upstream::start(Box::new(|seen, stream| {
-        begin_stream(seen, stream);
+    let incomplete = Upstream::start(Box::new(|request, stream| {
+        start_stream(request, stream);
         for id in [1, 2, 4, 5] {
             send_event(stream, id);
         }
         stream.write_all(b"0\r\n\r\n").is_ok()
     }));
-    let host = Host::start(Repeatable::Stream, 1, &[&skipping]);
-    let reply = host.ask("", "prompt");
-    assert_eq!(reply.body, events(1..=2));
-    assert!(!reply.whole);
+    let host = Host::start(Repeatable::Stream, 1, &[&incomplete]);
+    let response = host.request("", "prompt");
+    assert_eq!(response.body, events(1..=2));
+    assert!(!response.complete);
 }
 
-/// A caller closes its connection while the engine works. The engine's connection closes within half a second, so that it
-/// does not go on for nobody.
+/// Guards against an engine that keeps running for a caller who has disconnected: the engine's connection has to be
+/// closed as well.
 #[test]
-fn caller_leaves() {
-    let slow = Upstream::start(Box::new(|seen, stream| {
-        begin_stream(seen, stream);
+fn caller_disconnects() {
+    let slow = Upstream::start(Box::new(|request, stream| {
+        start_stream(request, stream);
         send_event(stream, 1);
         true
     }));
     let host = Host::start(Repeatable::Stream, 1, &[&slow]);
     let mut caller = host.connect();
     caller.send("", "prompt");
-    let begun = Instant::now();
-    while slow.count() == 0 {
-        assert!(begun.elapsed() < common::PATIENCE);
+    let started = Instant::now();
+    while slow.request_count() == 0 {
+        assert!(started.elapsed() < common::TEST_TIMEOUT);
         std::thread::sleep(Duration::from_millis(5));
     }
     drop(caller);
-    let left = Instant::now();
+    let dropped = Instant::now();
     while slow.closed.lock().is_empty() {
-        assert!(left.elapsed() < common::PATIENCE, "the engine goes on for nobody");
+        assert!(
+            dropped.elapsed() < common::TEST_TIMEOUT,
+            "the engine keeps running for a caller that is gone"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/gateway/tests/planned_stop.rs
+++ b/crates/gateway/tests/planned_stop.rs
@@ -1,14 +1,14 @@
-//! A planned stop: the balancer hears of it at once, and no request is taken that the stop would cut.
+//! A planned stop: the balancer notices it at once, and no request is accepted that the stop would cut off.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{Host, Upstream, answer};
+use common::{Host, Upstream, respond};
 use contract::Repeatable;
 use gateway::gate::Shared;
 
-fn ready(host: &Host) -> u16 {
+fn readiness(host: &Host) -> u16 {
     let mut stream = std::net::TcpStream::connect(host.ready).unwrap();
     std::io::Write::write_all(
         &mut stream,
@@ -20,66 +20,66 @@
     text.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-fn till() -> Upstream {
-    Upstream::start(Box::new(|seen, stream| {
-        answer(seen, stream, "200 OK", "Signed: s\r\n", "booked")
+fn accepting_upstream() -> Upstream {
+    Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "200 OK", "Signed: s\r\n", "booked")
     }))
 }
 
 #[test]
-fn ready_then_not() {
-    let till = till();
-    let host = Host::start(Repeatable::Once, 1, &[&till]);
-    assert_eq!(ready(&host), 200);
+fn readiness_on_stop() {
+    let upstream = accepting_upstream();
+    let host = Host::start(Repeatable::Once, 1, &[&upstream]);
+    assert_eq!(readiness(&host), 200);
     host.stop();
     std::thread::sleep(Duration::from_millis(400));
-    assert_eq!(ready(&host), 503);
-    // Callers whom the balancer still sends are served, and told to connect elsewhere next time.
-    let reply = host.ask("", "deposit");
-    assert_eq!(reply.status, 200);
-    assert!(reply.head.contains("Connection: close"));
+    assert_eq!(readiness(&host), 503);
+    // Callers that the balancer still sends are served, and asked to connect to another host next time.
+    let response = host.request("", "deposit");
+    assert_eq!(response.status, 200);
+    assert!(response.head.contains("Connection: close"));
 }
 
-/// A caller keeps a connection open while the host stops, and sends a long request when the process is about to end. It
-/// would be cut in the middle of its answer; instead it hears that it was not run, or finds the connection closed.
+/// Guards against a long request that is cut off by the end of the process, because it arrives late on a connection
+/// that is still open. It has to be refused as not run, or the connection closed.
 #[test]
-fn late_in_stop() {
-    let till = till();
-    let host = Host::start(Repeatable::Once, 1, &[&till]);
+fn request_during_stop() {
+    let upstream = accepting_upstream();
+    let host = Host::start(Repeatable::Once, 1, &[&upstream]);
     let mut caller = host.connect();
     host.stop();
-    let begun = Instant::now();
-    // Bytes of an unfinished head keep the connection from being idle.
+    let started = Instant::now();
+    // An incomplete head keeps the connection from being closed as idle.
     caller.write("POST /x/1 HTTP/1.1\r\n");
-    while begun.elapsed() < Duration::from_millis(2_900) {
+    while started.elapsed() < Duration::from_millis(2_900) {
         std::thread::sleep(Duration::from_millis(20));
     }
     caller.write("Host: a.example\r\nId: q1\r\nContent-Length: 0\r\n\r\n");
-    let reply = caller.reply();
-    assert!(matches!(reply.status, 503 | 0), "{reply:?}");
-    assert_eq!(till.count(), 0);
+    let response = caller.read_response();
+    assert!(matches!(response.status, 503 | 0), "{response:?}");
+    assert_eq!(upstream.request_count(), 0);
 }
 
-/// A process that knows no configuration yet can't tell a wrong path from one that it has not heard of.
+/// Guards against a final 404 from a host that has no catalog yet and can't know whether a route exists.
 #[test]
-fn nothing_known() {
+fn no_config() {
     let host = Host::run(std::sync::Arc::new(Shared::default()));
-    assert_eq!(ready(&host), 503);
-    assert_eq!(host.ask("", "").status, 503);
+    assert_eq!(readiness(&host), 503);
+    assert_eq!(host.request("", "").status, 503);
 }
 
-/// All processes were restarted, and callers come while the state group still elects its leader. They wait for a moment and
-/// are served, instead of being sent away with their only repeat.
+/// Guards against refusals after a restart of all processes, while the state group elects a leader: callers would use
+/// up their only retry. They have to wait a moment and be served.
 #[test]
-fn known_soon() {
-    let till = till();
-    let known = Host::shared(Repeatable::Once, 1, 5_000, &[&till]);
-    let empty = std::sync::Arc::new(Shared::default());
-    let host = Host::run(std::sync::Arc::clone(&empty));
+fn waits_for_config() {
+    let upstream = accepting_upstream();
+    let configured = Host::shared(Repeatable::Once, 1, 5_000, &[&upstream]);
+    let shared = std::sync::Arc::new(Shared::default());
+    let host = Host::run(std::sync::Arc::clone(&shared));
     let mut caller = host.connect();
     caller.send("Wait-Ms: 3000\r\n", "deposit");
     std::thread::sleep(Duration::from_millis(300));
-    *empty.new_list.lock() = known.new_list.lock().take();
-    empty.table.store(known.table.load_full());
-    assert_eq!(caller.reply().status, 200);
+    *shared.new_list.lock() = configured.new_list.lock().take();
+    shared.table.store(configured.table.load_full());
+    assert_eq!(caller.read_response().status, 200);
 }
--- a/crates/gateway/tests/route_table.rs
+++ b/crates/gateway/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Which route, service and account a request belongs to.
+//! Lookup of the route, service and account of a request.
 
 use contract::{Catalog, ClientAccount, KeyHash, Route, Service, ServiceName, Share};
 use gateway::routing_table::{RoutingTable, pick_service};
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn keys_of_accounts() {
+fn account_keys() {
     let table = table();
     assert!(table.requires_key());
     assert_eq!(table.account_by_key(&KeyHash::of("two")).unwrap().name, "counter");
@@ -64,8 +64,8 @@
 }
 
 quickcheck! {
-    /// A service without weight gets no request, wherever the draw falls.
-    fn weights_hold(a: u8, b: u8, draw: u32) -> bool {
+    /// Guards against requests to a service with a weight of zero, for any draw.
+    fn weights_respected(a: u8, b: u8, draw: u32) -> bool {
         let split = vec![share("none", 0), share("a", u32::from(a)), share("b", u32::from(b) + 1)];
         let route = Route { split, ..Route::default() };
         let draw = f64::from(draw) / (f64::from(u32::MAX) + 1.0);
--- a/crates/gateway/tests/slow_node/mod.rs
+++ b/crates/gateway/tests/slow_node/mod.rs
@@ -1,4 +1,4 @@
-//! A state node behind a link of little bandwidth, and an entry host's link to it.
+//! A state node behind a link of low bandwidth, and an entry host that follows it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,54 +30,58 @@
 use wire::client::MAX_MESSAGE_BYTES;
 use wire::registry::{Borrow, BorrowReply, Heartbeat, HeartbeatReply};
 
-/// Longest wait for anything; only a guard against hanging.
-const PATIENCE: Duration = Duration::from_mins(1);
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Longest wait for anything, so that no test hangs.
+const TEST_TIMEOUT: Duration = Duration::from_mins(1);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A state node behind a slow link.
 pub struct SlowNode {
     address: SocketAddr,
-    bytes: Arc<AtomicU64>,
-    program: StateNode,
+    bytes_sent: Arc<AtomicU64>,
+    state_node: StateNode,
     data: TempDir,
     server: ServerHandle,
 }
 
 impl SlowNode {
-    /// Starts one whose answers about the catalog take a second for so many bytes.
+    /// Starts a node whose responses pass a link of `bytes_per_s`.
     pub fn start(bytes_per_s: f64) -> Self {
-        let data = TempDir::new().expect("a folder for the log");
-        let inner = free_address();
-        let me = NodeConfig {
+        let data = TempDir::new().expect("a directory for the log");
+        let node_address = free_address();
+        let node_config = NodeConfig {
             node: NodeId::from("state-1"),
-            address: inner,
-            peers: vec![inner],
+            address: node_address,
+            peers: vec![node_address],
             membership: MembershipMode::Manual,
         };
         let logger = Logger::root(Discard, o!());
         let stop = Arc::new(AtomicBool::new(false));
-        let program = StateNode::start(me, data.path(), Slack::default(), &logger, &stop).expect("a state node starts");
+        let state_node =
+            StateNode::start(node_config, data.path(), Slack::default(), &logger, &stop).expect("a state node starts");
         let address = free_address();
-        let bytes = Arc::new(AtomicU64::new(0));
-        let relay = Relay {
-            node: program.calls.client(inner, Duration::ZERO).expect("a client opens"),
+        let bytes_sent = Arc::new(AtomicU64::new(0));
+        let proxy = SlowProxy {
+            node: state_node
+                .calls
+                .client(node_address, Duration::ZERO)
+                .expect("a client opens"),
             address,
-            bytes: Arc::clone(&bytes),
+            bytes_sent: Arc::clone(&bytes_sent),
             bytes_per_s,
         };
         let config = ServerConfig::builder()
             .max_response_body_size(MAX_MESSAGE_BYTES)
             .build();
-        let server = program
+        let server = state_node
             .calls
             .wait(Server::builder().set_config(config).build(address))
             .expect("a port is free");
-        let server = program.calls.wait(async { server.start(relay.into_rpc()) });
+        let server = state_node.calls.wait(async { server.start(proxy.into_rpc()) });
         Self {
             address,
-            bytes,
-            program,
+            bytes_sent,
+            state_node,
             data,
             server,
         }
@@ -85,26 +89,26 @@
 
     /// Publishes a catalog.
     pub fn publish(&self, catalog: &Catalog) {
-        let group = self.program.group_client(&NodeId::from("operator"));
-        let accepted = || {
-            let ask = Publish {
+        let group = self.state_node.group_client(&NodeId::from("operator"));
+        let is_accepted = || {
+            let request = Publish {
                 document: Vec::new(),
                 catalog: catalog.clone(),
             };
-            matches!(group.publish(&ask), Published::Accepted { .. })
+            matches!(group.publish(&request), Published::Accepted { .. })
         };
-        wait("the acknowledgement", accepted);
+        wait_until("the acknowledgement", is_accepted);
     }
 
-    /// Tells the node the list of upstreams.
+    /// Sets the upstream list of the node.
     pub fn set_list(&self, list: Vec<Listed>) {
-        self.program.registry.set_list(1, list, self.program.clock.now());
+        self.state_node.registry.set_list(1, list, self.state_node.clock.now());
     }
 
-    /// Starts an entry host's link; gives what it shares with requests.
-    pub fn entry(&self) -> Arc<Shared> {
+    /// Starts the background threads of an entry host; returns the state that they share with its event loop.
+    pub fn start_entry(&self) -> Arc<Shared> {
         let shared = Arc::new(Shared::default());
-        let link = StateSync {
+        let sync = StateSync {
             node: NodeId::from("entry-1"),
             incarnation: 0,
             seeds: Arc::new(ArcSwap::from_pointee(vec![self.address])),
@@ -112,40 +116,43 @@
             clock: Clock::start(),
             logger: Logger::root(Discard, o!()),
         };
-        link.start(Box::new(NoList)).expect("threads start");
+        sync.start(Box::new(UnavailableDirectory)).expect("threads start");
         shared
     }
 
-    /// Gives the bytes of all answers about the catalog so far.
-    pub fn bytes(&self) -> u64 {
-        self.bytes.load(Ordering::Relaxed)
+    /// Returns the size of all catalog responses so far.
+    pub fn bytes_sent(&self) -> u64 {
+        self.bytes_sent.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for SlowNode {
     fn drop(&mut self) {
-        // A server that has stopped needs no second request.
+        // The server may have stopped already.
         let _ = self.server.stop();
-        let _ = self.program.stop(self.data.path());
+        let _ = self.state_node.stop(self.data.path());
     }
 }
 
-/// Waits until an entry host has a version in force.
+/// Waits until a version is in force on an entry host.
 pub fn wait_version(shared: &Shared, version: u64) {
     let held = || shared.table.load().as_ref().map_or(0, |table| table.version());
-    wait(&format!("version {version} in force"), || held() >= version);
+    wait_until(&format!("version {version} in force"), || held() >= version);
 }
 
-/// Waits until something has come about.
-pub fn wait(what: &str, done: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !done() {
-        assert!(begun.elapsed() < PATIENCE, "{what} did not come within {PATIENCE:?}");
-        thread::sleep(PAUSE);
+/// Waits until a condition holds.
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "{what} did not happen within {TEST_TIMEOUT:?}"
+        );
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Makes a catalog of so many routes.
+/// Returns a catalog with a number of routes.
 pub fn catalog(version: u64, routes: usize) -> Catalog {
     let service = ServiceName::from("till");
     let route = |at: usize| Route {
@@ -172,12 +179,12 @@
     }
 }
 
-/// Leaves the host to what the leader tells.
-struct NoList;
+/// Provides no upstream list, so that it can only come from the leader.
+struct UnavailableDirectory;
 
-impl Directory for NoList {
+impl Directory for UnavailableDirectory {
     fn read(&mut self) -> Result<Vec<Listed>, String> {
-        Err("no list can be read here".to_owned())
+        Err("no list can be read".to_owned())
     }
 
     fn rate(&self) -> f64 {
@@ -185,60 +192,64 @@
     }
 }
 
-/// Passes calls on to the state node; what it says of the catalog arrives as fast as the link lets it.
+/// Forwards calls to the state node, and delays the responses as the link would.
 #[derive(Clone)]
-struct Relay {
+struct SlowProxy {
     node: HttpClient,
     address: SocketAddr,
-    bytes: Arc<AtomicU64>,
+    bytes_sent: Arc<AtomicU64>,
     bytes_per_s: f64,
 }
 
-impl Relay {
-    /// Waits for as long as an answer takes on the link.
-    async fn pass<T: Serialize>(&self, answer: &T) {
-        tokio::time::sleep(Duration::from_secs_f64(size(answer) as f64 / self.bytes_per_s)).await;
+impl SlowProxy {
+    /// Waits for the time that a response takes on the link.
+    async fn delay<T: Serialize>(&self, response: &T) {
+        tokio::time::sleep(Duration::from_secs_f64(
+            encoded_size(response) as f64 / self.bytes_per_s,
+        ))
+        .await;
     }
 }
 
-fn size<T: Serialize>(answer: &T) -> usize {
-    serde_json::to_vec(answer).expect("an answer is encoded").len()
+fn encoded_size<T: Serialize>(response: &T) -> usize {
+    serde_json::to_vec(response).expect("a response is encoded").len()
 }
 
-fn passed<T>(answer: Result<T, ClientError>) -> RpcResult<T> {
-    answer.map_err(|error| ErrorObjectOwned::owned(-1, error.to_string(), None::<()>))
+fn to_rpc_result<T>(response: Result<T, ClientError>) -> RpcResult<T> {
+    response.map_err(|error| ErrorObjectOwned::owned(-1, error.to_string(), None::<()>))
 }
 
 #[async_trait]
-impl CatalogRpcServer for Relay {
+impl CatalogRpcServer for SlowProxy {
     async fn publish(&self, request: Envelope<Publish>) -> RpcResult<Envelope<Published>> {
-        passed(self.node.publish(request).await)
+        to_rpc_result(self.node.publish(request).await)
     }
 
     async fn upload(&self, request: Envelope<Upload>) -> RpcResult<Envelope<Uploaded>> {
-        passed(self.node.upload(request).await)
+        to_rpc_result(self.node.upload(request).await)
     }
 
     async fn fetch(&self, request: Envelope<()>) -> RpcResult<Envelope<Fetched>> {
-        passed(self.node.fetch(request).await)
+        to_rpc_result(self.node.fetch(request).await)
     }
 
     async fn follow(&self, request: Envelope<Follow>) -> RpcResult<Envelope<Followed>> {
-        let mut answer = passed(self.node.follow(request).await)?;
-        answer.body.members = vec![self.address];
-        answer.body.leader = Some(self.address);
-        self.bytes.fetch_add(size(&answer) as u64, Ordering::Relaxed);
-        self.pass(&answer).await;
-        Ok(answer)
+        let mut response = to_rpc_result(self.node.follow(request).await)?;
+        response.body.members = vec![self.address];
+        response.body.leader = Some(self.address);
+        self.bytes_sent
+            .fetch_add(encoded_size(&response) as u64, Ordering::Relaxed);
+        self.delay(&response).await;
+        Ok(response)
     }
 
     async fn beat(&self, request: Envelope<Heartbeat>) -> RpcResult<Envelope<HeartbeatReply>> {
-        let answer = passed(self.node.beat(request).await)?;
-        self.pass(&answer).await;
-        Ok(answer)
+        let response = to_rpc_result(self.node.beat(request).await)?;
+        self.delay(&response).await;
+        Ok(response)
     }
 
     async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<BorrowReply>> {
-        passed(self.node.borrow_units(request).await)
+        to_rpc_result(self.node.borrow_units(request).await)
     }
 }
--- a/crates/gateway/tests/true_refusals.rs
+++ b/crates/gateway/tests/true_refusals.rs
@@ -1,153 +1,159 @@
-//! What callers are told of requests that may run only once: "not run" only when that is certain.
+//! Responses to requests that must run at most once: they say "not run" only if that is certain.
 
 mod common;
 
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use common::{Host, Upstream, answer};
+use common::{Host, Upstream, respond};
 use contract::Repeatable;
 
-/// An upstream states that it did not run the request, because it is full. The caller hears that it was not run, and when
-/// to come back.
+/// Guards against a caller that does not learn that it may retry: the upstream is full and states that it did not run
+/// the request.
 #[test]
 fn full_upstream() {
-    let full = Upstream::start(Box::new(|seen, stream| {
-        answer(seen, stream, "503 Service Unavailable", "Not-Run: 1\r\n", "full")
+    let full = Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "503 Service Unavailable", "Not-Run: 1\r\n", "full")
     }));
     let host = Host::start(Repeatable::Once, 1, &[&full]);
-    let reply = host.ask("", "deposit");
-    assert_eq!(reply.status, 503);
-    assert!(reply.head.contains("Retry-After: "), "{}", reply.head);
-    assert_eq!(full.count(), 1);
+    let response = host.request("", "deposit");
+    assert_eq!(response.status, 503);
+    assert!(response.head.contains("Retry-After: "), "{}", response.head);
+    assert_eq!(full.request_count(), 1);
 }
 
-/// One upstream is full, and the route allows two. The deposit runs at the other, once.
+/// Guards against a request that is lost or runs twice when one upstream is full and the route allows two attempts.
 #[test]
-fn refused_elsewhere() {
-    let full = Upstream::start(Box::new(|seen, stream| {
-        answer(seen, stream, "503 Service Unavailable", "Not-Run: 1\r\n", "full")
+fn retried_elsewhere() {
+    let full = Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "503 Service Unavailable", "Not-Run: 1\r\n", "full")
     }));
-    let free = Upstream::start(Box::new(|seen, stream| {
-        answer(seen, stream, "200 OK", "Signed: s\r\n", "booked")
+    let free = Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "200 OK", "Signed: s\r\n", "booked")
     }));
     let host = Host::start(Repeatable::Once, 2, &[&full, &free]);
     for _ in 0..4 {
-        let reply = host.ask("", "deposit");
-        assert_eq!((reply.status, reply.body.as_str()), (200, "booked"));
+        let response = host.request("", "deposit");
+        assert_eq!((response.status, response.body.as_str()), (200, "booked"));
     }
-    assert_eq!(free.count(), 4);
+    assert_eq!(free.request_count(), 4);
 }
 
-/// An upstream reads a deposit and its connection breaks. It may have run: the caller must not hear "not run", and no other
-/// upstream may get it.
+/// Guards against "not run" for a request that may have run, because the upstream read it and the connection broke. No
+/// other upstream may get it.
 #[test]
-fn lost_answer() {
-    let losing = Upstream::start(Box::new(|_, _| false));
+fn lost_response() {
+    let failing = Upstream::start(Box::new(|_, _| false));
     let other = Upstream::start(Box::new(|_, _| false));
-    let host = Host::start(Repeatable::Once, 2, &[&losing, &other]);
-    let reply = host.ask("", "deposit");
-    assert_eq!(reply.status, 502);
-    assert_eq!(losing.count() + other.count(), 1);
+    let host = Host::start(Repeatable::Once, 2, &[&failing, &other]);
+    let response = host.request("", "deposit");
+    assert_eq!(response.status, 502);
+    assert_eq!(failing.request_count() + other.request_count(), 1);
 }
 
-/// An upstream never answers. The caller gets its final answer when the route's time is over, not at its own deadline.
+/// Guards against a wait until the caller's deadline for an upstream that never responds; the route's timeout is
+/// shorter.
 #[test]
 fn silent_upstream() {
     let silent = Upstream::start(Box::new(|_, _| {
         std::thread::sleep(Duration::from_secs(30));
         false
     }));
-    let host = Host::with(Repeatable::Once, 1, 400, &[&silent]);
-    let begun = Instant::now();
-    let reply = host.ask("Wait-Ms: 5000\r\n", "deposit");
-    assert_eq!(reply.status, 504);
-    assert!(begun.elapsed() < Duration::from_secs(3));
+    let host = Host::with_timeout(Repeatable::Once, 1, 400, &[&silent]);
+    let started = Instant::now();
+    let response = host.request("Wait-Ms: 5000\r\n", "deposit");
+    assert_eq!(response.status, 504);
+    assert!(started.elapsed() < Duration::from_secs(3));
 }
 
-/// Nothing listens at the only upstream's address. Nothing was sent, so the refusal is true and comes at once.
+/// Guards against a late or wrong refusal when nothing listens at the only upstream's address, so that nothing was
+/// sent.
 #[test]
-fn nobody_listens() {
-    let gone = Upstream {
+fn connection_refused() {
+    let unreachable = Upstream {
         address: std::net::TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
             .unwrap(),
-        seen: std::sync::Arc::default(),
+        requests: std::sync::Arc::default(),
         closed: std::sync::Arc::default(),
     };
-    let host = Host::start(Repeatable::Once, 1, &[&gone]);
-    let begun = Instant::now();
-    let reply = host.ask("", "deposit");
-    assert_eq!(reply.status, 503);
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    let host = Host::start(Repeatable::Once, 1, &[&unreachable]);
+    let started = Instant::now();
+    let response = host.request("", "deposit");
+    assert_eq!(response.status, 503);
+    assert!(started.elapsed() < Duration::from_secs(2));
 }
 
-/// Another incarnation answers at the address. It did not run the request; the one that is meant gets it.
+/// Guards against a failed request because another incarnation responds at the listed address. It did not run the
+/// request, so the listed one gets it.
 #[test]
 fn other_incarnation() {
-    let other = Upstream::start(Box::new(|seen, stream| answer(seen, stream, "421 Misdirected", "", "")));
-    let right = Upstream::start(Box::new(|seen, stream| {
-        answer(seen, stream, "200 OK", "Signed: s\r\n", "booked")
+    let other = Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "421 Misdirected", "", "")
     }));
-    let host = Host::start(Repeatable::Once, 1, &[&other, &right]);
+    let requested = Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "200 OK", "Signed: s\r\n", "booked")
+    }));
+    let host = Host::start(Repeatable::Once, 1, &[&other, &requested]);
     for _ in 0..3 {
-        assert_eq!(host.ask("", "deposit").status, 200);
+        assert_eq!(host.request("", "deposit").status, 200);
     }
 }
 
-/// A lookup may run twice: when one upstream breaks off, another answers.
+/// Guards against a failed lookup although it may run twice: if one upstream breaks off, another one responds.
 #[test]
-fn lookup_again() {
-    let losing = Upstream::start(Box::new(|_, _| false));
-    let good = Upstream::start(Box::new(|seen, stream| {
-        answer(seen, stream, "200 OK", "Signed: s\r\n", "7 free")
+fn idempotent_retried() {
+    let failing = Upstream::start(Box::new(|_, _| false));
+    let good = Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "200 OK", "Signed: s\r\n", "7 free")
     }));
-    let host = Host::start(Repeatable::Idempotent, 2, &[&losing, &good]);
+    let host = Host::start(Repeatable::Idempotent, 2, &[&failing, &good]);
     for _ in 0..3 {
-        assert_eq!(host.ask("", "").status, 200);
+        assert_eq!(host.request("", "").status, 200);
     }
 }
 
-/// An upstream's answer is cut, unsigned, coded, or no answer at all. None of these may reach a caller as a success.
+/// Guards against a success for the caller when the upstream's response is truncated, unsigned, content-coded or not
+/// HTTP.
 #[test]
-fn spoiled_answers() {
-    let spoils: [fn(&mut std::net::TcpStream); 4] = [
+fn invalid_responses() {
+    let scripts: [fn(&mut std::net::TcpStream); 4] = [
         |stream| drop(stream.write_all(b"HTTP/1.1 200 OK\r\nId: q1\r\nSigned: s\r\nContent-Length: 9\r\n\r\nhalf")),
         |stream| drop(stream.write_all(b"HTTP/1.1 200 OK\r\nId: q1\r\nContent-Length: 2\r\n\r\nok")),
         |stream| {
-            let coded = b"HTTP/1.1 200 OK\r\nId: q1\r\nSigned: s\r\nContent-Encoding: x\r\nContent-Length: 2\r\n\r\nok";
-            drop(stream.write_all(coded));
+            let encoded =
+                b"HTTP/1.1 200 OK\r\nId: q1\r\nSigned: s\r\nContent-Encoding: x\r\nContent-Length: 2\r\n\r\nok";
+            drop(stream.write_all(encoded));
         },
         |stream| drop(stream.write_all(b"\x01\x02 nonsense \r\n\r\n")),
     ];
-    for spoil in spoils {
+    for script in scripts {
         let upstream = Upstream::start(Box::new(move |_, stream| {
-            spoil(stream);
+            script(stream);
             false
         }));
         let host = Host::start(Repeatable::Once, 1, &[&upstream]);
-        assert_eq!(host.ask("", "deposit").status, 502);
+        assert_eq!(host.request("", "deposit").status, 502);
     }
 }
 
-/// The answer to an earlier request comes where the next one is expected. It reaches nobody, and the next request gets its
-/// own answer.
+/// Guards against a response to an earlier request that reaches the next caller on the same connection.
 #[test]
-fn extra_answer() {
-    let upstream = Upstream::start(Box::new(|seen, stream| {
-        let extra = "HTTP/1.1 200 OK\r\nId: other\r\nSigned: s\r\nContent-Length: 5\r\n\r\nother";
-        stream.write_all(extra.as_bytes()).unwrap();
-        answer(seen, stream, "200 OK", "Signed: s\r\n", "own")
+fn stale_response() {
+    let upstream = Upstream::start(Box::new(|request, stream| {
+        let stale = "HTTP/1.1 200 OK\r\nId: other\r\nSigned: s\r\nContent-Length: 5\r\n\r\nother";
+        stream.write_all(stale.as_bytes()).unwrap();
+        respond(request, stream, "200 OK", "Signed: s\r\n", "own")
     }));
     let host = Host::start(Repeatable::Once, 1, &[&upstream]);
-    assert_eq!(host.ask("", "deposit").body, "own");
+    assert_eq!(host.request("", "deposit").body, "own");
 }
 
-/// An upstream answers before it has read a long body, and keeps the connection. The rest of the body must never be taken
-/// for the next request, so the connection serves nobody else.
+/// Guards against the reuse of a connection whose upstream responded before it read the whole body: it would take the
+/// rest for the next request.
 #[test]
-fn early_answer() {
+fn early_response() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -159,25 +165,24 @@
     });
     let early = Upstream {
         address,
-        seen: std::sync::Arc::default(),
+        requests: std::sync::Arc::default(),
         closed: std::sync::Arc::default(),
     };
     let host = Host::start(Repeatable::Once, 1, &[&early]);
-    let begun = Instant::now();
-    let reply = host.ask("", &"x".repeat(3_000_000));
-    assert_eq!((reply.status, reply.body.as_str()), (413, "big"));
-    assert!(begun.elapsed() < Duration::from_secs(3));
+    let started = Instant::now();
+    let response = host.request("", &"x".repeat(3_000_000));
+    assert_eq!((response.status, response.body.as_str()), (413, "big"));
+    assert!(started.elapsed() < Duration::from_secs(3));
 }
 
-/// An upstream refuses a deposit as not run, and its caller comes back. The first try must not have used up the account's
-/// quota, or the caller would be refused a second time although nothing was run for it.
+/// Guards against requests that use up quota although no upstream ran them: their retries would be refused.
 #[test]
-fn quota_given_back() {
-    let full = Upstream::start(Box::new(|seen, stream| {
-        answer(seen, stream, "503 Service Unavailable", "Not-Run: 1\r\n", "full")
+fn quota_refunded() {
+    let full = Upstream::start(Box::new(|request, stream| {
+        respond(request, stream, "503 Service Unavailable", "Not-Run: 1\r\n", "full")
     }));
     let host = Host::with_quota(&[&full], 2.0);
     for _ in 0..6 {
-        assert_eq!(host.ask("Key: k\r\n", "deposit").status, 503);
+        assert_eq!(host.request("Key: k\r\n", "deposit").status, 503);
     }
 }
