--- a/crates/gateway/benches/rollout.rs
+++ b/crates/gateway/benches/rollout.rs
@@ -1,5 +1,5 @@
-//! What a change of one route costs a state node and an entry host, at 100, 1,000 and 10,000 routes; and what the whole catalog
-//! as JSON would cost each of them.
+//! Cost of a change of one route for a state node and an entry host, at 100, 1,000 and 10,000 routes; and what the
+//! whole catalog as JSON would cost each of them.
 #![expect(
     missing_docs,
     reason = "the macro of the library makes a public function without documentation"
@@ -15,13 +15,13 @@
 use state::feed::CatalogFeed;
 use wire::catalog::Followed;
 
-const SIZES: [usize; 3] = [100, 1_000, 10_000];
+const ROUTE_COUNTS: [usize; 3] = [100, 1_000, 10_000];
 
 fn catalog(version: u64, routes: usize) -> Catalog {
-    let route = |at: usize| Route {
-        name: format!("r-{at:06}"),
-        host: format!("host{}.example", at % 40),
-        prefix: format!("/path{at}/"),
+    let route = |index: usize| Route {
+        name: format!("r-{index:06}"),
+        host: format!("host{}.example", index % 40),
+        prefix: format!("/path{index}/"),
         timeout_ms: 15_000,
         target_ms: 600,
         attempts: 2,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Gives a catalog and the next one, in which one route is another.
+/// Returns a catalog and its next version, in which one route differs.
 fn versions(routes: usize) -> (Catalog, Catalog) {
     let old = catalog(1, routes);
     let mut new = old.clone();
@@ -47,46 +47,46 @@
     (old, new)
 }
 
-/// Fetches what a copy lacks; gives the bytes.
-fn fetch(mirror: &mut CatalogCopy, feed: &mut CatalogFeed, newest: &Catalog) -> usize {
+/// Fetches what a copy lacks; returns the number of bytes.
+fn fetch(copy: &mut CatalogCopy, feed: &mut CatalogFeed, newest: &Catalog) -> usize {
     let mut bytes = 0;
-    while mirror.version() != Some(newest.version) {
-        let news = Followed {
-            parts: feed.next_parts(&mirror.next_request(Duration::ZERO), newest),
+    while copy.version() != Some(newest.version) {
+        let update = Followed {
+            parts: feed.next_parts(&copy.next_request(Duration::ZERO), newest),
             newest: newest.version,
             age_ms: 0,
             members: Vec::new(),
             leader: None,
         };
-        bytes += mirror.apply_update(news, Duration::ZERO).expect("the transfer fits");
+        bytes += copy.apply_update(update, Duration::ZERO).expect("the transfer fits");
     }
     bytes
 }
 
-fn costs(criterion: &mut Criterion) {
+fn measure_costs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one_route");
-    for routes in SIZES {
+    for routes in ROUTE_COUNTS {
         let (old, new) = versions(routes);
         let mut feed = CatalogFeed::default();
-        let mut mirror = CatalogCopy::default();
-        let whole = fetch(&mut mirror, &mut feed, &old);
+        let mut copy = CatalogCopy::default();
+        let whole_bytes = fetch(&mut copy, &mut feed, &old);
         feed.push_change(&old, &new);
-        let change = fetch(&mut mirror, &mut feed, &new);
+        let changed_bytes = fetch(&mut copy, &mut feed, &new);
         let json = serde_json::to_vec(&new).expect("a catalog is encoded");
         println!(
-            "{routes} routes: change {change} B, whole {whole} B, whole as JSON {} B",
+            "{routes} routes: change {changed_bytes} B, whole {whole_bytes} B, whole as JSON {} B",
             json.len()
         );
         group.bench_function(BenchmarkId::new("node_compares", routes), |bencher| {
             bencher.iter(|| CatalogFeed::default().push_change(&old, black_box(&new)));
         });
-        let ask = {
-            let mut behind = CatalogCopy::default();
-            fetch(&mut behind, &mut CatalogFeed::default(), &old);
-            behind.next_request(Duration::ZERO)
+        let request = {
+            let mut outdated = CatalogCopy::default();
+            fetch(&mut outdated, &mut CatalogFeed::default(), &old);
+            outdated.next_request(Duration::ZERO)
         };
         group.bench_function(BenchmarkId::new("node_answers", routes), |bencher| {
-            bencher.iter(|| feed.next_parts(black_box(&ask), &new));
+            bencher.iter(|| feed.next_parts(black_box(&request), &new));
         });
         let (table, delta) = (RoutingTable::new(&old), Delta::between(&old, &new));
         group.bench_function(BenchmarkId::new("host_applies", routes), |bencher| {
@@ -105,5 +105,5 @@
     group.finish();
 }
 
-criterion_group!(benches, costs);
+criterion_group!(benches, measure_costs);
 criterion_main!(benches);
