--- a/crates/gateway/src/caller_connection.rs
+++ b/crates/gateway/src/caller_connection.rs
@@ -94,7 +94,7 @@
         let deadline = Instant::now() + MAX_CONFIG_WAIT.min(share);
         let has_share = || self.gateway.shared.quota_share.load().is_some();
         while !(self.has_config() && has_share()) && Instant::now() < deadline {
-            self.gateway.sync_threads();
+            self.gateway.exchange_state();
             sleep(CONFIG_POLL_INTERVAL).await;
         }
     }
--- a/crates/gateway/src/catalog_follower.rs
+++ b/crates/gateway/src/catalog_follower.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(crate) struct CatalogFollower {
     sync: StateSync,
-    calls: RpcRuntime,
+    rpc: RpcRuntime,
     known: Arc<Mutex<KnownNodes>>,
     catalog: CatalogCopy,
     selector: NodeSelector,
@@ -57,11 +57,11 @@
 }
 
 impl CatalogFollower {
-    pub(crate) fn new(sync: StateSync, calls: RpcRuntime, known: Arc<Mutex<KnownNodes>>) -> Self {
+    pub(crate) fn new(sync: StateSync, rpc: RpcRuntime, known: Arc<Mutex<KnownNodes>>) -> Self {
         let first_node = sync.incarnation as usize;
         Self {
             sync,
-            calls,
+            rpc,
             known,
             catalog: CatalogCopy::default(),
             selector: NodeSelector::new(first_node),
@@ -85,7 +85,7 @@
                 self.catalog.next_request(WATCH_WAIT),
             );
             let sent_at = self.sync.clock.now();
-            let reply = self.calls.wait(client.follow(request));
+            let reply = self.rpc.wait(client.follow(request));
             let elapsed = self.sync.clock.now().since(sent_at);
             histogram!("gentian_gateway_follow_seconds").record(elapsed.as_secs_f64());
             match reply {
@@ -107,7 +107,7 @@
         let leader = self.known.lock().leader.filter(|_| self.node_newest < newest);
         let peer = self.selector.pick(&nodes, leader, self.sync.clock.now())?;
         if self.client.as_ref().is_none_or(|(current, _)| *current != peer) {
-            self.client = match self.calls.client(peer, WATCH_WAIT) {
+            self.client = match self.rpc.client(peer, WATCH_WAIT) {
                 Ok(client) => Some((peer, client)),
                 Err(error) => {
                     self.record_failure(peer, &error.to_string(), Duration::ZERO);
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -105,8 +105,8 @@
     fn check(&mut self, id: u64) -> Result<(), EventError> {
         if let Some(last) = self.last_id {
             let id_step = id.checked_sub(last).filter(|id_step| *id_step > 0);
-            let expected = self.id_step.is_none_or(|known| id_step == Some(known));
-            if id_step.is_none() || !expected {
+            let is_expected = self.id_step.is_none_or(|expected_step| id_step == Some(expected_step));
+            if id_step.is_none() || !is_expected {
                 return Err(EventError::OutOfOrder { received: id, last });
             }
             self.id_step = id_step;
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -112,7 +112,7 @@
     let mut skipped = 0;
     loop {
         if let Some((head, info, decoder)) = next_response(buffer, codec)? {
-            if info.id.as_deref().is_none_or(|answered| answered == id) {
+            if info.id.as_deref().is_none_or(|answered_id| answered_id == id) {
                 return Ok((head, info, decoder, request_sent && !write_failed));
             }
             // A response to an earlier request that was abandoned. No caller may get it, and the response to this
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -27,8 +27,8 @@
 use crate::upstreams::Upstreams;
 use crate::usage::UsageCounter;
 
-/// Fraction of every quota that an entry host uses until the leader assigns its share; small enough for one of the
-/// hosts of a large deployment.
+/// Fraction of every quota that an entry host uses until the leader assigns its share; there may be as many hosts as in
+/// a large deployment.
 const DEFAULT_QUOTA_FRACTION: f64 = 1.0 / 64.0;
 /// Log lines per second for requests that succeeded in time, about ten times the expected rate. Refused, failed and
 /// late requests are always logged.
@@ -201,9 +201,9 @@
     }
 
     /// Applies what the background threads have received, and fills in the next heartbeat.
-    pub fn sync_threads(&self) {
-        if let Some((list, read_at)) = self.shared.new_list.lock().take() {
-            let ended = self.upstreams.borrow_mut().update(list, read_at);
+    pub fn exchange_state(&self) {
+        if let Some((list, list_time)) = self.shared.new_list.lock().take() {
+            let ended = self.upstreams.borrow_mut().update(list, list_time);
             if !ended.is_empty() {
                 slog::info!(self.logger, "upstreams leave"; "upstreams" => ended.join(","));
             }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -78,15 +78,15 @@
     /// # Errors
     /// Fails when the operating system refuses to create a thread.
     pub fn start(&self, directory: Box<dyn Directory>) -> std::io::Result<()> {
-        let calls = RpcRuntime::start(1, RPC_TIMEOUT)?;
+        let rpc = RpcRuntime::start(1, RPC_TIMEOUT)?;
         let known = Arc::new(Mutex::new(KnownNodes::default()));
         let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
             thread::Builder::new().name(name.to_owned()).spawn(work).map(drop)
         };
-        let follower = CatalogFollower::new(self.clone(), calls.clone(), Arc::clone(&known));
+        let follower = CatalogFollower::new(self.clone(), rpc.clone(), Arc::clone(&known));
         spawn("follow", Box::new(move || follower.run()))?;
         let sync = self.clone();
-        spawn("beat", Box::new(move || sync.send_heartbeats(&calls, &known)))?;
+        spawn("beat", Box::new(move || sync.send_heartbeats(&rpc, &known)))?;
         let sync = self.clone();
         spawn("list", Box::new(move || sync.poll_list(directory)))
     }
@@ -112,12 +112,12 @@
 
     /// Reports to the leader what this entry host has observed, and receives its quota share and updates of the
     /// upstream list.
-    fn send_heartbeats(&self, calls: &RpcRuntime, known: &Mutex<KnownNodes>) {
+    fn send_heartbeats(&self, rpc: &RpcRuntime, known: &Mutex<KnownNodes>) {
         let mut node_index = self.incarnation as usize;
         let mut client = None;
         let mut connected = true;
         let mut upstream_list = UpstreamList::default();
-        let mut published = None;
+        let mut list_published = None;
         loop {
             thread::sleep(self.heartbeat_interval(&upstream_list));
             let leader = known.lock().leader;
@@ -125,7 +125,7 @@
                 continue;
             };
             if client.as_ref().is_none_or(|(current, _)| *current != peer) {
-                client = calls
+                client = rpc
                     .client(peer, Duration::ZERO)
                     .ok()
                     .map(|new_client| (peer, new_client));
@@ -138,14 +138,14 @@
             upstream_list.fill_request(&mut heartbeat);
             let sent_at = self.clock.now();
             let error =
-                match calls.wait(current.beat(Envelope::new(&self.node, Revision(self.active_version()), heartbeat))) {
+                match rpc.wait(current.beat(Envelope::new(&self.node, Revision(self.active_version()), heartbeat))) {
                     Ok(reply) => match reply.body {
                         HeartbeatReply::News(update) => {
                             let share = update.parts;
                             self.shared.record_newest(update.version, sent_at);
                             *self.shared.observations.lock() = Some((update.signs, self.clock.now()));
                             let elapsed = self.clock.now().since(sent_at);
-                            self.merge_list(&mut upstream_list, update.list, &mut published, elapsed);
+                            self.merge_list(&mut upstream_list, update.list, &mut list_published, elapsed);
                             self.shared.leader.store(Arc::new(Some(peer)));
                             if !connected {
                                 info!(self.logger, "parts of limits are told again";
@@ -193,13 +193,13 @@
         (**share).map_or(1, |share| share.entries)
     }
 
-    /// Applies an update of the upstream list. `published` is the time of the list that this thread passed to the event
+    /// Applies an update of the upstream list. `list_published` is the time of the list that this thread passed to the event
     /// loop last.
     fn merge_list(
         &self,
         upstream_list: &mut UpstreamList,
         update: ListUpdate,
-        published: &mut Option<Tick>,
+        list_published: &mut Option<Tick>,
         elapsed: Duration,
     ) {
         let Some(age_ms) = update.age_ms else {
@@ -212,11 +212,11 @@
         if !upstream_list.is_complete() || latest.is_some_and(|latest| latest > sent_at) {
             return;
         }
-        if upstream_list.take_changed() || latest != *published {
+        if upstream_list.take_changed() || latest != *list_published {
             *self.shared.new_list.lock() = Some((upstream_list.entries_at(sent_at), sent_at));
         }
-        *published = Some(sent_at);
-        self.shared.list_time.store(Arc::new(*published));
+        *list_published = Some(sent_at);
+        self.shared.list_time.store(Arc::new(*list_published));
     }
 
     /// Reads the upstream list while no leader provides it.
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -55,7 +55,7 @@
         /// Failure of the copy call.
         error: AttemptError,
     },
-    /// The source did not answer within [`COPY_TIMEOUT`].
+    /// The source did not answer in time.
     #[display("copy from {from}: no answer in time")]
     Timeout {
         /// Address of the upstream that runs the stream.
@@ -329,8 +329,8 @@
 
 /// Returns the time to copy the cache of `tokens` tokens to another data centre, or `None` if engines can't copy.
 fn copy_time(engine: &EngineSpec, tokens: u64) -> Option<Duration> {
-    let one = Duration::from_nanos(engine.copy_ns?).mul_f64(REMOTE_COPY_FACTOR);
-    Some(one.mul_f64(tokens as f64))
+    let per_token = Duration::from_nanos(engine.copy_ns?).mul_f64(REMOTE_COPY_FACTOR);
+    Some(per_token.mul_f64(tokens as f64))
 }
 
 /// Asks an upstream to copy a stream's cache; returns status and body of the response.
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -59,10 +59,10 @@
     /// Number of requests that are being served.
     pub(crate) active: Cell<usize>,
     pub(crate) grace: Duration,
-    render: Box<dyn Fn() -> String>,
+    render_metrics: Box<dyn Fn() -> String>,
 }
 
-/// Serves callers until `stop` is set; `render` returns the metrics as text.
+/// Serves callers until `stop` is set; `render_metrics` returns the metrics as text.
 ///
 /// # Errors
 /// Fails when an address can't be listened on.
@@ -70,7 +70,7 @@
     gateway: Gateway,
     settings: ServerSettings,
     stop: Arc<AtomicBool>,
-    render: Box<dyn Fn() -> String>,
+    render_metrics: Box<dyn Fn() -> String>,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let server = Rc::new(Server {
@@ -79,7 +79,7 @@
         stopping_since: Cell::new(None),
         active: Cell::new(0),
         grace: settings.stop_grace,
-        render,
+        render_metrics,
     });
     LocalSet::new().block_on(&runtime, server.serve(settings))
 }
@@ -98,7 +98,7 @@
         let rate_reporter = RateReporter::default();
         loop {
             sleep(SYNC_INTERVAL).await;
-            self.gateway.sync_threads();
+            self.gateway.exchange_state();
             self.gateway.fill_buckets();
             rate_reporter.report(
                 &self.gateway.upstreams.borrow(),
@@ -179,7 +179,7 @@
     fn probe_response(&self, head: &Head<RequestLine>) -> (&'static str, String) {
         let path = &*head.start.target;
         if path == b"/metrics" {
-            ("200 OK", (self.render)())
+            ("200 OK", (self.render_metrics)())
         } else if path != self.gateway.codec.ready_path().as_bytes() {
             ("404 Not Found", String::new())
         } else if self.is_ready() {
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -80,8 +80,8 @@
 /// Returns the key of the last part that prompts share. It determines the home of a prompt, the upstream that all entry
 /// hosts prefer for it.
 fn shared_key(parts: &[PromptPart]) -> u64 {
-    let at = parts.len().saturating_sub(2);
-    parts.get(at).map_or(0, |part| part.key)
+    let index = parts.len().saturating_sub(2);
+    parts.get(index).map_or(0, |part| part.key)
 }
 
 /// The upstream chosen for a request.
@@ -116,7 +116,7 @@
 impl Upstreams {
     /// Applies a list, keeping the state of upstreams that stay. Returns the upstreams that started to leave or are
     /// gone.
-    pub fn update(&mut self, list: Vec<Listed>, read_at: Tick) -> Vec<String> {
+    pub fn update(&mut self, list: Vec<Listed>, list_time: Tick) -> Vec<String> {
         let mut ended: Vec<String> = Vec::new();
         let mut previous = std::mem::take(&mut self.all);
         for listed in list {
@@ -124,7 +124,7 @@
             let reach = Rc::clone(self.reachability.entry(listed.zone.clone()).or_default());
             let speed = Rc::clone(self.speeds.entry(listed.service.clone()).or_default());
             let upstream = match previous.remove(&id) {
-                Some(known) if known.listed.start != listed.start => Upstream::new(listed, (reach, speed), read_at),
+                Some(known) if known.listed.start != listed.start => Upstream::new(listed, (reach, speed), list_time),
                 Some(mut known) => {
                     if listed.leaving && !known.listed.leaving {
                         ended.push(id.clone());
@@ -133,15 +133,15 @@
                     known.listed = listed;
                     known
                 }
-                None => Upstream::new(listed, (reach, speed), read_at),
+                None => Upstream::new(listed, (reach, speed), list_time),
             };
             if let Some(left) = upstream.listed.left.filter(|_| upstream.listed.leaving) {
-                upstream.notice.announce(read_at + left);
+                upstream.notice.announce(list_time + left);
             }
             self.all.insert(id, upstream);
         }
         ended.extend(previous.into_keys());
-        self.list_time = Some(read_at);
+        self.list_time = Some(list_time);
         ended
     }
 
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -205,8 +205,11 @@
 
     /// Returns what other entry hosts should know of the upstream, if anything.
     pub(super) fn observation(&self, now: Tick) -> Option<UpstreamObservation> {
-        let fresh = self.last_report.filter(|(_, at)| now.since(*at) < MAX_REPORT_AGE);
-        let load = fresh.map(|(load, at)| (load.running, load.waiting, now.since(at).as_millis() as u32));
+        let fresh = self
+            .last_report
+            .filter(|(_, reported_at)| now.since(*reported_at) < MAX_REPORT_AGE);
+        let load =
+            fresh.map(|(load, reported_at)| (load.running, load.waiting, now.since(reported_at).as_millis() as u32));
         let backlog_ms = self.backlog.pending_ms(now) as u32;
         let overdue_ms = self.backlog.overdue_ms(now) as u32;
         (load.is_some() || backlog_ms > 0 || overdue_ms > 0).then(|| UpstreamObservation {
