--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,78 +1,78 @@
-//! Server-sent events: whole ones only, with their ids in order.
+//! Parses server-sent events, and checks that their ids are in order.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// Longest event; an upstream that never ends one must not fill the memory.
-const MAX_EVENT: usize = 256 * 1024;
+/// Longest event, so that an upstream which never ends one does not exhaust the memory.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One whole event, with the empty line that ends it.
+/// One complete event with the empty line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes.
+    /// The event as it was received.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// Id of the event; `None` if it has none.
     pub id: Option<u64>,
 }
 
-/// An event that must not be passed on.
+/// Why an event must not be forwarded.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum EventError {
-    /// An event is too long, or its id is no number.
+    /// The event is too long, or its id is not a number.
     #[display("malformed event")]
     Malformed,
-    /// An event came twice or one before it is missing.
-    #[display("event {got} after {last}")]
+    /// The event repeats an earlier one, or one before it is missing.
+    #[display("event {received} after {last}")]
     OutOfOrder {
-        /// The id that came.
-        got: u64,
-        /// The id before.
+        /// Id of the event.
+        received: u64,
+        /// Id of the event before it.
         last: u64,
     },
 }
 
-/// Cuts a stream into events.
+/// Splits a stream into events.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
+pub struct EventParser {
     buffer: BytesMut,
-    /// Id of the last event that was given out.
-    last: Option<u64>,
-    /// Distance of two ids, once two were seen.
-    step: Option<u64>,
-    /// Events that were given out.
-    count: u64,
+    /// Id of the last event returned.
+    last_id: Option<u64>,
+    /// Difference between consecutive ids; `None` until two were seen.
+    id_step: Option<u64>,
+    /// Number of events returned.
+    event_count: u64,
 }
 
-impl Events {
-    /// Begins a stream after an event that the caller has already.
+impl EventParser {
+    /// Starts a stream after the last event that the caller has received.
     #[must_use]
-    pub fn after(last: Option<u64>) -> Self {
+    pub fn resume_after(last_id: Option<u64>) -> Self {
         Self {
-            last,
+            last_id,
             ..Self::default()
         }
     }
 
-    /// Goes on with what another upstream sends; an unfinished event is forgotten.
-    pub fn restart(&mut self) {
+    /// Discards an incomplete event, before the stream continues from another upstream.
+    pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
-    /// Gives the id of the last event that was given out.
+    /// Returns the id of the last event returned.
     #[must_use]
-    pub const fn last(&self) -> Option<u64> {
-        self.last
+    pub const fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// Gives the number of events that were given out.
+    /// Returns the number of events returned.
     #[must_use]
-    pub const fn count(&self) -> u64 {
-        self.count
+    pub const fn event_count(&self) -> u64 {
+        self.event_count
     }
 
-    /// Tells whether an event is unfinished.
+    /// Returns whether an event is incomplete.
     #[must_use]
-    pub fn is_torn(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -81,53 +81,53 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Errors
     /// Fails on an event that is malformed or out of order.
-    pub fn take(&mut self) -> Result<Option<Event>, EventError> {
-        let Some(end) = end_of_event(&self.buffer) else {
-            return if self.buffer.len() > MAX_EVENT {
+    pub fn next_event(&mut self) -> Result<Option<Event>, EventError> {
+        let Some(end) = event_end(&self.buffer) else {
+            return if self.buffer.len() > MAX_EVENT_BYTES {
                 Err(EventError::Malformed)
             } else {
                 Ok(None)
             };
         };
         let bytes = self.buffer.split_to(end).freeze();
-        let id = id_of(&bytes)?;
+        let id = event_id(&bytes)?;
         if let Some(id) = id {
             self.check(id)?;
         }
-        self.count += 1;
+        self.event_count += 1;
         Ok(Some(Event { bytes, id }))
     }
 
     fn check(&mut self, id: u64) -> Result<(), EventError> {
-        if let Some(last) = self.last {
-            let step = id.checked_sub(last).filter(|step| *step > 0);
-            let expected = self.step.is_none_or(|known| step == Some(known));
-            if step.is_none() || !expected {
-                return Err(EventError::OutOfOrder { got: id, last });
+        if let Some(last) = self.last_id {
+            let id_step = id.checked_sub(last).filter(|id_step| *id_step > 0);
+            let is_expected = self.id_step.is_none_or(|expected_step| id_step == Some(expected_step));
+            if id_step.is_none() || !is_expected {
+                return Err(EventError::OutOfOrder { received: id, last });
             }
-            self.step = step;
+            self.id_step = id_step;
         }
-        self.last = Some(id);
+        self.last_id = Some(id);
         Ok(())
     }
 }
 
-fn end_of_event(bytes: &[u8]) -> Option<usize> {
-    let at = |pattern: &[u8]| {
+fn event_end(bytes: &[u8]) -> Option<usize> {
+    let end_after = |pattern: &[u8]| {
         let found = bytes.windows(pattern.len()).position(|window| window == pattern);
-        found.map(|at| at + pattern.len())
+        found.map(|start| start + pattern.len())
     };
-    match (at(b"\n\n"), at(b"\r\n\r\n")) {
+    match (end_after(b"\n\n"), end_after(b"\r\n\r\n")) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
     }
 }
 
-fn id_of(event: &[u8]) -> Result<Option<u64>, EventError> {
+fn event_id(event: &[u8]) -> Result<Option<u64>, EventError> {
     let line = event.split(|byte| *byte == b'\n').find(|line| line.starts_with(b"id:"));
     let Some(line) = line else {
         return Ok(None);
--- a/crates/gateway/src/lender.rs
+++ b/crates/gateway/src/lender.rs
@@ -1,4 +1,4 @@
-//! Asks the leader of the state group for units of a quota beyond the own part.
+//! Borrows units of an account's quota beyond the host's own share from the leader of the state group.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 
 use crate::gate::Shared;
 
-/// Longest wait for the leader's answer: data centres are a few milliseconds apart, and the caller waits meanwhile.
-const PATIENCE: Duration = Duration::from_millis(120);
+/// Longest wait for the leader's response. Data centres are a few milliseconds apart, and the caller waits meanwhile.
+const BORROW_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// The client towards the leader.
+/// Client of the leader.
 #[derive(Debug)]
 pub struct QuotaBorrower {
     node: NodeId,
@@ -27,7 +27,7 @@
 }
 
 impl QuotaBorrower {
-    /// Asks in the name of a process.
+    /// Creates a client that identifies itself as `node`.
     #[must_use]
     pub const fn new(node: NodeId, shared: Arc<Shared>) -> Self {
         Self {
@@ -37,27 +37,27 @@
         }
     }
 
-    /// Asks for units of an account's quota; nothing is known without an answer.
-    pub async fn lend(&self, account: &str, units: f64) -> Option<bool> {
+    /// Borrows units of an account's quota. Returns whether they were lent, or `None` if the leader did not answer.
+    pub async fn borrow(&self, account: &str, units: f64) -> Option<bool> {
         let client = self.client()?;
-        let ask = Borrow {
+        let request = Borrow {
             account: account.to_owned(),
             units,
         };
-        let call = client.borrow_units(Envelope::new(&self.node, Revision::default(), ask));
-        let answer = timeout(PATIENCE, call).await;
-        match answer {
-            Ok(Ok(answer)) => match answer.body {
+        let call = client.borrow_units(Envelope::new(&self.node, Revision::default(), request));
+        let reply = timeout(BORROW_TIMEOUT, call).await;
+        match reply {
+            Ok(Ok(reply)) => match reply.body {
                 BorrowReply::Lent => Some(true),
                 BorrowReply::Over => Some(false),
-                BorrowReply::Unavailable(_) => self.lost(),
+                BorrowReply::Unavailable(_) => self.record_failure(),
             },
-            Ok(Err(_)) | Err(_) => self.lost(),
+            Ok(Err(_)) | Err(_) => self.record_failure(),
         }
     }
 
-    /// Counts a question without an answer; the thread that beats logs the loss of the leader itself.
-    fn lost(&self) -> Option<bool> {
+    /// Counts a failed call; the heartbeat thread logs the loss of the leader.
+    fn record_failure(&self) -> Option<bool> {
         counter!("gentian_gateway_borrow_failed_total").increment(1);
         *self.client.borrow_mut() = None;
         None
@@ -67,8 +67,8 @@
         let leader = (**self.shared.leader.load())?;
         let mut client = self.client.borrow_mut();
         if client.as_ref().is_none_or(|(address, _)| *address != leader) {
-            let opened = HttpClientBuilder::default().build(format!("http://{leader}")).ok()?;
-            *client = Some((leader, opened));
+            let new_client = HttpClientBuilder::default().build(format!("http://{leader}")).ok()?;
+            *client = Some((leader, new_client));
         }
         client.as_ref().map(|(_, client)| client.clone())
     }
