--- a/crates/state/src/admin/members.rs
+++ b/crates/state/src/admin/members.rs
@@ -45,7 +45,7 @@
             Some(Err(ReplaceError::Change(ChangeError::NotLeading))) => {
                 answer::unavailable(&Unavailable::NotLeader { leader: None })
             }
-            Some(Err(error @ ReplaceError::Change(ChangeError::Busy))) => problem(503, &error.to_string()),
+            Some(Err(error @ ReplaceError::Change(ChangeError::InProgress))) => problem(503, &error.to_string()),
             Some(Err(error)) => problem(422, &error.to_string()),
             None => problem(503, "the node is stopping or overloaded"),
         }
--- a/crates/state/src/core/forming.rs
+++ b/crates/state/src/core/forming.rs
@@ -190,7 +190,7 @@
             };
             let mut applied = AppliedState::default();
             applied.index = 1;
-            self.node.form(&Snapshot {
+            self.node.bootstrap(&Snapshot {
                 at,
                 members,
                 data: encode(&applied).into(),
@@ -222,7 +222,7 @@
                     }
                 }
                 Parcel::Hello(hello) => self.on_hello(from, address, hello, now),
-                Parcel::Form(snapshot) => self.node.form(&snapshot),
+                Parcel::Form(snapshot) => self.node.bootstrap(&snapshot),
             }
         }
     }
--- a/crates/state/src/core/membership.rs
+++ b/crates/state/src/core/membership.rs
@@ -74,13 +74,13 @@
     /// Gives the member that has been silent for the longest, if that is long enough.
     fn silent(&self, limit: Duration, now: Tick) -> Option<MemberId> {
         let others = self.node.members().0.keys().filter(|id| **id != self.node.id());
-        let since = others.filter_map(|id| Some((self.node.answered(*id)?, *id)));
+        let since = others.filter_map(|id| Some((self.node.last_answer(*id)?, *id)));
         let (at, id) = since.min()?;
         (now.since(at) >= limit).then_some(id)
     }
 
     fn remove_gone(&mut self, now: Tick) {
-        let answers = |id: &MemberId| self.node.answered(*id).is_some_and(|at| now.since(at) < SILENT);
+        let answers = |id: &MemberId| self.node.last_answer(*id).is_some_and(|at| now.since(at) < SILENT);
         let lively = 1 + self.node.members().voters().filter(answers).count();
         let limit = if lively >= PLENTY { REPLACED } else { GONE };
         let Some(gone) = self.silent(limit, now).filter(|_| lively >= FEWEST) else {
--- a/crates/state/src/core/mod.rs
+++ b/crates/state/src/core/mod.rs
@@ -182,8 +182,8 @@
     fn drive(&mut self) -> Result<(), DiskError> {
         loop {
             let ready = self.node.ready(self.clock.now());
-            let busy = ready.writes() || !ready.early.is_empty() || !ready.late.is_empty();
-            self.send(&ready.early);
+            let busy = ready.writes() || !ready.before_sync.is_empty() || !ready.after_sync.is_empty();
+            self.send(&ready.before_sync);
             if !self.write(ready)? {
                 return Ok(());
             }
@@ -217,9 +217,9 @@
             self.time = LogTime::new(self.applied.at_ms, self.clock.now());
         }
         if ready.writes() {
-            self.node.saved(ready.until, self.clock.now());
+            self.node.on_synced(ready.log_end, self.clock.now());
         }
-        self.send(&ready.late);
+        self.send(&ready.after_sync);
         Ok(true)
     }
 
--- a/crates/state/src/disk/check.rs
+++ b/crates/state/src/disk/check.rs
@@ -4,7 +4,7 @@
 
 use super::folder::Replay;
 use super::{DiskError, identity, segment, snapshot};
-use crate::raft::{Hard, MemberId, Position};
+use crate::raft::{HardState, MemberId, Position};
 
 /// What a sound folder holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// The incarnation; `None` when the folder is blank.
     pub id: Option<MemberId>,
     /// Term and vote.
-    pub hard_state: Hard,
+    pub hard_state: HardState,
     /// Position of the snapshot.
     pub snapshot: Position,
     /// Bytes of the snapshot.
--- a/crates/state/src/disk/folder.rs
+++ b/crates/state/src/disk/folder.rs
@@ -10,7 +10,7 @@
 
 use super::segment::{self, Batch, Segment};
 use super::{DiskError, Space, Unlimited, identity, snapshot};
-use crate::raft::{Hard, Index, Ready, Record, Restored, Snapshot};
+use crate::raft::{HardState, Index, Ready, Record, Restored, Snapshot};
 
 const LOCK: &str = "lock";
 /// Ending of a file that is not whole yet.
@@ -40,7 +40,7 @@
     path: PathBuf,
     limits: Limits,
     space: Arc<dyn Space>,
-    hard: Hard,
+    hard: HardState,
     number: u64,
     segment: Segment,
     /// Older segments with the newest index in each.
@@ -96,11 +96,16 @@
                 let since = segment.length();
                 (number, segment, newest, since)
             }
-            None => (1, Segment::create(folder, 1, Hard::default(), &Unlimited)?, Index(0), 0),
+            None => (
+                1,
+                Segment::create(folder, 1, HardState::default(), &Unlimited)?,
+                Index(0),
+                0,
+            ),
         };
         let restored = Restored {
             id,
-            hard: read.hard,
+            hard_state: read.hard,
             snapshot,
             records: read.records,
         };
@@ -131,20 +136,20 @@
         if let Some(snapshot) = &ready.snapshot {
             self.keep(snapshot)?;
         }
-        if ready.hard.is_none() && ready.records.is_empty() {
+        if ready.hard_state.is_none() && ready.records.is_empty() {
             return Ok(());
         }
         if self.segment.length() >= self.limits.segment {
             self.roll()?;
         }
         let batch = Batch {
-            hard: ready.hard,
+            hard: ready.hard_state,
             records: ready.records.clone(),
         };
         let before = self.segment.length();
         self.segment.append(&batch, self.space.as_ref())?;
         self.since += self.segment.length() - before;
-        self.hard = ready.hard.unwrap_or(self.hard);
+        self.hard = ready.hard_state.unwrap_or(self.hard);
         let newest = ready.records.last().map(|record| record.at.index);
         self.newest = self.newest.max(newest.unwrap_or_default());
         Ok(())
@@ -259,7 +264,7 @@
 /// The log as its batches build it up.
 #[derive(Debug, Default)]
 pub(super) struct Replay {
-    pub(super) hard: Hard,
+    pub(super) hard: HardState,
     pub(super) records: Vec<Record>,
 }
 
--- a/crates/state/src/disk/segment.rs
+++ b/crates/state/src/disk/segment.rs
@@ -8,7 +8,7 @@
 
 use super::frame::{self, Found, Kind, MAGIC_LEN};
 use super::{DiskError, Space, folder};
-use crate::raft::{Hard, Index, Record};
+use crate::raft::{HardState, Index, Record};
 
 const KIND: Kind = Kind(b"GSLOG\0\0");
 const PREFIX: &str = "log-";
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Batch {
     /// Term and vote, when they changed and at the start of every segment.
-    pub(super) hard: Option<Hard>,
+    pub(super) hard: Option<HardState>,
     /// Records in order.
     pub(super) records: Vec<Record>,
 }
@@ -43,7 +43,7 @@
 
 impl Segment {
     /// Creates a segment whose first frame repeats term and vote, so that older segments can be removed.
-    pub(super) fn create(folder: &Path, number: u64, hard: Hard, space: &dyn Space) -> Result<Self, DiskError> {
+    pub(super) fn create(folder: &Path, number: u64, hard: HardState, space: &dyn Space) -> Result<Self, DiskError> {
         let mut bytes = KIND.magic().to_vec();
         bytes.extend(frame::encode(&Batch {
             hard: Some(hard),
--- a/crates/state/src/raft/change.rs
+++ b/crates/state/src/raft/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the members, one at a time.
+//! Membership changes, one at a time.
 
 use derive_more::{Display, Error};
 use policy::Tick;
@@ -6,60 +6,62 @@
 use super::node::Role;
 use super::{Index, Member, MemberId, Members, Node, Payload};
 
-/// Records that a learner may miss and still be made a voter.
-const CAUGHT_UP: u64 = 64;
-/// Most voters; more members stay learners. Seven bear the loss of three, one more than the largest deployment asks for,
-/// and each further voter would only make every sync wait for more hosts.
+/// Most records that a learner may lag behind the leader's log and still be promoted to a voter.
+const MAX_PROMOTION_LAG: u64 = 64;
+/// Most voters; further members stay learners. Seven tolerate the loss of three, one more than the largest deployment
+/// requires, and each further voter would make every commit wait for more hosts.
 const MAX_VOTERS: usize = 7;
 
-/// A change of the members that was not begun.
+/// Reason why a membership change was not started.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum ChangeError {
     /// The node does not lead.
     #[display("not the leader")]
     NotLeading,
-    /// Another change is not finished.
+    /// Another change is not committed yet, or the leader has not committed a record of its own term.
     #[display("another change of the members is not finished")]
-    Busy,
-    /// There is no such member.
+    InProgress,
+    /// The member to remove or replace does not exist.
     #[display("no such member")]
-    Unknown,
-    /// It is a member already.
+    NoSuchMember,
+    /// The node to add is already a member.
     #[display("a member already")]
-    Present,
+    AlreadyMember,
 }
 
 impl Node {
-    /// Adds a learner that takes the place of a member: it catches up, votes, and then the old member is removed.
+    /// Adds a learner that replaces a member: it catches up, becomes a voter, and then the old member is removed.
     ///
-    /// The leader, whoever it is by then, carries out the later steps by itself.
+    /// The later steps need no further call; a new leader continues them as well.
     ///
     /// # Errors
-    /// Fails when the node does not lead or another change is not finished; nothing was written then.
+    /// Fails when the node does not lead, another change is not finished, `old` is no member or `new` is one; then nothing
+    /// was written.
     pub fn replace(&mut self, old: MemberId, new: MemberId, member: Member, now: Tick) -> Result<Index, ChangeError> {
         self.check_lease(now);
-        let members = self.may_change()?;
+        let members = self.changeable_members()?;
         if members.0.values().any(|member| member.replaces.is_some()) {
-            return Err(ChangeError::Busy);
+            return Err(ChangeError::InProgress);
         }
         if !members.0.contains_key(&old) {
-            return Err(ChangeError::Unknown);
+            return Err(ChangeError::NoSuchMember);
         }
-        self.learn(members, new, member, Some(old))
+        self.add_learner(members, new, member, Some(old))
     }
 
     /// Adds a learner that becomes a voter once it has caught up.
     ///
     /// # Errors
-    /// Fails when the node does not lead or another change is not finished; nothing was written then.
+    /// Fails when the node does not lead, another change is not finished, or `new` is already a member; then nothing was
+    /// written.
     pub fn add(&mut self, new: MemberId, member: Member, now: Tick) -> Result<Index, ChangeError> {
         self.check_lease(now);
-        let members = self.may_change()?;
-        self.learn(members, new, member, None)
+        let members = self.changeable_members()?;
+        self.add_learner(members, new, member, None)
     }
 
-    /// Appends the members with a learner more.
-    fn learn(
+    /// Appends a membership record with one more learner.
+    fn add_learner(
         &mut self,
         mut members: Members,
         new: MemberId,
@@ -67,7 +69,7 @@
         replaces: Option<MemberId>,
     ) -> Result<Index, ChangeError> {
         if members.0.contains_key(&new) {
-            return Err(ChangeError::Present);
+            return Err(ChangeError::AlreadyMember);
         }
         let learner = Member {
             votes: false,
@@ -75,23 +77,23 @@
             ..member
         };
         members.0.insert(new, learner);
-        Ok(self.change(members))
+        Ok(self.append_members(members))
     }
 
     /// Removes a member.
     ///
     /// # Errors
-    /// Fails when the node does not lead or another change is not finished; nothing was written then.
+    /// Fails when the node does not lead, another change is not finished, or `old` is no member; then nothing was written.
     pub fn remove(&mut self, old: MemberId, now: Tick) -> Result<Index, ChangeError> {
         self.check_lease(now);
-        let mut members = self.may_change()?;
-        members.0.remove(&old).ok_or(ChangeError::Unknown)?;
-        Ok(self.change(members))
+        let mut members = self.changeable_members()?;
+        members.0.remove(&old).ok_or(ChangeError::NoSuchMember)?;
+        Ok(self.append_members(members))
     }
 
-    /// Takes the next step of a replacement when the one before is committed.
+    /// Takes the next step of a replacement, or promotes a learner, once the previous change is committed.
     pub(super) fn continue_change(&mut self, _now: Tick) {
-        let Ok(members) = self.may_change() else {
+        let Ok(members) = self.changeable_members() else {
             return;
         };
         let replacing = members
@@ -99,29 +101,29 @@
             .iter()
             .find_map(|(id, member)| Some((*id, member.votes, member.replaces?)));
         let Some((new, votes, old)) = replacing else {
-            self.promote(members);
-            self.leave_if_removed();
+            self.promote_learner(members);
+            self.step_down_if_removed();
             return;
         };
         let mut members = members;
         if votes {
-            // The new voter holds everything by now. Removing the old one first would leave a group of two, in which
-            // the loss of one host stops all.
+            // The new voter has caught up. Removing the old member first would leave a group of two, which the loss of one
+            // host would stop.
             members.0.remove(&old);
             if let Some(member) = members.0.get_mut(&new) {
                 member.replaces = None;
             }
-            self.change(members);
+            self.append_members(members);
         } else if self.has_caught_up(new) {
             if let Some(member) = members.0.get_mut(&new) {
                 member.votes = true;
             }
-            self.change(members);
+            self.append_members(members);
         }
     }
 
-    /// Makes a voter of the first learner that has caught up, while there is room for one.
-    fn promote(&mut self, mut members: Members) {
+    /// Promotes the first learner that has caught up, unless there are [`MAX_VOTERS`] voters.
+    fn promote_learner(&mut self, mut members: Members) {
         if members.voters().count() >= MAX_VOTERS {
             return;
         }
@@ -132,40 +134,42 @@
         if let Some(member) = members.0.get_mut(&learner) {
             member.votes = true;
         }
-        self.change(members);
+        self.append_members(members);
     }
 
-    /// Tells whether a learner may vote.
+    /// Returns whether a learner is close enough to the end of the log to become a voter.
     ///
-    /// A voter that misses records would count towards a majority that it can't help for a long time; a second host lost
-    /// in that time would stop the group.
+    /// A voter that lags far behind counts for the size of a majority but acknowledges no new records for a long time; the
+    /// loss of another host in that time would stop the group.
     fn has_caught_up(&self, id: MemberId) -> bool {
         let matched = self.matched(id);
-        matched.0 + CAUGHT_UP >= self.log.last().index.0 && matched >= self.snapshot.at.index
+        matched.0 + MAX_PROMOTION_LAG >= self.log.last().index.0 && matched >= self.snapshot.at.index
     }
 
-    fn change(&mut self, members: Members) -> Index {
+    /// Appends a membership record, which is in force from the moment it is appended.
+    fn append_members(&mut self, members: Members) -> Index {
         let index = self.append(Payload::Members(members));
-        self.match_members();
+        self.track_members();
         index
     }
 
-    /// Gives the members if they may be changed now.
+    /// Returns the current members if they may be changed now.
     ///
-    /// Two changes at once, or one before a record of the own term is committed, could give two majorities that don't
-    /// overlap.
-    fn may_change(&self) -> Result<Members, ChangeError> {
+    /// Two changes at once, or one before a record of the leader's own term is committed, could result in two majorities
+    /// that do not overlap.
+    fn changeable_members(&self) -> Result<Members, ChangeError> {
         if !matches!(self.role, Role::Leader(_)) {
             return Err(ChangeError::NotLeading);
         }
         let pending = self.members.last().is_some_and(|(index, _)| *index > self.commit);
         if pending || self.log.term_of(self.commit) != Some(self.current_term()) {
-            return Err(ChangeError::Busy);
+            return Err(ChangeError::InProgress);
         }
         Ok(self.members().clone())
     }
 
-    fn leave_if_removed(&mut self) {
+    /// Gives up leadership once the node is no longer a voter.
+    fn step_down_if_removed(&mut self) {
         if !self.members().votes(self.id) {
             self.role = Role::Follower { leader: None };
         }
--- a/crates/state/src/raft/election.rs
+++ b/crates/state/src/raft/election.rs
@@ -1,25 +1,25 @@
-//! Elections: asking first, voting, and the time for which a leader may lead.
+//! Elections: pre-votes, votes, and stepping down when the leader lease ends.
 
 use std::collections::BTreeSet;
 
 use policy::Tick;
 
-use super::lead::Leading;
+use super::leader::LeaderState;
 use super::node::Role;
-use super::{Body, Hard, MemberId, Message, Node, Payload, Position, Term};
+use super::{Body, HardState, MemberId, Message, Node, Payload, Position, Term};
 
 impl Node {
-    /// Handles a term that is newer than the node's own; returns whether the message is to be handled further.
-    pub(super) fn raise(&mut self, message: &Message, now: Tick) -> bool {
+    /// Adopts a term that is newer than the node's own; returns whether the message is to be handled further.
+    pub(super) fn observe_newer_term(&mut self, message: &Message, now: Tick) -> bool {
         match message.body {
             Body::AskVote { pre: true, .. }
             | Body::Vote {
                 pre: true,
                 granted: true,
             } => true,
-            // A node that was cut off and missed the leader would otherwise unseat one that all others hear, and that
-            // leader counts on the followers' promise until its lease ends.
-            Body::AskVote { pre: false, .. } if self.promised(now) => false,
+            // A node that was partitioned would otherwise depose a leader that all others hear, and that leader relies on
+            // its followers granting no vote until its lease ends.
+            Body::AskVote { pre: false, .. } if self.withholds_votes(now) => false,
             _ => {
                 self.step_down(message.term, now);
                 true
@@ -27,75 +27,78 @@
         }
     }
 
-    /// Tells the sender of an old term that there is a newer one.
-    pub(super) fn refuse_old(&mut self, message: &Message) {
+    /// Answers a message of an older term with the newer one.
+    pub(super) fn reject_stale(&mut self, message: &Message) {
         match message.body {
-            Body::AskVote { pre, .. } => self.say(message.from, Body::Vote { pre, granted: false }),
-            // No echo of the sender's clock: by the time it arrives, the sender may lead in the newer term, after a
-            // restart even with a clock that began anew, and would take the echo for an answer to itself.
-            Body::Append { .. } | Body::Part { .. } => self.say(message.from, Body::Old),
+            Body::AskVote { pre, .. } => self.queue_message(message.from, Body::Vote { pre, granted: false }),
+            // The answer has no echo of the sender's clock. When it arrives, the sender may lead in the newer term, even
+            // with a restarted clock, and would take the echo for an acknowledgement of that term.
+            Body::Append { .. } | Body::Part { .. } => self.queue_message(message.from, Body::Old),
             _ => {}
         }
     }
 
-    /// Becomes a follower, in a newer term if given.
+    /// Becomes a follower, in the given term if it is newer.
     pub(super) fn step_down(&mut self, term: Term, now: Tick) {
-        if term > self.hard.term {
-            self.hard = Hard { term, vote: None };
-            self.dirty = true;
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, vote: None };
+            self.hard_changed = true;
         }
         self.role = Role::Follower { leader: None };
-        self.reset_deadline(now);
+        self.reset_election_deadline(now);
     }
 
-    /// Steps down when a majority has not answered for the length of the lease.
+    /// Steps down when the leader lease has ended: no majority has answered within it.
     ///
-    /// A leader that is cut off or was frozen must stop before others elect one: else both would grant leases and tell
-    /// operators what is in force. Its own clock decides, before anything else is done with the time or message.
+    /// A leader that was partitioned or paused must stop before others elect a new one; otherwise both would grant leases
+    /// and report different configurations to operators. The check uses the node's own clock and runs before any tick,
+    /// message or call is handled.
     pub(super) fn check_lease(&mut self, now: Tick) {
         if matches!(self.role, Role::Leader(_)) && !self.leads(now) {
-            self.step_down(self.hard.term, now);
+            self.step_down(self.hard_state.term, now);
         }
     }
 
-    /// Asks whether an election could be won, which changes no term.
-    pub(super) fn ask(&mut self, now: Tick) {
-        self.reset_deadline(now);
+    /// Starts a pre-vote: asks whether an election could be won, without raising the term.
+    pub(super) fn start_pre_vote(&mut self, now: Tick) {
+        self.reset_election_deadline(now);
         if !self.members().votes(self.id) {
             self.role = Role::Follower { leader: None };
             return;
         }
-        self.role = Role::Asking {
+        self.role = Role::PreCandidate {
             granted: BTreeSet::from([self.id]),
         };
-        let next = Term(self.hard.term.0 + 1);
-        self.ask_all(true, next);
-        self.count(now);
+        let next = Term(self.hard_state.term.0 + 1);
+        self.request_votes(true, next);
+        self.count_votes(now);
     }
 
-    fn campaign(&mut self, now: Tick) {
-        self.reset_deadline(now);
-        self.quiet = now + self.timing.election;
-        let term = Term(self.hard.term.0 + 1);
-        self.hard = Hard {
+    /// Raises the term and asks for votes.
+    fn start_election(&mut self, now: Tick) {
+        self.reset_election_deadline(now);
+        self.vote_lockout = now + self.timing.election;
+        let term = Term(self.hard_state.term.0 + 1);
+        self.hard_state = HardState {
             term,
             vote: Some(self.id),
         };
-        self.dirty = true;
+        self.hard_changed = true;
         self.role = Role::Candidate {
             since: now,
             granted: BTreeSet::from([self.id]),
         };
-        self.ask_all(false, term);
-        self.count(now);
+        self.request_votes(false, term);
+        self.count_votes(now);
     }
 
-    fn ask_all(&mut self, pre: bool, term: Term) {
+    /// Asks the other voters for a vote, or a pre-vote; the requests leave once the own vote is synced.
+    fn request_votes(&mut self, pre: bool, term: Term) {
         let last = self.log.last();
         let others: Vec<MemberId> = self.members().voters().filter(|id| *id != self.id).collect();
         for to in others {
             let body = Body::AskVote { pre, last };
-            self.late.push(Message {
+            self.after_sync.push(Message {
                 from: self.id,
                 to,
                 term,
@@ -104,14 +107,16 @@
         }
     }
 
-    pub(super) fn on_ask(&mut self, from: MemberId, term: Term, pre: bool, last: Position, now: Tick) {
-        // A blank disk has no members yet. Its log is empty because it was lost, not because nothing was agreed.
-        let able = !self.members().is_empty() && !self.promised(now) && last >= self.log.last();
+    /// Grants or refuses a vote or pre-vote.
+    pub(super) fn on_vote_request(&mut self, from: MemberId, term: Term, pre: bool, last: Position, now: Tick) {
+        // A blank disk has no members yet. Its log may be empty because the disk was lost, not because nothing was
+        // committed.
+        let eligible = !self.members().is_empty() && !self.withholds_votes(now) && last >= self.log.last();
         if pre {
-            let granted = able && term > self.hard.term;
-            let term = if granted { term } else { self.hard.term };
+            let granted = eligible && term > self.hard_state.term;
+            let term = if granted { term } else { self.hard_state.term };
             let body = Body::Vote { pre, granted };
-            self.late.push(Message {
+            self.after_sync.push(Message {
                 from: self.id,
                 to: from,
                 term,
@@ -119,56 +124,59 @@
             });
             return;
         }
-        let again = self.hard.vote == Some(from);
-        let granted = again || (able && self.hard.vote.is_none());
+        let again = self.hard_state.vote == Some(from);
+        let granted = again || (eligible && self.hard_state.vote.is_none());
         if granted && !again {
-            self.hard.vote = Some(from);
-            self.dirty = true;
-            // An own question may still be open; if it were won later, the node would break the promise it makes now.
+            self.hard_state.vote = Some(from);
+            self.hard_changed = true;
+            // The node's own pre-vote may still be open; winning it later would break the promise that this vote makes.
             self.role = Role::Follower { leader: None };
-            // The one that is elected leads from the moment at which it asked; until that time is over nobody else may.
-            self.quiet = now + self.timing.election;
-            self.reset_deadline(now);
+            // The lease of the elected leader starts when it asked for the vote; until it ends nobody else may lead.
+            self.vote_lockout = now + self.timing.election;
+            self.reset_election_deadline(now);
         }
-        self.say(from, Body::Vote { pre, granted });
+        self.queue_message(from, Body::Vote { pre, granted });
     }
 
+    /// Counts a granted vote or pre-vote.
     pub(super) fn on_vote(&mut self, from: MemberId, pre: bool, granted: bool, now: Tick) {
         match &mut self.role {
-            Role::Asking { granted: votes } if pre && granted => votes.insert(from),
+            Role::PreCandidate { granted: votes } if pre && granted => votes.insert(from),
             Role::Candidate { granted: votes, .. } if !pre && granted => votes.insert(from),
             _ => return,
         };
-        self.count(now);
+        self.count_votes(now);
     }
 
-    fn count(&mut self, now: Tick) {
+    /// Starts the election or becomes leader when a majority has granted the pre-vote or vote.
+    fn count_votes(&mut self, now: Tick) {
         let members = self.members();
         let won =
             |votes: &BTreeSet<MemberId>| votes.iter().filter(|id| members.votes(**id)).count() >= members.majority();
         match &self.role {
-            Role::Asking { granted } if won(granted) => self.campaign(now),
+            Role::PreCandidate { granted } if won(granted) => self.start_election(now),
             Role::Candidate { granted, since } if won(granted) => {
                 let since = *since;
-                self.lead(since, now);
+                self.become_leader(since, now);
             }
             _ => {}
         }
     }
 
-    fn lead(&mut self, since: Tick, now: Tick) {
+    /// Becomes leader; `since` is when the votes were asked for, from which the first lease counts.
+    fn become_leader(&mut self, since: Tick, now: Tick) {
         let next = self.log.last().index.next();
         let others: Vec<MemberId> = self.members().0.keys().copied().filter(|id| *id != self.id).collect();
-        self.role = Role::Leader(Leading::new(&others, next, since, now));
-        // Records of earlier terms count as committed only together with one of this term.
+        self.role = Role::Leader(LeaderState::new(&others, next, since, now));
+        // Records of earlier terms become committed only through a record of this term.
         self.append(Payload::Empty);
     }
 
-    /// Tells whether the node has promised for now to help nobody against a leader.
-    fn promised(&self, now: Tick) -> bool {
+    /// Returns whether the node grants no vote now, since a leader may still rely on its lease.
+    fn withholds_votes(&self, now: Tick) -> bool {
         match &self.role {
             Role::Leader(_) => true,
-            _ => now < self.quiet,
+            _ => now < self.vote_lockout,
         }
     }
 }
--- a/crates/state/src/raft/follow.rs
+++ b/crates/state/src/raft/follower.rs
@@ -1,4 +1,4 @@
-//! Following a leader.
+//! The follower's side of replication: appended records and snapshots.
 
 use policy::Tick;
 
@@ -6,23 +6,25 @@
 use super::node::Role;
 use super::{Body, Index, MemberId, Members, Node, Payload, Position, Record, Snapshot};
 
-/// A snapshot, or a part of one, on its way in.
+/// A snapshot of which some bytes have been received, or one part of it.
 #[derive(Clone, Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     pub(super) at: Position,
     pub(super) members: Members,
+    /// Bytes of the whole snapshot data.
     pub(super) total: u64,
     pub(super) bytes: Vec<u8>,
 }
 
 impl Node {
-    /// Notes that a leader of the current term was heard.
-    pub(super) fn follow(&mut self, leader: MemberId, now: Tick) {
+    /// Follows the leader of the current term, from which a message has just arrived.
+    pub(super) fn follow_leader(&mut self, leader: MemberId, now: Tick) {
         self.role = Role::Follower { leader: Some(leader) };
-        self.quiet = now + self.timing.election;
-        self.reset_deadline(now);
+        self.vote_lockout = now + self.timing.election;
+        self.reset_election_deadline(now);
     }
 
+    /// Appends records if the log contains the one before them, and answers the leader.
     pub(super) fn on_append(
         &mut self,
         from: MemberId,
@@ -36,27 +38,34 @@
             let hint = if previous.index > self.log.last().index {
                 self.log.last().index
             } else {
-                self.log.before_term(previous.index)
+                self.log.conflict_hint(previous.index)
             };
-            self.say(from, Body::Rejected { hint, sent });
+            self.queue_message(from, Body::Rejected { hint, sent });
             return;
         }
         let matched = previous.index.0 + records.len() as u64;
         for record in records {
-            self.take(record);
+            self.accept_record(record);
         }
-        // Only what the leader has just compared is known to be equal; a longer tail may be of an older leader.
+        // Only the records up to the last one sent are known to match; a longer tail may come from an older leader.
         let matched = Index(matched).max(self.commit);
         self.commit = self.commit.max(commit.min(matched));
-        self.say(from, Body::Appended { matched, sent });
+        self.queue_message(from, Body::Appended { matched, sent });
     }
 
-    fn take(&mut self, record: Record) {
+    /// Appends one record; a record of another term at its index is removed with everything after it.
+    ///
+    /// # Panics
+    /// Panics when this would replace a committed record.
+    fn accept_record(&mut self, record: Record) {
         let at = record.at;
         if at.index <= self.log.base().index || self.log.contains(at) {
             return;
         }
-        assert!(at.index > self.commit, "a committed record would change at {at}");
+        assert!(
+            at.index > self.commit,
+            "the record at {at} would replace a committed record"
+        );
         self.truncate(at.index);
         if let Payload::Members(members) = &record.payload {
             self.members.push((at.index, members.clone()));
@@ -64,17 +73,18 @@
         self.log.push(record);
     }
 
-    pub(super) fn on_part(&mut self, from: MemberId, offset: u64, part: Incoming, sent: u64) {
+    /// Adds a part of a snapshot and installs the snapshot once it is complete; parts out of order add nothing.
+    pub(super) fn on_snapshot_part(&mut self, from: MemberId, offset: u64, part: IncomingSnapshot, sent: u64) {
         let index = part.at.index;
         if index <= self.commit {
-            self.incoming = None;
+            self.incoming_snapshot = None;
             let matched = self.commit;
-            self.say(from, Body::Appended { matched, sent });
+            self.queue_message(from, Body::Appended { matched, sent });
             return;
         }
-        let mut whole = match self.incoming.take() {
+        let mut whole = match self.incoming_snapshot.take() {
             Some(whole) if whole.at == part.at => whole,
-            _ => Incoming {
+            _ => IncomingSnapshot {
                 bytes: Vec::new(),
                 ..part.clone()
             },
@@ -84,23 +94,25 @@
         }
         let offset = whole.bytes.len() as u64;
         if offset < whole.total {
-            self.incoming = Some(whole);
-            self.say(from, Body::Received { index, offset, sent });
+            self.incoming_snapshot = Some(whole);
+            self.queue_message(from, Body::Received { index, offset, sent });
             return;
         }
-        self.install(whole);
-        self.say(from, Body::Appended { matched: index, sent });
+        self.install_snapshot(whole);
+        self.queue_message(from, Body::Appended { matched: index, sent });
     }
 
-    fn install(&mut self, whole: Incoming) {
-        let Incoming { at, members, bytes, .. } = whole;
+    /// Replaces the state, and the log unless it continues the snapshot.
+    fn install_snapshot(&mut self, whole: IncomingSnapshot) {
+        let IncomingSnapshot { at, members, bytes, .. } = whole;
         self.snapshot = Snapshot {
             at,
             members: members.clone(),
             data: bytes.into(),
         };
-        self.install = true;
-        // The tail may only stay when it is known to follow the snapshot.
+        self.snapshot_received = true;
+        // The log after the snapshot is kept only if it contains the snapshot's last record, which proves that it
+        // continues the snapshot.
         if self.log.contains(at) {
             self.log.compact(at);
             self.members.retain(|(index, _)| *index > at.index);
@@ -108,21 +120,21 @@
         } else {
             self.log = Log::new(at, Vec::new());
             self.members = vec![(at.index, members)];
-            self.unsaved = at.index.next();
-            self.saved = at.index;
+            self.next_write = at.index.next();
+            self.synced = at.index;
         }
-        self.unsaved = self.unsaved.max(at.index.next());
+        self.next_write = self.next_write.max(at.index.next());
         self.commit = at.index;
         self.applied = at.index;
     }
 
-    /// Makes a blank node a member of a new group.
+    /// Makes a blank node a member of a new group whose first snapshot is given.
     ///
-    /// Does nothing on a node that belongs to a group already.
-    pub fn form(&mut self, first: &Snapshot) {
+    /// Does nothing on a node that already belongs to a group.
+    pub fn bootstrap(&mut self, first: &Snapshot) {
         if self.members().is_empty() && first.members.votes(self.id) && self.log.last().index < first.at.index {
             let bytes = first.data.to_vec();
-            self.install(Incoming {
+            self.install_snapshot(IncomingSnapshot {
                 at: first.at,
                 members: first.members.clone(),
                 total: bytes.len() as u64,
--- a/crates/state/src/raft/lead.rs
+++ b/crates/state/src/raft/leader.rs
@@ -1,4 +1,4 @@
-//! Leading: replication, commitment and the lease.
+//! The leader's side of replication, commitment and the leader lease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,37 +8,40 @@
 use super::node::Role;
 use super::{Body, Index, MemberId, Node, Position, Term};
 
-/// Bytes of a snapshot in one message.
-const PART: usize = 256 * 1024;
-/// Records that may be on their way to a follower that has not answered.
-const WINDOW: u64 = 8_192;
+/// Most bytes of a snapshot in one message.
+const PART_BYTES: usize = 256 * 1024;
+/// Most records that may be sent to a follower before it has acknowledged them.
+const MAX_IN_FLIGHT: u64 = 8_192;
 
-/// What only a leader knows.
+/// State that only a leader has.
 #[derive(Debug)]
-pub(super) struct Leading {
+pub(super) struct LeaderState {
     pub(super) others: BTreeMap<MemberId, Progress>,
-    pub(super) next_beat: Tick,
-    /// Commit index of the last heartbeat.
-    pub(super) told: Index,
+    pub(super) next_heartbeat: Tick,
+    /// Commit index that the last heartbeat carried.
+    pub(super) sent_commit: Index,
+    /// When this node asked for the votes that elected it.
     since: Tick,
 }
 
-/// How far another member is.
+/// Replication progress of another member.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
     pub(super) matched: Index,
+    /// Index of the next record to send.
     next: Index,
-    acked: Option<Tick>,
+    /// Latest send time, by the leader's clock, that the member has echoed.
+    last_ack: Option<Tick>,
     mode: Mode,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// Where the logs are equal is not known yet; records wait for an answer.
+    /// Where the logs match is not known yet; records are sent only after an answer.
     Probe,
-    /// Records are sent as they come.
+    /// Records are sent as they are appended, before earlier ones are acknowledged.
     Stream,
-    /// The follower needs what only the snapshot holds.
+    /// The follower needs records that only the snapshot at `index` covers; `offset` of its bytes have arrived.
     Snapshot { index: Index, offset: u64 },
 }
 
@@ -47,26 +50,26 @@
         Self {
             matched: Index(0),
             next,
-            acked: None,
+            last_ack: None,
             mode: Mode::Probe,
         }
     }
 }
 
-impl Leading {
+impl LeaderState {
     pub(super) fn new(others: &[MemberId], next: Index, since: Tick, now: Tick) -> Self {
         let others = others.iter().map(|id| (*id, Progress::new(next))).collect();
         Self {
             others,
-            next_beat: now,
-            told: Index(0),
+            next_heartbeat: now,
+            sent_commit: Index(0),
             since,
         }
     }
 }
 
 impl Node {
-    /// Gives the time until which the node may lead, if it is the leader.
+    /// Returns when the leader lease ends; `None` unless the node leads.
     pub(super) fn lease_until(&self, now: Tick) -> Option<Tick> {
         let Role::Leader(leading) = &self.role else {
             return None;
@@ -75,53 +78,56 @@
             if id == self.id {
                 return now;
             }
-            let acked = leading.others.get(&id).and_then(|progress| progress.acked);
-            acked.unwrap_or(leading.since)
+            let last_ack = leading.others.get(&id).and_then(|progress| progress.last_ack);
+            last_ack.unwrap_or(leading.since)
         };
-        let since = self.members().agreed(answered)?;
+        let since = self.members().majority_value(answered)?;
         Some(since + self.timing.lease())
     }
 
-    /// Tells whether it is time for a heartbeat, which comes sooner when there is a newer commit index to tell.
-    pub(super) fn beat_due(&self, now: Tick) -> bool {
+    /// Returns whether a heartbeat is due; a newer commit index is announced earlier than the regular heartbeat.
+    pub(super) fn heartbeat_due(&self, now: Tick) -> bool {
         let Role::Leader(leading) = &self.role else {
             return false;
         };
-        let early = self.timing.beat.saturating_sub(self.timing.tell);
-        leading.next_beat <= now || (leading.told < self.commit && leading.next_beat <= now + early)
+        let early = self.timing.heartbeat.saturating_sub(self.timing.commit_notice);
+        leading.next_heartbeat <= now || (leading.sent_commit < self.commit && leading.next_heartbeat <= now + early)
     }
 
     /// Sends a heartbeat to every other member.
-    pub(super) fn beat(&mut self, now: Tick) {
-        self.match_members();
+    pub(super) fn send_heartbeats(&mut self, now: Tick) {
+        self.track_members();
         let Role::Leader(leading) = &mut self.role else {
             return;
         };
-        leading.next_beat = now + self.timing.beat;
-        leading.told = self.commit;
+        leading.next_heartbeat = now + self.timing.heartbeat;
+        leading.sent_commit = self.commit;
         let others: Vec<MemberId> = leading.others.keys().copied().collect();
         for id in others {
-            self.send(id, true, now);
+            self.replicate_to(id, true, now);
         }
     }
 
-    /// Sends to every other member what it has not been sent yet.
-    pub(super) fn pump(&mut self, now: Tick) {
+    /// Sends new records to every follower in [`Mode::Stream`] whose unacknowledged records are within the limit.
+    pub(super) fn send_pending(&mut self, now: Tick) {
         let last = self.log.last().index;
         let Role::Leader(leading) = &self.role else {
             return;
         };
         let behind = |progress: &Progress| {
-            progress.mode == Mode::Stream && progress.next <= last && progress.next.0 - progress.matched.0 <= WINDOW
+            progress.mode == Mode::Stream
+                && progress.next <= last
+                && progress.next.0 - progress.matched.0 <= MAX_IN_FLIGHT
         };
         let others = leading.others.iter().filter(|(_, progress)| behind(progress));
         let others: Vec<MemberId> = others.map(|(id, _)| *id).collect();
         for id in others {
-            self.send(id, false, now);
+            self.replicate_to(id, false, now);
         }
     }
 
-    fn send(&mut self, to: MemberId, beat: bool, now: Tick) {
+    /// Sends the next records or the next part of the snapshot to a member; a heartbeat carries no records.
+    fn replicate_to(&mut self, to: MemberId, heartbeat: bool, now: Tick) {
         let Some(progress) = self.progress(to) else {
             return;
         };
@@ -130,14 +136,18 @@
         let sent = now.0.as_micros() as u64;
         if let (Mode::Probe | Mode::Stream, Some(term)) = (mode, self.log.term_of(previous)) {
             let previous = Position { term, index: previous };
-            let records = if beat { Vec::new() } else { self.log.part(next) };
+            let records = if heartbeat {
+                Vec::new()
+            } else {
+                self.log.batch_from(next)
+            };
             if let Some(progress) = self.progress(to)
                 && progress.mode == Mode::Stream
             {
                 progress.next = Index(next.0 + records.len() as u64);
             }
             let commit = self.commit;
-            self.say(
+            self.queue_message(
                 to,
                 Body::Append {
                     previous,
@@ -147,12 +157,12 @@
                 },
             );
         } else {
-            self.send_part(to, beat, sent);
+            self.send_snapshot_part(to, heartbeat, sent);
         }
     }
 
-    /// Sends the next part of the snapshot; as a heartbeat only the question how much has arrived.
-    fn send_part(&mut self, to: MemberId, beat: bool, sent: u64) {
+    /// Sends the next part of the snapshot; a heartbeat carries no bytes and asks how many have arrived.
+    fn send_snapshot_part(&mut self, to: MemberId, heartbeat: bool, sent: u64) {
         let at = self.snapshot.at;
         let Some(progress) = self.progress(to) else {
             return;
@@ -167,11 +177,15 @@
         };
         let data = &self.snapshot.data;
         let from = (offset as usize).min(data.len());
-        let until = if beat { from } else { data.len().min(from + PART) };
+        let until = if heartbeat {
+            from
+        } else {
+            data.len().min(from + PART_BYTES)
+        };
         let bytes = data[from..until].to_vec();
         let total = data.len() as u64;
         let members = self.snapshot.members.clone();
-        self.say(
+        self.queue_message(
             to,
             Body::Part {
                 at,
@@ -184,9 +198,10 @@
         );
     }
 
+    /// Handles a follower's acknowledgement of records.
     pub(super) fn on_appended(&mut self, from: MemberId, matched: Index, sent: u64, now: Tick) {
         let last = self.log.last().index;
-        let Some(progress) = self.acked(from, sent) else {
+        let Some(progress) = self.record_ack(from, sent) else {
             return;
         };
         progress.matched = progress.matched.max(matched.min(last));
@@ -195,27 +210,29 @@
         self.advance_commit(now);
     }
 
+    /// Goes back to an earlier index after a follower whose log does not match.
     pub(super) fn on_rejected(&mut self, from: MemberId, hint: Index, sent: u64, now: Tick) {
-        let Some(progress) = self.acked(from, sent) else {
+        let Some(progress) = self.record_ack(from, sent) else {
             return;
         };
         if matches!(progress.mode, Mode::Snapshot { .. }) {
             return;
         }
-        // The hint may lie before what is known to be equal, as the follower skips a whole term at once. Taking it for an
-        // old answer and dropping it would leave the follower behind for ever.
+        // The hint may lie before the matched index, as the follower skips a whole term at once. Ignoring it as an old
+        // answer would leave the follower behind forever.
         progress.next = hint.next().min(progress.next).max(progress.matched.next());
         progress.mode = Mode::Probe;
-        self.send(from, false, now);
+        self.replicate_to(from, false, now);
     }
 
+    /// Continues a snapshot transfer after the bytes that have arrived.
     pub(super) fn on_received(&mut self, from: MemberId, index: Index, offset: u64, sent: u64, now: Tick) {
-        let Some(progress) = self.acked(from, sent) else {
+        let Some(progress) = self.record_ack(from, sent) else {
             return;
         };
         if matches!(progress.mode, Mode::Snapshot { index: sending, .. } if sending == index) {
             progress.mode = Mode::Snapshot { index, offset };
-            self.send(from, false, now);
+            self.replicate_to(from, false, now);
         }
     }
 
@@ -226,20 +243,20 @@
         };
         let matched = |id| {
             if id == self.id {
-                return self.saved;
+                return self.synced;
             }
             leading.others.get(&id).map_or(Index(0), |progress| progress.matched)
         };
-        let Some(agreed) = self.members().agreed(matched) else {
+        let Some(agreed) = self.members().majority_value(matched) else {
             return;
         };
-        if agreed > self.commit && self.log.term_of(agreed) == Some(self.hard.term) {
+        if agreed > self.commit && self.log.term_of(agreed) == Some(self.hard_state.term) {
             self.commit = agreed;
             self.continue_change(now);
         }
     }
 
-    /// Gives the index that a member is known to have synced.
+    /// Returns the index up to which a member's synced log is known to match; zero unless the node leads.
     pub(super) fn matched(&self, id: MemberId) -> Index {
         match &self.role {
             Role::Leader(leading) => leading.others.get(&id).map_or(Index(0), |progress| progress.matched),
@@ -247,18 +264,19 @@
         }
     }
 
-    /// Gives when the leader had sent what a member answered last; its own election where it never answered.
+    /// Returns when the leader sent the last message that a member has answered, or when it asked for the votes of its
+    /// election if the member has not answered since. `None` unless the node leads and has that member.
     #[must_use]
-    pub fn answered(&self, id: MemberId) -> Option<Tick> {
+    pub fn last_answer(&self, id: MemberId) -> Option<Tick> {
         let Role::Leader(leading) = &self.role else {
             return None;
         };
         let progress = leading.others.get(&id)?;
-        Some(progress.acked.unwrap_or(leading.since))
+        Some(progress.last_ack.unwrap_or(leading.since))
     }
 
-    /// Follows a change of the members in what is kept of each.
-    pub(super) fn match_members(&mut self) {
+    /// Updates the replication progress table after a change of the members.
+    pub(super) fn track_members(&mut self) {
         let next = self.log.last().index.next();
         let ids: Vec<MemberId> = self.members().0.keys().copied().filter(|id| *id != self.id).collect();
         if let Role::Leader(leading) = &mut self.role {
@@ -270,13 +288,14 @@
     }
 
     pub(super) const fn current_term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
-    fn acked(&mut self, from: MemberId, sent: u64) -> Option<&mut Progress> {
+    /// Records that a member has answered a message sent at `sent` microseconds of the leader's clock.
+    fn record_ack(&mut self, from: MemberId, sent: u64) -> Option<&mut Progress> {
         let progress = self.progress(from)?;
         let sent = Tick(Duration::from_micros(sent));
-        progress.acked = progress.acked.max(Some(sent));
+        progress.last_ack = progress.last_ack.max(Some(sent));
         Some(progress)
     }
 
--- a/crates/state/src/raft/log.rs
+++ b/crates/state/src/raft/log.rs
@@ -1,15 +1,15 @@
-//! The log in memory: what follows the snapshot.
+//! The in-memory log: records that a snapshot does not cover, and some before it for lagging followers.
 
 use std::collections::VecDeque;
 
 use super::{Index, Position, Record, Term};
 
 /// Most bytes of payload in one message, unless a single record is larger.
-const MAX_BYTES: usize = 512 * 1024;
+const MAX_MESSAGE_BYTES: usize = 512 * 1024;
 /// Most records in one message.
-const MAX_RECORDS: usize = 1_024;
+const MAX_MESSAGE_RECORDS: usize = 1_024;
 
-/// Records after a base that a snapshot contains.
+/// Consecutive records after a base position that a snapshot covers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Log {
     base: Position,
@@ -50,39 +50,40 @@
         self.records.push_back(record);
     }
 
-    /// Drops everything from an index on.
+    /// Removes all records from an index on.
     pub(super) fn truncate(&mut self, from: Index) {
         let keep = from.0.saturating_sub(self.base.index.0 + 1);
         self.records.truncate(keep as usize);
     }
 
-    /// Gives records from an index on, as many as fit into a message.
-    pub(super) fn part(&self, from: Index) -> Vec<Record> {
+    /// Returns records from an index on, as many as fit into one message.
+    pub(super) fn batch_from(&self, from: Index) -> Vec<Record> {
         let skip = from.0.saturating_sub(self.base.index.0 + 1) as usize;
         let mut bytes = 0;
         let fits = |record: &&Record| {
             let first = bytes == 0;
             bytes += record.payload.size().max(1);
-            first || bytes <= MAX_BYTES
+            first || bytes <= MAX_MESSAGE_BYTES
         };
         self.records
             .iter()
             .skip(skip)
-            .take(MAX_RECORDS)
+            .take(MAX_MESSAGE_RECORDS)
             .take_while(fits)
             .cloned()
             .collect()
     }
 
-    /// Gives all records from one index to another, both included.
+    /// Returns the records from one index to another, both included.
     pub(super) fn between(&self, from: Index, to: Index) -> Vec<Record> {
         (from.0..=to.0)
             .filter_map(|index| self.get(Index(index)).cloned())
             .collect()
     }
 
-    /// Gives the newest index before which the logs may be equal when the record at `index` conflicts.
-    pub(super) fn before_term(&self, index: Index) -> Index {
+    /// Returns the newest index up to which the logs may match when the record at `index` conflicts: the end of the term
+    /// before the conflicting one.
+    pub(super) fn conflict_hint(&self, index: Index) -> Index {
         let Some(term) = self.term_of(index) else {
             return self.last().index.min(index.previous());
         };
@@ -93,7 +94,7 @@
         at
     }
 
-    /// Moves the base forward and drops what it covers.
+    /// Moves the base forward and removes the records up to it.
     pub(super) fn compact(&mut self, base: Position) {
         if base.index > self.base.index {
             let drop = (base.index.0 - self.base.index.0) as usize;
--- a/crates/state/src/raft/message.rs
+++ b/crates/state/src/raft/message.rs
@@ -1,89 +1,89 @@
-//! Messages between the nodes.
+//! Raft messages between the nodes.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Index, MemberId, Members, Position, Record, Term};
 
-/// A message from one incarnation to another.
+/// A message from one incarnation of a node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Sender.
+    /// The sender's incarnation.
     pub from: MemberId,
-    /// Receiver; a process that holds another disk by now drops it.
+    /// The receiver's incarnation; a process whose disk has another one drops the message.
     pub to: MemberId,
-    /// The sender's term; for a question before an election the term that it would begin.
+    /// The sender's term; in a pre-vote request and a granted pre-vote the term that the election would have.
     pub term: Term,
-    /// Content.
+    /// What the message asks or answers.
     pub body: Body,
 }
 
 /// Content of a message.
 ///
-/// `sent` is the leader's own clock in microseconds, echoed in the answer: it tells when the leader was last known to
-/// lead without comparing two clocks.
+/// `sent` is the leader's own clock in microseconds. The answer echoes it, so that the leader can compute its lease without
+/// comparing two clocks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for a vote, or before that whether there would be one.
+    /// Requests a vote or a pre-vote.
     AskVote {
-        /// Whether it is only the question before an election.
+        /// Whether this is a pre-vote.
         pre: bool,
         /// End of the sender's log.
         last: Position,
     },
     /// Answers [`Body::AskVote`].
     Vote {
-        /// Whether it answers the question before an election.
+        /// Whether this answers a pre-vote.
         pre: bool,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
     /// Appends records, or none as a heartbeat.
     Append {
-        /// The record before the first one.
+        /// Position of the record before the first one.
         previous: Position,
-        /// Records in order.
+        /// Consecutive records.
         records: Vec<Record>,
-        /// The newest committed index.
+        /// The leader's commit index.
         commit: Index,
-        /// The leader's clock.
+        /// The leader's clock, in microseconds.
         sent: u64,
     },
-    /// The log is synced and equal to the leader's up to an index.
+    /// Acknowledges records or a snapshot: the log is synced and matches the leader's up to an index.
     Appended {
-        /// That index.
+        /// The newest matching index.
         matched: Index,
         /// Echo of the leader's clock.
         sent: u64,
     },
-    /// The record before the first one is missing.
+    /// Rejects [`Body::Append`]: the log does not contain the record before the first one.
     Rejected {
-        /// The newest index at which the logs may be equal.
+        /// The newest index up to which the logs may match.
         hint: Index,
         /// Echo of the leader's clock.
         sent: u64,
     },
-    /// The leader's term is over; the newer one stands in the message.
+    /// Rejects a message of an old term; [`Message::term`] holds the newer one.
     Old,
-    /// A part of a snapshot.
+    /// Sends a part of a snapshot, or no bytes as a heartbeat.
     Part {
         /// Position of the snapshot.
         at: Position,
         /// Members at that position.
         members: Members,
-        /// Offset of the bytes.
+        /// Offset of `bytes` in the snapshot data.
         offset: u64,
-        /// Length of the whole.
+        /// Bytes of the whole snapshot data.
         total: u64,
-        /// The bytes.
+        /// Consecutive bytes of the snapshot data.
         bytes: Vec<u8>,
-        /// The leader's clock.
+        /// The leader's clock, in microseconds.
         sent: u64,
     },
-    /// Parts up to an offset have arrived.
+    /// Acknowledges the parts of a snapshot up to an offset.
     Received {
         /// Index of the snapshot.
         index: Index,
-        /// Bytes that have arrived.
+        /// Bytes that have arrived so far.
         offset: u64,
         /// Echo of the leader's clock.
         sent: u64,
@@ -91,9 +91,9 @@
 }
 
 impl Body {
-    /// Tells whether only a leader sends it.
+    /// Returns whether only a leader sends this kind of message.
     #[must_use]
-    pub const fn is_leaders(&self) -> bool {
+    pub const fn is_from_leader(&self) -> bool {
         matches!(self, Self::Append { .. } | Self::Part { .. })
     }
 }
--- a/crates/state/src/raft/mod.rs
+++ b/crates/state/src/raft/mod.rs
@@ -1,12 +1,12 @@
-//! The project's own agreement between the state nodes, in the manner of Raft.
+//! Raft consensus between the state nodes, with pre-votes, leader leases, learners and snapshots.
 //!
-//! [`Node`] does no input or output and has no clock: time and messages come in, messages and writes come out. That
-//! makes every history repeatable, so that property tests can drive it through losses, crashes and wrong clocks.
+//! [`Node`] does no I/O and has no clock: time and messages are its input, messages and writes its output. Every run is
+//! therefore reproducible, and property tests can drive it through message loss, crashes and clocks of different rates.
 
 mod change;
 mod election;
-mod follow;
-mod lead;
+mod follower;
+mod leader;
 mod log;
 mod member;
 mod message;
@@ -21,4 +21,4 @@
 pub use node::{Node, NotLeading, Restored};
 pub use ready::Ready;
 pub use timing::Timing;
-pub use types::{Hard, Index, MemberId, Payload, Position, Record, Snapshot, Term};
+pub use types::{HardState, Index, MemberId, Payload, Position, Record, Snapshot, Term};
--- a/crates/state/src/raft/node.rs
+++ b/crates/state/src/raft/node.rs
@@ -1,4 +1,4 @@
-//! One node of the agreement.
+//! One node of the Raft group.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,24 +8,26 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::follow::Incoming;
-use super::lead::Leading;
+use super::follower::IncomingSnapshot;
+use super::leader::LeaderState;
 use super::log::Log;
-use super::{Body, Hard, Index, MemberId, Members, Message, Payload, Position, Ready, Record, Snapshot, Term, Timing};
+use super::{
+    Body, HardState, Index, MemberId, Members, Message, Payload, Position, Ready, Record, Snapshot, Term, Timing,
+};
 
-/// Records that stay in memory behind a snapshot, for followers that are a little late.
-const KEPT: u64 = 1_024;
+/// Records that stay in memory before a snapshot's position, so that followers a little behind need no snapshot.
+const KEPT_RECORDS: u64 = 1_024;
 
 /// What a node finds on its disk when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
-    /// Its incarnation.
+    /// Incarnation of the disk.
     pub id: MemberId,
-    /// Term and vote.
-    pub hard: Hard,
-    /// The newest snapshot; on a blank disk an empty one.
+    /// Term and vote that were synced last.
+    pub hard_state: HardState,
+    /// The newest snapshot; on a blank disk an empty one without members.
     pub snapshot: Snapshot,
-    /// Records behind the snapshot.
+    /// Consecutive records after the snapshot.
     pub records: Vec<Record>,
 }
 
@@ -33,54 +35,70 @@
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("not the leader")]
 pub struct NotLeading {
-    /// Who leads, if known.
+    /// The leader, if known.
     #[error(not(source))]
     pub leader: Option<MemberId>,
 }
 
-/// What a node does at the moment.
+/// Current role of a node.
 #[derive(Debug)]
 pub(super) enum Role {
-    Follower { leader: Option<MemberId> },
-    Asking { granted: BTreeSet<MemberId> },
-    Candidate { since: Tick, granted: BTreeSet<MemberId> },
-    Leader(Leading),
+    Follower {
+        leader: Option<MemberId>,
+    },
+    /// Asks whether it would win an election; `granted` are the voters that agreed, itself included.
+    PreCandidate {
+        granted: BTreeSet<MemberId>,
+    },
+    /// Has asked for votes at `since`.
+    Candidate {
+        since: Tick,
+        granted: BTreeSet<MemberId>,
+    },
+    Leader(LeaderState),
 }
 
-/// One node of the agreement.
+/// One node of the Raft group.
 #[derive(Debug)]
 pub struct Node {
     pub(super) id: MemberId,
     pub(super) timing: Timing,
     pub(super) random: ChaCha8Rng,
-    pub(super) hard: Hard,
+    pub(super) hard_state: HardState,
     pub(super) log: Log,
     pub(super) snapshot: Snapshot,
-    /// Members with the index from which they hold; the last ones are in force, committed or not.
+    /// Memberships with the index from which each is in force; the last one is current, committed or not.
     pub(super) members: Vec<(Index, Members)>,
     pub(super) commit: Index,
+    /// Index up to which committed records were handed out by [`Node::take_committed`].
     pub(super) applied: Index,
-    pub(super) saved: Index,
-    pub(super) unsaved: Index,
+    /// Index up to which the log is synced.
+    pub(super) synced: Index,
+    /// Index of the first record that was not handed out for writing yet.
+    pub(super) next_write: Index,
     pub(super) role: Role,
-    /// When the node asks for votes unless it hears of a leader.
-    pub(super) deadline: Tick,
-    /// Until when it helps nobody to become leader.
-    pub(super) quiet: Tick,
-    pub(super) incoming: Option<Incoming>,
-    pub(super) install: bool,
-    pub(super) dirty: bool,
-    pub(super) early: Vec<Message>,
-    pub(super) late: Vec<Message>,
+    /// When the node starts a pre-vote unless it hears from a leader.
+    pub(super) election_deadline: Tick,
+    /// Until when the node grants no vote.
+    pub(super) vote_lockout: Tick,
+    pub(super) incoming_snapshot: Option<IncomingSnapshot>,
+    /// Whether a snapshot was installed that was not handed out for writing yet.
+    pub(super) snapshot_received: bool,
+    /// Whether the hard state changed since it was last handed out for writing.
+    pub(super) hard_changed: bool,
+    /// Messages to send before the next sync.
+    pub(super) before_sync: Vec<Message>,
+    /// Messages to send after the next sync.
+    pub(super) after_sync: Vec<Message>,
 }
 
 impl Node {
-    /// Starts a node from what its disk holds; equal seeds and inputs give equal behaviour.
+    /// Starts a node from what its disk holds; equal seeds and inputs result in equal behaviour.
     #[must_use]
     pub fn new(restored: Restored, timing: Timing, seed: u64, now: Tick) -> Self {
         let Restored {
             id,
-            hard,
+            hard_state,
             snapshot,
             records,
         } = restored;
@@ -91,129 +109,129 @@
         }));
         let base = snapshot.at;
         let log = Log::new(base, records);
-        let saved = log.last().index;
+        let synced = log.last().index;
         let mut node = Self {
             id,
             timing,
             random: ChaCha8Rng::seed_from_u64(seed ^ id.0),
-            hard,
+            hard_state,
             log,
             snapshot,
             members,
             commit: base.index,
             applied: base.index,
-            saved,
-            unsaved: saved.next(),
+            synced,
+            next_write: synced.next(),
             role: Role::Follower { leader: None },
-            deadline: now,
-            // Before it was stopped, the node may have told a leader that it follows. Whoever leads counts on that for
-            // the rest of the election time; helping another at once would make two of them.
-            quiet: now + timing.election,
-            incoming: None,
-            install: false,
-            dirty: false,
-            early: Vec::new(),
-            late: Vec::new(),
+            election_deadline: now,
+            // Before it stopped, the node may have acknowledged a leader, whose lease relies on it for up to the election
+            // timeout; a vote for another node in that time could make two leaders.
+            vote_lockout: now + timing.election,
+            incoming_snapshot: None,
+            snapshot_received: false,
+            hard_changed: false,
+            before_sync: Vec::new(),
+            after_sync: Vec::new(),
         };
-        node.reset_deadline(now);
+        node.reset_election_deadline(now);
         node
     }
 
-    /// Gives its incarnation.
+    /// Returns the incarnation of the node.
     #[must_use]
     pub const fn id(&self) -> MemberId {
         self.id
     }
 
-    /// Gives the newest term that it knows.
+    /// Returns the newest term that the node knows.
     #[must_use]
     pub const fn term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Gives the newest committed index that it knows.
+    /// Returns the newest index that the node knows to be committed.
     #[must_use]
     pub const fn committed(&self) -> Index {
         self.commit
     }
 
-    /// Gives the end of its log.
+    /// Returns the position of the last record, or of the snapshot if the log is empty.
     #[must_use]
     pub fn last(&self) -> Position {
         self.log.last()
     }
 
-    /// Gives the members in force.
+    /// Returns the current members, committed or not.
     ///
     /// # Panics
-    /// Never: the members of the snapshot are always there.
+    /// Never: the snapshot's members are always present.
     #[must_use]
     pub fn members(&self) -> &Members {
         &self.members.last().expect("the snapshot has members").1
     }
 
-    /// Gives the position of its newest snapshot.
+    /// Returns the newest snapshot.
     #[must_use]
     pub const fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Gives the leader, if one is known.
+    /// Returns the leader, if one is known.
     #[must_use]
     pub const fn leader(&self) -> Option<MemberId> {
         match &self.role {
             Role::Follower { leader } => *leader,
             Role::Leader(_) => Some(self.id),
-            Role::Asking { .. } | Role::Candidate { .. } => None,
+            Role::PreCandidate { .. } | Role::Candidate { .. } => None,
         }
     }
 
-    /// Tells whether it leads at a time by its own clock.
+    /// Returns whether the node leads with a valid lease at a time of its own clock.
     #[must_use]
     pub fn leads(&self, now: Tick) -> bool {
         self.lease_until(now).is_some_and(|until| now < until)
     }
 
-    /// Gives the name of its role.
+    /// Returns the role as `leader`, `candidate`, `follower` or `learner`; a leader may have no valid lease any more.
     #[must_use]
     pub fn role(&self) -> &'static str {
         match &self.role {
             Role::Leader(_) => "leader",
-            Role::Asking { .. } | Role::Candidate { .. } => "candidate",
+            Role::PreCandidate { .. } | Role::Candidate { .. } => "candidate",
             Role::Follower { .. } if self.members().votes(self.id) => "follower",
             Role::Follower { .. } => "learner",
         }
     }
 
-    /// Moves time on.
+    /// Advances time: sends heartbeats as the leader, starts a pre-vote at the election deadline otherwise.
     pub fn tick(&mut self, now: Tick) {
         self.check_lease(now);
         if matches!(self.role, Role::Leader(_)) {
-            if self.beat_due(now) {
-                self.beat(now);
+            if self.heartbeat_due(now) {
+                self.send_heartbeats(now);
             }
             self.continue_change(now);
-        } else if self.deadline <= now {
-            self.ask(now);
+        } else if self.election_deadline <= now {
+            self.start_pre_vote(now);
         }
     }
 
-    /// Takes a message.
+    /// Handles a message from another node.
     pub fn receive(&mut self, message: Message, now: Tick) {
         self.check_lease(now);
         if message.to != self.id || message.from == self.id {
             return;
         }
-        if message.term > self.hard.term && !self.raise(&message, now) {
+        if message.term > self.hard_state.term && !self.observe_newer_term(&message, now) {
             return;
         }
-        if message.term < self.hard.term {
-            self.refuse_old(&message);
+        if message.term < self.hard_state.term {
+            self.reject_stale(&message);
             return;
         }
         let from = message.from;
         match message.body {
-            Body::AskVote { pre, last } => self.on_ask(from, message.term, pre, last, now),
+            Body::AskVote { pre, last } => self.on_vote_request(from, message.term, pre, last, now),
             Body::Vote { pre, granted } => self.on_vote(from, pre, granted, now),
             Body::Append {
                 previous,
@@ -221,7 +239,7 @@
                 commit,
                 sent,
             } => {
-                self.follow(from, now);
+                self.follow_leader(from, now);
                 self.on_append(from, previous, records, commit, sent);
             }
             Body::Part {
@@ -232,14 +250,14 @@
                 bytes,
                 sent,
             } => {
-                self.follow(from, now);
-                let part = Incoming {
+                self.follow_leader(from, now);
+                let part = IncomingSnapshot {
                     at,
                     members,
                     total,
                     bytes,
                 };
-                self.on_part(from, offset, part, sent);
+                self.on_snapshot_part(from, offset, part, sent);
             }
             Body::Old => {}
             Body::Appended { matched, sent } => self.on_appended(from, matched, sent, now),
@@ -248,12 +266,10 @@
         }
     }
 
-    /// Appends commands; they share the next sync.
-    ///
-    /// Returns the index of the first.
+    /// Appends commands, which share the next sync, and returns the index of the first.
     ///
     /// # Errors
-    /// Fails when the node does not lead; nothing was written then.
+    /// Fails when the node does not lead; then nothing was written.
     pub fn propose(&mut self, commands: Vec<Vec<u8>>, now: Tick) -> Result<Index, NotLeading> {
         self.check_lease(now);
         if !matches!(self.role, Role::Leader(_)) {
@@ -266,38 +282,40 @@
         Ok(first)
     }
 
-    /// Gives what is to be done next; the writes come before `saved` and before the late messages.
+    /// Returns the next writes and messages. The writes must be synced before [`Node::on_synced`] is called and before the
+    /// messages in [`Ready::after_sync`] are sent.
     pub fn ready(&mut self, now: Tick) -> Ready {
-        self.pump(now);
+        self.send_pending(now);
         let last = self.log.last().index;
-        let records = if self.unsaved <= last {
-            self.log.between(self.unsaved, last)
+        let records = if self.next_write <= last {
+            self.log.between(self.next_write, last)
         } else {
             Vec::new()
         };
-        self.unsaved = last.next();
+        self.next_write = last.next();
         let mut ready = Ready {
-            early: std::mem::take(&mut self.early),
-            snapshot: std::mem::take(&mut self.install).then(|| self.snapshot.clone()),
-            hard: std::mem::take(&mut self.dirty).then_some(self.hard),
+            before_sync: std::mem::take(&mut self.before_sync),
+            snapshot: std::mem::take(&mut self.snapshot_received).then(|| self.snapshot.clone()),
+            hard_state: std::mem::take(&mut self.hard_changed).then_some(self.hard_state),
             records,
-            late: std::mem::take(&mut self.late),
-            until: last,
+            after_sync: std::mem::take(&mut self.after_sync),
+            log_end: last,
         };
-        if ready.hard.is_some() {
-            // A crash would forget the term in which these messages speak, and the next one could use it again.
-            ready.late.append(&mut ready.early);
+        if ready.hard_state.is_some() {
+            // A crash before the sync would lose the term of these messages, and the node could use the term again for
+            // other ones.
+            ready.after_sync.append(&mut ready.before_sync);
         }
         ready
     }
 
-    /// Tells that everything up to an index is synced.
-    pub fn saved(&mut self, until: Index, now: Tick) {
-        self.saved = until.min(self.log.last().index);
+    /// Records that the log is synced up to an index.
+    pub fn on_synced(&mut self, synced_to: Index, now: Tick) {
+        self.synced = synced_to.min(self.log.last().index);
         self.advance_commit(now);
     }
 
-    /// Gives the records that were committed since the last call.
+    /// Returns the records that became committed since the last call.
     pub fn take_committed(&mut self) -> Vec<Record> {
         if self.applied >= self.commit {
             return Vec::new();
@@ -307,7 +325,8 @@
         records
     }
 
-    /// Takes a snapshot of the applied state and forgets most of the log before it.
+    /// Takes over `data` as the snapshot of the applied state and drops the log before it, except for the last
+    /// [`KEPT_RECORDS`] records.
     pub fn compact(&mut self, data: Vec<u8>) -> &Snapshot {
         let index = self.applied;
         let term = self.log.term_of(index).unwrap_or(self.snapshot.at.term);
@@ -317,62 +336,68 @@
             members,
             data: data.into(),
         };
-        let base = Index(index.0.saturating_sub(KEPT)).max(self.log.base().index);
+        let base = Index(index.0.saturating_sub(KEPT_RECORDS)).max(self.log.base().index);
         if let Some(term) = self.log.term_of(base) {
             self.log.compact(Position { term, index: base });
         }
-        self.forget_members(base);
+        self.prune_members(base);
         &self.snapshot
     }
 
+    /// Appends a record of the current term.
     pub(super) fn append(&mut self, payload: Payload) -> Index {
         let index = self.log.last().index.next();
         if let Payload::Members(members) = &payload {
             self.members.push((index, members.clone()));
         }
         let at = Position {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index,
         };
         self.log.push(Record { at, payload });
         index
     }
 
+    /// Removes the records from an index on, with the memberships that they brought.
     pub(super) fn truncate(&mut self, from: Index) {
         self.log.truncate(from);
         self.members
             .retain(|(index, _)| *index < from || *index <= self.snapshot.at.index);
-        self.unsaved = self.unsaved.min(from);
-        self.saved = self.saved.min(from.previous());
+        self.next_write = self.next_write.min(from);
+        self.synced = self.synced.min(from.previous());
     }
 
+    /// Returns the members in force at an index.
     pub(super) fn members_at(&self, index: Index) -> Members {
         let newest = self.members.iter().rev().find(|(at, _)| *at <= index);
         newest.map_or_else(|| self.snapshot.members.clone(), |(_, members)| members.clone())
     }
 
-    fn forget_members(&mut self, base: Index) {
+    /// Drops memberships that were superseded at or before the base of the log.
+    fn prune_members(&mut self, base: Index) {
         let covered = self.members.iter().filter(|(at, _)| *at <= base).count();
         self.members.drain(..covered.saturating_sub(1));
     }
 
-    pub(super) fn say(&mut self, to: MemberId, body: Body) {
+    /// Queues a message: a leader's before the sync, an answer after it, as it promises something about the writes.
+    pub(super) fn queue_message(&mut self, to: MemberId, body: Body) {
         let message = Message {
             from: self.id,
             to,
-            term: self.hard.term,
+            term: self.hard_state.term,
             body,
         };
-        if message.body.is_leaders() {
-            self.early.push(message);
+        if message.body.is_from_leader() {
+            self.before_sync.push(message);
         } else {
-            self.late.push(message);
+            self.after_sync.push(message);
         }
     }
 
-    pub(super) fn reset_deadline(&mut self, now: Tick) {
+    /// Sets the election deadline to a random time between one and two election timeouts from now.
+    pub(super) fn reset_election_deadline(&mut self, now: Tick) {
         let election = self.timing.election.as_micros() as u64;
         let extra = self.random.random_range(0..election);
-        self.deadline = now + self.timing.election + Duration::from_micros(extra);
+        self.election_deadline = now + self.timing.election + Duration::from_micros(extra);
     }
 }
--- a/crates/state/src/raft/ready.rs
+++ b/crates/state/src/raft/ready.rs
@@ -1,28 +1,28 @@
-//! What a node wants done.
+//! Output of a node: writes and messages.
 
-use super::{Hard, Index, Message, Record, Snapshot};
+use super::{HardState, Index, Message, Record, Snapshot};
 
-/// What a node wants done, in the order of the fields.
+/// Writes and messages of a node, to be carried out in the order of the fields.
 #[derive(Clone, Debug, Default)]
 pub struct Ready {
-    /// Messages that may leave before the writes are synced.
-    pub early: Vec<Message>,
-    /// A received snapshot that replaces the log.
+    /// Messages that may be sent before the writes are synced.
+    pub before_sync: Vec<Message>,
+    /// A received snapshot, which replaces the state and the log up to its position.
     pub snapshot: Option<Snapshot>,
-    /// Term and vote, when they changed.
-    pub hard: Option<Hard>,
-    /// Records to append; one with an index that is there already replaces it and all behind it.
+    /// Term and vote, if they changed.
+    pub hard_state: Option<HardState>,
+    /// Records to append; one whose index is already in the log replaces that record and all after it.
     pub records: Vec<Record>,
-    /// Messages that promise something about the writes; they may leave only after the sync.
-    pub late: Vec<Message>,
-    /// End of the log with these writes; it is handed to `Node::saved` after the sync.
-    pub until: Index,
+    /// Messages that depend on the writes; they may be sent only after the sync.
+    pub after_sync: Vec<Message>,
+    /// Index of the last record with these writes, for [`Node::on_synced`](super::Node::on_synced) after the sync.
+    pub log_end: Index,
 }
 
 impl Ready {
-    /// Tells whether something is to be written.
+    /// Returns whether anything is to be written.
     #[must_use]
     pub fn writes(&self) -> bool {
-        self.snapshot.is_some() || self.hard.is_some() || !self.records.is_empty()
+        self.snapshot.is_some() || self.hard_state.is_some() || !self.records.is_empty()
     }
 }
--- a/crates/state/src/raft/types.rs
+++ b/crates/state/src/raft/types.rs
@@ -1,4 +1,4 @@
-//! Names, numbers and records of the agreement.
+//! Identifiers, positions, records and snapshots of the Raft log.
 
 use std::sync::Arc;
 
@@ -7,19 +7,19 @@
 
 use super::Members;
 
-/// Number of an election; at most one node leads in it.
+/// Election term; at most one node leads in it.
 #[derive(Clone, Copy, Debug, Default, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// Place of a record in the log; the first record is at 1.
+/// Index of a record in the log; the first record has index 1.
 #[derive(Clone, Copy, Debug, Default, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Index(pub u64);
 
-/// Name of one incarnation of a node's disk.
+/// Id of one incarnation of a node's disk.
 ///
-/// A node whose disk was lost has forgotten its votes and its log. If it went on under its old name, the entries that it
-/// had acknowledged would count as kept although they are gone, and it could vote twice in a term. A blank disk draws a
-/// new name, which nobody counts until the members say so.
+/// A node whose disk was lost has lost its votes and its log. Under its old id, records that it had acknowledged would
+/// count as replicated although they are gone, and it could vote twice in a term. A blank disk therefore gets a new random
+/// id, which counts for nothing until it is a member.
 #[derive(Clone, Copy, Debug, Default, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{_0:016x}")]
 pub struct MemberId(pub u64);
@@ -28,60 +28,60 @@
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{term}.{index}")]
 pub struct Position {
-    /// Term in which the record was made.
+    /// Term of the leader that appended the record.
     pub term: Term,
-    /// Its place.
+    /// Index of the record.
     pub index: Index,
 }
 
-/// What a node must remember besides its log before it answers anybody.
+/// Raft's persistent state besides the log; a node must sync it before it answers anybody.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
-    /// The newest term that it knows.
+pub struct HardState {
+    /// The newest term that the node knows.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The candidate that it voted for in that term, if any.
     pub vote: Option<MemberId>,
 }
 
-/// One record of the log.
+/// One record of the Raft log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Where it stands.
+    /// Position of the record.
     pub at: Position,
-    /// What it holds.
+    /// What the record changes.
     pub payload: Payload,
 }
 
 /// Content of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader begins its term with it.
+    /// No change; a new leader appends it first, to commit the records before it.
     Empty,
-    /// An encoded command.
+    /// An encoded [`LogEntry`](crate::applied::LogEntry).
     Command(Arc<[u8]>),
-    /// The members from here on.
+    /// The members in force from this record on.
     Members(Members),
 }
 
-/// The applied state up to a position.
+/// The state after all records up to a position were applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The newest record that is contained.
+    /// Position of the newest record that the snapshot covers.
     pub at: Position,
     /// The members at that position.
     pub members: Members,
-    /// The encoded state.
+    /// The encoded [`AppliedState`](crate::applied::AppliedState); empty on a blank disk.
     pub data: Arc<[u8]>,
 }
 
 impl Index {
-    /// Gives the index after this one.
+    /// Returns the index after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// Gives the index before this one, or zero.
+    /// Returns the index before this one, or zero.
     #[must_use]
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
@@ -89,7 +89,7 @@
 }
 
 impl Payload {
-    /// Gives about how many bytes the payload takes.
+    /// Returns roughly how many bytes the payload takes in a message.
     #[must_use]
     pub fn size(&self) -> usize {
         match self {
--- a/crates/state/tests/group/mod.rs
+++ b/crates/state/tests/group/mod.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use state::raft::{
-    Hard, Index, Member, MemberId, Members, Message, Node, Payload, Position, Ready, Record, Restored, Snapshot, Term,
-    Timing,
+    HardState, Index, Member, MemberId, Members, Message, Node, Payload, Position, Ready, Record, Restored, Snapshot,
+    Term, Timing,
 };
 
 const STEP_MS: u64 = 20;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 struct Disk {
     id: MemberId,
-    hard: Hard,
+    hard: HardState,
     snapshot: Snapshot,
     records: Vec<Record>,
 }
@@ -317,7 +317,7 @@
     fn work(&mut self, n: usize) {
         let now = self.local(n);
         let ready = self.hosts[n].node.as_mut().unwrap().ready(now);
-        ready.early.iter().for_each(|message| self.send(n, message));
+        ready.before_sync.iter().for_each(|message| self.send(n, message));
         if !self.calm && ready.writes() && self.random.random_range(0..1_000) == 0 {
             self.hosts[n].node = None;
             return;
@@ -329,8 +329,8 @@
             let agreed = self.agreed.get(&snapshot.at.index).map_or(0, |(_, chain)| *chain);
             assert_eq!(host.chain, agreed, "the snapshot differs at {}", snapshot.at);
         }
-        host.node.as_mut().unwrap().saved(ready.until, now);
-        ready.late.iter().for_each(|message| self.send(n, message));
+        host.node.as_mut().unwrap().on_synced(ready.log_end, now);
+        ready.after_sync.iter().for_each(|message| self.send(n, message));
         self.apply(n);
     }
 
@@ -410,7 +410,7 @@
         host.started = self.now;
         let restored = Restored {
             id: disk.id,
-            hard: disk.hard,
+            hard_state: disk.hard,
             snapshot: disk.snapshot,
             records: disk.records,
         };
@@ -448,7 +448,7 @@
         if let Some(snapshot) = &ready.snapshot {
             self.cover(snapshot);
         }
-        self.hard = ready.hard.unwrap_or(self.hard);
+        self.hard = ready.hard_state.unwrap_or(self.hard);
         for record in &ready.records {
             self.records.retain(|old| old.at.index < record.at.index);
             self.records.push(record.clone());
--- a/crates/state/tests/log_recovery.rs
+++ b/crates/state/tests/log_recovery.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use state::disk::{DiskError, Folder, Limits, Space, check_folder};
-use state::raft::{Hard, Index, Payload, Position, Ready, Record, Snapshot, Term};
+use state::raft::{HardState, Index, Payload, Position, Ready, Record, Snapshot, Term};
 
 const SMALL: Limits = Limits {
     segment: 200,
@@ -149,18 +149,18 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
     open.write(&records(1, 1..=9)).unwrap();
-    let hard = Hard {
+    let hard = HardState {
         term: Term(2),
         vote: None,
     };
     open.write(&Ready {
-        hard: Some(hard),
+        hard_state: Some(hard),
         ..records(2, 5..=6)
     })
     .unwrap();
     drop(open);
     let (_, restored) = Folder::open(folder.path(), SMALL).unwrap();
-    assert_eq!(restored.hard, hard);
+    assert_eq!(restored.hard_state, hard);
     assert_eq!(restored.records.len(), 6);
     assert_eq!(restored.records.last(), Some(&record(2, 6)));
 }
@@ -170,12 +170,12 @@
 fn bounded_restart() {
     let folder = tempfile::tempdir().unwrap();
     let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
-    let hard = Hard {
+    let hard = HardState {
         term: Term(1),
         vote: None,
     };
     open.write(&Ready {
-        hard: Some(hard),
+        hard_state: Some(hard),
         ..Ready::default()
     })
     .unwrap();
