--- a/crates/state/src/admin/members.rs
+++ b/crates/state/src/admin/members.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 use super::{Admin, answer, body, problem};
-use crate::core::{Ask, MemberList, Replace, ReplaceError};
+use crate::core::{MemberList, ReplaceError, ReplaceMember, StateRequest};
 use crate::raft::ChangeError;
 use wire::state::Unavailable;
 
@@ -23,7 +23,7 @@
 impl Admin {
     pub(super) fn members(&self) -> Response {
         let (reply, answer) = oneshot::channel();
-        let sent = self.ring.try_send(Ask::Members(reply));
+        let sent = self.requests.try_send(StateRequest::Members(reply));
         match sent.ok().and_then(|()| answer.blocking_recv().ok()) {
             // A blank disk knows nobody; the operator would take the empty list for the group.
             Some(list) if list.members.is_empty() => problem(503, "this node's disk is blank, ask another node"),
@@ -39,7 +39,9 @@
         };
         let new = asked.new.unwrap_or_else(|| asked.old.clone());
         let (reply, answer) = oneshot::channel();
-        let sent = self.ring.try_send(Ask::Replace(Replace { old: asked.old, new }, reply));
+        let sent = self
+            .requests
+            .try_send(StateRequest::Replace(ReplaceMember { old: asked.old, new }, reply));
         match sent.ok().and_then(|()| answer.blocking_recv().ok()) {
             Some(Ok(replaced)) => Response::json(&json!({"replacing": replaced})),
             Some(Err(ReplaceError::Change(ChangeError::NotLeading))) => {
--- a/crates/state/src/admin/mod.rs
+++ b/crates/state/src/admin/mod.rs
@@ -19,7 +19,7 @@
 use wire::state::Propose;
 
 use crate::applied::{AppliedState, Command, Operator, PutOperator, Reply};
-use crate::core::Ask;
+use crate::core::StateRequest;
 use access::{Caller, Right};
 use answer::{problem, proposed, unavailable};
 
@@ -29,7 +29,7 @@
 /// Answers operators.
 #[derive(Clone, Debug)]
 pub struct Admin {
-    ring: Sender<Ask>,
+    requests: Sender<StateRequest>,
     key: KeyHash,
     scrape: MetricsExporter,
 }
@@ -37,8 +37,8 @@
 impl Admin {
     /// Makes the API for a ring; whoever shows the key as a bearer token may do everything.
     #[must_use]
-    pub const fn new(ring: Sender<Ask>, key: KeyHash, scrape: MetricsExporter) -> Self {
-        Self { ring, key, scrape }
+    pub const fn new(requests: Sender<StateRequest>, key: KeyHash, scrape: MetricsExporter) -> Self {
+        Self { requests, key, scrape }
     }
 
     /// Answers one request.
@@ -137,7 +137,7 @@
             // An asker that has gone away needs no answer.
             let _ = reply.send(read(applied, age.as_millis() as u64));
         });
-        self.ring.try_send(Ask::Read(read)).ok()?;
+        self.requests.try_send(StateRequest::Read(read)).ok()?;
         answer.blocking_recv().ok()
     }
 
@@ -199,7 +199,7 @@
 
     fn command(&self, command: Command) -> Response {
         let (reply, answer) = oneshot::channel();
-        let sent = self.ring.try_send(Ask::Command(Box::new(command), reply));
+        let sent = self.requests.try_send(StateRequest::Command(Box::new(command), reply));
         match sent.ok().and_then(|()| answer.blocking_recv().ok()) {
             Some(Ok(Reply::Proposed(answer))) => proposed(&answer),
             Some(Err(why)) => unavailable(&why),
--- /dev/null
+++ b/crates/state/src/core/discovery.rs
@@ -0,0 +1,279 @@
+//! Discovery: how blank nodes form a group, and how a node announces itself to an existing one.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use contract::NodeId;
+use policy::Tick;
+use serde::{Deserialize, Serialize};
+
+use super::{Core, encode_snapshot};
+use crate::applied::AppliedState;
+use crate::peers::{PeerBatch, PeerMessage};
+use crate::raft::{Body, Index, Member, MemberId, Members, Position, Snapshot, Term};
+
+/// Interval between two announcements.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Age up to which an announcement is valid.
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(2);
+/// Time without a leader after which a member announces itself again; longer than an election takes.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Most addresses that are sent or kept; more than the largest deployment has state nodes, old addresses included.
+const MAX_KNOWN_NODES: usize = 64;
+
+/// Identity and membership settings of this node.
+#[derive(Clone, Debug)]
+pub struct NodeConfig {
+    /// Name of the node.
+    pub node: NodeId,
+    /// Inner address of the node.
+    pub address: SocketAddr,
+    /// Inner addresses of all nodes that the group starts with, this one included; with automatic membership the seeds.
+    pub peers: Vec<SocketAddr>,
+    /// Who decides about the members.
+    pub membership: MembershipMode,
+}
+
+/// Who decides about the members of the group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MembershipMode {
+    /// Operators: the group starts with the configured peers, and members are replaced on request.
+    Manual,
+    /// The leader: it adds nodes that announce themselves and removes members that do not answer.
+    Automatic {
+        /// Whether the whole system starts for the first time, so that blank seeds may form a group.
+        bootstrap: bool,
+    },
+}
+
+impl MembershipMode {
+    const fn is_automatic(self) -> bool {
+        matches!(self, Self::Automatic { .. })
+    }
+}
+
+/// Announcement of a node.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Hello {
+    /// Name of the node.
+    pub node: NodeId,
+    /// Whether its disk belongs to a group; a blank disk does not.
+    pub member: bool,
+    /// Addresses of other nodes that it knows; the seeds of a new node may not include the leader.
+    pub known: Vec<SocketAddr>,
+}
+
+/// Last message from another node.
+#[derive(Clone, Debug)]
+struct HeardNode {
+    id: MemberId,
+    hello: Hello,
+    at: Tick,
+    /// Whether it has announced itself; otherwise it is known only as the sender of Raft messages.
+    announced: bool,
+}
+
+/// Nodes that this one has heard from or heard of, members or not.
+#[derive(Debug)]
+pub(super) struct Discovery {
+    own_id: MemberId,
+    heard: BTreeMap<SocketAddr, HeardNode>,
+    /// Addresses that other nodes have announced.
+    reported: BTreeSet<SocketAddr>,
+    next_announcement: Tick,
+}
+
+impl Discovery {
+    pub(super) const fn new(own_id: MemberId) -> Self {
+        Self {
+            own_id,
+            heard: BTreeMap::new(),
+            reported: BTreeSet::new(),
+            next_announcement: Tick(Duration::ZERO),
+        }
+    }
+
+    /// Returns the address from which an incarnation was heard last.
+    pub(super) fn address(&self, id: MemberId) -> Option<SocketAddr> {
+        self.heard
+            .iter()
+            .find(|(_, heard)| heard.id == id)
+            .map(|(address, _)| *address)
+    }
+
+    /// Iterates over the nodes that announce a blank disk.
+    pub(super) fn blank(&self, now: Tick) -> impl Iterator<Item = (MemberId, &NodeId, SocketAddr)> {
+        self.heard
+            .iter()
+            .filter(move |(_, heard)| !heard.hello.member && now.since(heard.at) < ANNOUNCEMENT_TTL)
+            .map(|(address, heard)| (heard.id, &heard.hello.node, *address))
+    }
+
+    /// Iterates over the nodes that announce themselves, because their disk is blank or no leader contacts them.
+    pub(super) fn announced(&self, now: Tick) -> impl Iterator<Item = (MemberId, &NodeId, SocketAddr)> {
+        self.heard
+            .iter()
+            .filter(move |(_, heard)| heard.announced && now.since(heard.at) < ANNOUNCEMENT_TTL)
+            .map(|(address, heard)| (heard.id, &heard.hello.node, *address))
+    }
+
+    fn add_reported(&mut self, known: &[SocketAddr]) {
+        let room = MAX_KNOWN_NODES.saturating_sub(self.reported.len());
+        self.reported.extend(known.iter().copied().take(room));
+    }
+
+    /// Records a message from a node; a hello without a name stands for a Raft message.
+    fn record(&mut self, address: SocketAddr, id: MemberId, hello: Hello, at: Tick) {
+        let announced = !hello.node.as_str().is_empty();
+        self.heard.insert(
+            address,
+            HeardNode {
+                id,
+                hello,
+                at,
+                announced,
+            },
+        );
+    }
+
+    /// Returns the first members once every other configured node has announced a blank disk.
+    ///
+    /// All of them must: a node that does not answer could be the rest of a group whose other disks were lost.
+    fn first_members(&self, config: &NodeConfig, now: Tick) -> Option<Members> {
+        let blank: BTreeMap<SocketAddr, (MemberId, &NodeId)> = self
+            .blank(now)
+            .map(|(id, node, address)| (address, (id, node)))
+            .collect();
+        let member = |address: &SocketAddr| {
+            let (id, node) = if *address == config.address {
+                (self.own_id, &config.node)
+            } else {
+                blank.get(address).copied()?
+            };
+            Some((
+                id,
+                Member {
+                    node: node.clone(),
+                    address: *address,
+                    votes: true,
+                    replaces: None,
+                },
+            ))
+        };
+        config.peers.iter().map(member).collect::<Option<_>>().map(Members)
+    }
+}
+
+impl Core {
+    /// Announces the node if necessary, and forms the group if this node is the one to do so.
+    pub(super) fn announce_and_bootstrap(&mut self, now: Tick) {
+        if now < self.discovery.next_announcement || !self.must_announce(now) {
+            return;
+        }
+        self.discovery.next_announcement = now + ANNOUNCE_INTERVAL;
+        let hello = self.hello();
+        for peer in self.known_nodes() {
+            self.peers.send(peer, PeerMessage::Hello(hello.clone()));
+        }
+        if !self.node.members().is_empty()
+            || matches!(self.config.membership, MembershipMode::Automatic { bootstrap: false })
+        {
+            return;
+        }
+        // Only one node, the one with the lowest address, may decide on the first members: two nodes that decide
+        // differently would form two groups.
+        if self.config.peers.iter().min() == Some(&self.config.address)
+            && let Some(members) = self.discovery.first_members(&self.config, now)
+        {
+            let at = Position {
+                term: Term(1),
+                index: Index(1),
+            };
+            let mut applied = AppliedState::default();
+            applied.index = 1;
+            self.node.bootstrap(&Snapshot {
+                at,
+                members,
+                data: encode_snapshot(&applied).into(),
+            });
+        }
+    }
+
+    /// Handles a batch of messages from another node.
+    pub(super) fn receive(&mut self, batch: PeerBatch, now: Tick) {
+        let PeerBatch { from, address, parcels } = batch;
+        for message in parcels {
+            match message {
+                PeerMessage::Agree(message) => {
+                    if self.discovery.address(from) != Some(address) {
+                        let hello = Hello {
+                            node: NodeId::default(),
+                            member: true,
+                            known: Vec::new(),
+                        };
+                        self.discovery.record(address, from, hello, now);
+                    }
+                    let leader_commit = match (&message.body, message.term >= self.node.term()) {
+                        (Body::Append { commit, .. }, true) => Some(*commit),
+                        _ => None,
+                    };
+                    self.node.receive(message, now);
+                    if leader_commit.is_some_and(|commit| commit <= self.node.committed()) {
+                        self.current_at = Some(now);
+                    }
+                }
+                PeerMessage::Hello(hello) => self.on_hello(from, address, hello, now),
+                PeerMessage::Form(snapshot) => self.node.bootstrap(&snapshot),
+            }
+        }
+    }
+
+    /// Answers an announcement: with the first snapshot to a first member of the group, else with this node's own hello.
+    fn on_hello(&mut self, from: MemberId, address: SocketAddr, hello: Hello, now: Tick) {
+        let blank = !hello.member;
+        self.discovery.add_reported(&hello.known);
+        self.discovery.record(address, from, hello, now);
+        let answers = blank || self.config.membership.is_automatic();
+        if self.node.members().is_empty() || !answers {
+            return;
+        }
+        let first = self.node.snapshot();
+        if first.members.votes(from) && first.at.index == Index(1) {
+            self.peers.send(address, PeerMessage::Form(first.clone()));
+        } else if blank || !self.must_announce(now) {
+            // Two members that both look for a leader would otherwise answer each other forever.
+            self.peers.send(address, PeerMessage::Hello(self.hello()));
+        }
+    }
+
+    /// Returns whether this node has to announce itself: its disk is blank, or it is a member that no leader contacts,
+    /// perhaps because it was considered lost and removed.
+    fn must_announce(&self, now: Tick) -> bool {
+        let blank = self.node.members().is_empty();
+        let forgotten = || {
+            let silence = self.current_at.map_or(LEADER_TIMEOUT, |heard| now.since(heard));
+            self.config.membership.is_automatic() && !self.node.leads(now) && silence >= LEADER_TIMEOUT
+        };
+        blank || forgotten()
+    }
+
+    /// Returns the addresses of all other nodes that this one knows.
+    fn known_nodes(&self) -> BTreeSet<SocketAddr> {
+        let mut known: BTreeSet<SocketAddr> = self.config.peers.iter().copied().collect();
+        if self.config.membership.is_automatic() {
+            known.extend(self.node.members().0.values().map(|member| member.address));
+            known.extend(self.discovery.reported.iter().copied());
+        }
+        known.remove(&self.config.address);
+        known
+    }
+
+    fn hello(&self) -> Hello {
+        Hello {
+            node: self.config.node.clone(),
+            member: !self.node.members().is_empty(),
+            known: self.known_nodes().into_iter().take(MAX_KNOWN_NODES).collect(),
+        }
+    }
+}
--- a/crates/state/src/core/mod.rs
+++ b/crates/state/src/core/mod.rs
@@ -1,10 +1,11 @@
-//! The thread that owns the state: it drives the agreement, makes it durable, applies what is agreed and answers.
+//! The thread that owns the replicated state: it drives Raft, syncs the log, applies committed entries and answers
+//! requests.
 
-mod ask;
-mod forming;
+mod discovery;
 mod log_time;
 mod membership;
 mod pending;
+mod request;
 mod serve;
 mod watchers;
 
@@ -18,112 +19,114 @@
 use telemetry::Clock;
 use wire::catalog::Followed;
 
-pub use ask::{Ask, Lead, MemberList, Replace, ReplaceError, Replaced, ring};
-use forming::Forming;
-pub use forming::{Hello, MembershipMode, NodeConfig};
+use discovery::Discovery;
+pub use discovery::{Hello, MembershipMode, NodeConfig};
 use log_time::LogTime;
 use pending::Pending;
+pub use request::{Leadership, MemberList, ReplaceError, ReplaceMember, Replacement, StateRequest, request_channel};
 use watchers::Watchers;
 
 use crate::applied::{AppliedState, LogEntry};
 use crate::disk::{DiskError, Folder};
 use crate::feed::CatalogFeed;
-use crate::peers::{Parcel, Peers};
+use crate::peers::{PeerMessage, PeerSenders};
 use crate::raft::{Message, Node, Payload, Ready, Record, Restored, Timing};
 
-/// Most questions that are taken before they are worked on; their entries share a sync.
-const BATCH: usize = 1_024;
-/// How often time moves on when nothing is asked.
-const STEP: Duration = Duration::from_millis(10);
-/// Age of what a node has that heard nothing since its start: it may be of any age.
-const UNHEARD: Duration = Duration::from_hours(24);
-/// Length from which a turn of the thread is logged: beats and elections wait for it.
+/// Most requests that are handled together; their log entries share a sync.
+const MAX_BATCH: usize = 1_024;
+/// Interval between two ticks of the Raft node while there are no requests.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Age reported for the state of a node that has heard from no leader since its start; the real one is unknown.
+const UNKNOWN_AGE: Duration = Duration::from_hours(24);
+/// Duration from which a turn of the thread is logged: heartbeats and elections are delayed by it.
 const SLOW_TURN: Duration = Duration::from_millis(100);
-/// Pause before a write is tried again on a full disk.
-const RETRY: Duration = Duration::from_millis(250);
+/// Pause before a failed write or snapshot is tried again, such as on a full disk.
+const DISK_RETRY: Duration = Duration::from_millis(250);
 
-/// The state together with its agreement and disk.
+/// The replicated state with its Raft node and data folder.
 #[derive(Debug)]
 pub struct Core {
-    me: NodeConfig,
+    config: NodeConfig,
     node: Node,
     folder: Folder,
     applied: AppliedState,
     feed: CatalogFeed,
-    peers: Peers,
-    forming: Forming,
+    peers: PeerSenders,
+    discovery: Discovery,
     pending: Pending,
     watchers: Watchers,
-    time: LogTime,
+    log_time: LogTime,
     clock: Clock,
     logger: Logger,
-    /// When this node last knew that it had everything that is agreed; nothing after a start.
-    heard: Option<Tick>,
-    /// Since when it has led without a break; nothing while it doesn't lead.
+    /// When the state was last known to be current; `None` until that is first the case after a start.
+    current_at: Option<Tick>,
+    /// Since when the node has led without a break; `None` while it does not lead.
     led_since: Option<Tick>,
-    /// When the members are looked at again.
-    members_at: Tick,
-    /// Writes that found no room, and when they are tried again.
-    stalled: Option<(Ready, Tick)>,
-    /// When a snapshot may be tried again.
-    snapshot_at: Tick,
+    /// When the members are checked next.
+    membership_check: Tick,
+    /// Writes that found no disk space, and when they are tried again.
+    stalled_write: Option<(Ready, Tick)>,
+    /// When a snapshot may be started next.
+    snapshot_retry: Tick,
     role: &'static str,
 }
 
 impl Core {
-    /// Makes the state from what the data folder holds.
+    /// Creates the state from the content of the data folder.
     ///
     /// # Errors
-    /// Fails when the snapshot holds something else than this program's state.
+    /// Fails when the snapshot cannot be decoded.
     pub fn new(
-        me: NodeConfig,
+        config: NodeConfig,
         folder: Folder,
         restored: Restored,
-        peers: Peers,
+        peers: PeerSenders,
         clock: Clock,
         logger: Logger,
     ) -> Result<Self, DiskError> {
-        let applied = decode(&restored.snapshot.data)?;
+        let applied = decode_snapshot(&restored.snapshot.data)?;
         let now = clock.now();
         let seed = clock.now().0.as_nanos() as u64;
-        let forming = Forming::new(restored.id);
+        let discovery = Discovery::new(restored.id);
         let node = Node::new(restored, Timing::default(), seed, now);
         Ok(Self {
-            me,
-            time: LogTime::new(applied.at_ms, now),
+            config,
+            log_time: LogTime::new(applied.at_ms, now),
             node,
             folder,
             applied,
             feed: CatalogFeed::default(),
             peers,
-            forming,
+            discovery,
             pending: Pending::default(),
             watchers: Watchers::default(),
             clock,
             logger,
-            heard: None,
+            current_at: None,
             led_since: None,
-            members_at: now,
-            stalled: None,
-            snapshot_at: now,
+            membership_check: now,
+            stalled_write: None,
+            snapshot_retry: now,
             role: "",
         })
     }
 
-    /// Serves until every sender of the ring is gone.
+    /// Serves until every sender of requests is dropped.
     ///
     /// # Errors
-    /// Fails when the data folder can't be written any more for another reason than lack of room.
-    pub fn run(mut self, asks: &Receiver<Ask>) -> Result<(), DiskError> {
+    /// Fails when the data folder cannot be read or written for any other reason than lack of space.
+    pub fn run(mut self, requests: &Receiver<StateRequest>) -> Result<(), DiskError> {
         loop {
-            let batch: Vec<Ask> = match asks.recv_timeout(STEP) {
-                Ok(first) => std::iter::once(first).chain(asks.try_iter().take(BATCH - 1)).collect(),
+            let batch: Vec<StateRequest> = match requests.recv_timeout(TICK_INTERVAL) {
+                Ok(first) => std::iter::once(first)
+                    .chain(requests.try_iter().take(MAX_BATCH - 1))
+                    .collect(),
                 Err(RecvTimeoutError::Timeout) => Vec::new(),
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             };
-            let (begun, asks) = (self.clock.now(), batch.len());
+            let (begun, count) = (self.clock.now(), batch.len());
             let done = self.turn(batch);
-            self.note_turn(begun, asks);
+            self.record_turn(begun, count);
             if let Err(error) = done {
                 error!(self.logger, "data folder cannot be written"; "error" => %error);
                 return Err(error);
@@ -131,55 +134,57 @@
         }
     }
 
-    /// Tells of turns that kept everybody else waiting.
-    fn note_turn(&self, begun: Tick, asks: usize) {
+    /// Records the duration of a turn and logs a slow one, which delayed everything else.
+    fn record_turn(&self, begun: Tick, requests: usize) {
         let took = self.clock.now().since(begun);
         histogram!("gentian_state_turn_seconds").record(took.as_secs_f64());
         if took >= SLOW_TURN {
-            warn!(self.logger, "slow turn"; "took_ms" => took.as_millis() as u64, "asks" => asks,
+            warn!(self.logger, "slow turn"; "took_ms" => took.as_millis() as u64, "asks" => requests,
                 "followers" => self.watchers.follower_count(), "index" => self.applied.index, "role" => self.role);
         }
     }
 
-    fn turn(&mut self, batch: Vec<Ask>) -> Result<(), DiskError> {
-        self.retry()?;
-        let written = self.folder.finish();
-        self.note_snapshot(written);
+    /// Handles one batch of requests and everything that is due.
+    fn turn(&mut self, batch: Vec<StateRequest>) -> Result<(), DiskError> {
+        self.retry_stalled_write()?;
+        let written = self.folder.finish_snapshot();
+        self.check_snapshot(written);
         self.serve(batch);
-        if self.stalled.is_none() {
+        if self.stalled_write.is_none() {
             let now = self.clock.now();
             self.node.tick(now);
-            self.form(now);
-            self.keep_members(now);
-            self.drive()?;
+            self.announce_and_bootstrap(now);
+            self.maintain_members(now);
+            self.advance_raft()?;
         }
         let now = self.clock.now();
         if !self.node.leads(now) {
-            self.pending.give_up();
+            self.pending.fail_all();
         }
-        self.note_role(now);
-        let age = self.age(now);
+        self.report_role(now);
+        let age = self.data_age(now);
         self.watchers.answer(&self.applied, age, now);
-        self.tell_followers(age, now);
+        self.answer_followers(age, now);
         Ok(())
     }
 
-    fn tell_followers(&mut self, age: Duration, now: Tick) {
+    fn answer_followers(&mut self, age: Duration, now: Tick) {
         let leader = self.leader_address(now);
         let members = self.node.members();
         let newest = self.applied.catalog().map_or(0, |catalog| catalog.version);
-        let told = || Followed {
+        let common = || Followed {
             parts: Vec::new(),
             newest,
             age_ms: age.as_millis() as u64,
             members: members.0.values().map(|member| member.address).collect(),
             leader,
         };
-        self.watchers.answer_followers(&self.applied, &mut self.feed, told, now);
+        self.watchers
+            .answer_followers(&self.applied, &mut self.feed, common, now);
     }
 
-    /// Carries out what the agreement wants until it wants nothing more.
-    fn drive(&mut self) -> Result<(), DiskError> {
+    /// Carries out the writes and messages of the Raft node until there are no more.
+    fn advance_raft(&mut self) -> Result<(), DiskError> {
         loop {
             let ready = self.node.ready(self.clock.now());
             let busy = ready.writes() || !ready.before_sync.is_empty() || !ready.after_sync.is_empty();
@@ -187,7 +192,7 @@
             if !self.write(ready)? {
                 return Ok(());
             }
-            let applied = self.apply();
+            let applied = self.apply_committed();
             self.take_snapshot();
             if !busy && !applied {
                 return Ok(());
@@ -195,26 +200,26 @@
         }
     }
 
-    /// Makes writes durable, then sends what depends on them; returns whether there was room.
+    /// Syncs writes, then sends the messages that depend on them; returns whether there was disk space.
     fn write(&mut self, ready: Ready) -> Result<bool, DiskError> {
         match self.folder.write(&ready) {
             Ok(()) => {}
             Err(error) if error.is_full() => {
-                // Nothing depends on these writes yet: they stay here, nobody is answered, and the group goes on
-                // without this node until there is room.
-                if self.stalled.is_none() {
+                // No message that depends on these writes has been sent. They are kept, nobody is answered, and the group
+                // goes on without this node until there is space.
+                if self.stalled_write.is_none() {
                     warn!(self.logger, "no room on the disk"; "error" => %error);
                 }
                 counter!("gentian_state_disk_full_total").increment(1);
-                self.stalled = Some((ready, self.clock.now() + RETRY));
+                self.stalled_write = Some((ready, self.clock.now() + DISK_RETRY));
                 return Ok(false);
             }
             Err(error) => return Err(error),
         }
         if let Some(snapshot) = &ready.snapshot {
-            self.applied = decode(&snapshot.data)?;
+            self.applied = decode_snapshot(&snapshot.data)?;
             self.feed.clear();
-            self.time = LogTime::new(self.applied.at_ms, self.clock.now());
+            self.log_time = LogTime::new(self.applied.at_ms, self.clock.now());
         }
         if ready.writes() {
             self.node.on_synced(ready.log_end, self.clock.now());
@@ -223,9 +228,9 @@
         Ok(true)
     }
 
-    fn retry(&mut self) -> Result<(), DiskError> {
+    fn retry_stalled_write(&mut self) -> Result<(), DiskError> {
         let now = self.clock.now();
-        let Some((ready, _)) = self.stalled.take_if(|(_, at)| *at <= now) else {
+        let Some((ready, _)) = self.stalled_write.take_if(|(_, at)| *at <= now) else {
             return Ok(());
         };
         if self.write(ready)? {
@@ -239,15 +244,15 @@
             let member = self.node.members().0.get(&message.to);
             let address = member
                 .map(|member| member.address)
-                .or_else(|| self.forming.address(message.to));
+                .or_else(|| self.discovery.address(message.to));
             if let Some(address) = address {
-                self.peers.send(address, Parcel::Agree(message.clone()));
+                self.peers.send(address, PeerMessage::Agree(message.clone()));
             }
         }
     }
 
-    /// Applies what was committed and answers who waits for it.
-    fn apply(&mut self) -> bool {
+    /// Applies newly committed records and answers their callers; returns whether there were any.
+    fn apply_committed(&mut self) -> bool {
         let records = self.node.take_committed();
         for record in &records {
             self.apply_one(record);
@@ -261,7 +266,7 @@
         };
         let entry: LogEntry = postcard::from_bytes(bytes).expect("the leader encoded this entry in the same version");
         let now = self.clock.now();
-        self.time.heard(entry.at_ms, self.role == "leader", now);
+        self.log_time.observe(entry.at_ms, self.role == "leader", now);
         let before = self.applied.published.clone();
         let reply = self.applied.apply_at(record.at.index.0, &entry);
         if let (Some(old), Some(new)) = (before, &self.applied.published)
@@ -272,34 +277,36 @@
         self.pending.answer(record.at, reply);
     }
 
+    /// Starts to write a snapshot if one is due.
     fn take_snapshot(&mut self) {
         let now = self.clock.now();
-        if !self.folder.wants_snapshot() || now < self.snapshot_at {
+        if !self.folder.wants_snapshot() || now < self.snapshot_retry {
             return;
         }
-        let data = encode(&self.applied);
+        let data = encode_snapshot(&self.applied);
         let snapshot = self.node.compact(data).clone();
-        let begun = self.folder.keep_later(snapshot);
-        self.note_snapshot(begun);
+        let begun = self.folder.start_snapshot(snapshot);
+        self.check_snapshot(begun);
     }
 
-    /// Notes a snapshot that was not written; it is tried again, and until then the log is kept.
-    fn note_snapshot(&mut self, result: Result<(), DiskError>) {
+    /// Schedules another try if a snapshot could not be written; the log is kept until then.
+    fn check_snapshot(&mut self, result: Result<(), DiskError>) {
         if let Err(error) = result {
             warn!(self.logger, "snapshot was not written"; "error" => %error);
-            self.snapshot_at = self.clock.now() + RETRY;
+            self.snapshot_retry = self.clock.now() + DISK_RETRY;
         }
     }
 
-    /// Gives for how long news may have passed this node by.
-    fn age(&mut self, now: Tick) -> Duration {
+    /// Returns the age of the state: for how long the node may have missed newer entries.
+    fn data_age(&mut self, now: Tick) -> Duration {
         if self.node.leads(now) {
-            self.heard = Some(now);
+            self.current_at = Some(now);
         }
-        self.heard.map_or(UNHEARD, |heard| now.since(heard))
+        self.current_at.map_or(UNKNOWN_AGE, |at| now.since(at))
     }
 
-    fn note_role(&mut self, now: Tick) {
+    /// Updates the leadership state and the metrics, and logs a change of the role.
+    fn report_role(&mut self, now: Tick) {
         let leads = self.node.leads(now);
         self.led_since = leads.then(|| self.led_since.unwrap_or(now));
         let role = if self.node.role() == "leader" && !leads {
@@ -317,11 +324,11 @@
 }
 
 /// Encodes the applied state for a snapshot.
-fn encode(applied: &AppliedState) -> Vec<u8> {
+fn encode_snapshot(applied: &AppliedState) -> Vec<u8> {
     postcard::to_stdvec(applied).expect("every part of the state can be encoded")
 }
 
-fn decode(data: &[u8]) -> Result<AppliedState, DiskError> {
+fn decode_snapshot(data: &[u8]) -> Result<AppliedState, DiskError> {
     if data.is_empty() {
         return Ok(AppliedState::default());
     }
--- a/crates/state/src/core/serve.rs
+++ b/crates/state/src/core/serve.rs
@@ -1,4 +1,4 @@
-//! Answers to what is asked of the thread.
+//! Handling of requests to the thread that owns the state.
 
 use std::net::SocketAddr;
 
@@ -7,40 +7,41 @@
 use telemetry::clock::wall_ms;
 use wire::state::{StateStatus, Unavailable};
 
-use super::ask::{Lead, MemberList, ReplaceError};
-use super::{Ask, Core, Replace, Replaced};
+use super::request::{Leadership, MemberList, ReplaceError};
+use super::{Core, ReplaceMember, Replacement, StateRequest};
 use crate::applied::{Command, LogEntry};
 use crate::raft::{ChangeError, Member, MemberId};
 
 impl Core {
-    /// Takes a batch of questions; the commands among them are proposed together.
-    pub(super) fn serve(&mut self, batch: Vec<Ask>) {
+    /// Handles a batch of requests; the commands among them are proposed together.
+    pub(super) fn serve(&mut self, batch: Vec<StateRequest>) {
         let mut commands = Vec::new();
         let mut replies = Vec::new();
         let now = self.clock.now();
         for ask in batch {
             match ask {
-                Ask::Command(command, reply) => {
+                StateRequest::Command(command, reply) => {
                     commands.push(*command);
                     replies.push(reply);
                 }
-                // A blank disk knows nothing. A learner that took that for the configuration would refuse every caller,
-                // and operators would see no contracts. Without an answer they ask another node.
-                Ask::Watch(..) | Ask::Follow(..) | Ask::Read(_) if self.node.members().is_empty() => {}
-                Ask::Watch(watch, reply) => self.watchers.add(watch, reply, now),
-                Ask::Follow(follow, reply) => self.watchers.follow(follow, reply, now),
-                // Askers that have gone away need no answer.
-                Ask::Lead(reply) => drop(reply.send(self.lead(now))),
-                Ask::Status(reply) => drop(reply.send(self.status(now))),
-                Ask::Read(read) => {
-                    let age = self.age(now);
+                // A blank disk holds no state. A learner would take the empty configuration as valid and refuse every
+                // caller, and operators would see no contracts. Without an answer they ask another node.
+                StateRequest::Watch(..) | StateRequest::Follow(..) | StateRequest::Read(_)
+                    if self.node.members().is_empty() => {}
+                StateRequest::Watch(watch, reply) => self.watchers.add(watch, reply, now),
+                StateRequest::Follow(follow, reply) => self.watchers.add_follower(follow, reply, now),
+                // A dropped receiver needs no answer.
+                StateRequest::Leadership(reply) => drop(reply.send(self.leadership(now))),
+                StateRequest::Status(reply) => drop(reply.send(self.status(now))),
+                StateRequest::Read(read) => {
+                    let age = self.data_age(now);
                     read(&self.applied, age);
                 }
-                Ask::Members(reply) => drop(reply.send(self.member_list(now))),
-                Ask::Replace(replace, reply) => drop(reply.send(self.replace(&replace, now))),
-                // Messages that find the node waiting for room are lost, as on a bad link.
-                Ask::Deliver(_) if self.stalled.is_some() => {}
-                Ask::Deliver(delivery) => self.deliver(delivery, now),
+                StateRequest::Members(reply) => drop(reply.send(self.member_list(now))),
+                StateRequest::Replace(replace, reply) => drop(reply.send(self.replace(&replace, now))),
+                // While a write waits for disk space, messages are dropped as on a lossy network.
+                StateRequest::Deliver(_) if self.stalled_write.is_some() => {}
+                StateRequest::Deliver(batch) => self.receive(batch, now),
             }
         }
         if commands.is_empty() {
@@ -52,13 +53,14 @@
         }
     }
 
+    /// Appends commands with the current log time; returns the index of the first.
     fn propose(&mut self, commands: Vec<Command>, now: Tick) -> Result<crate::raft::Index, Unavailable> {
-        if self.stalled.is_some() {
+        if self.stalled_write.is_some() {
             return Err(Unavailable::NoQuorum {
                 reason: "the disk is full".to_owned(),
             });
         }
-        let at_ms = self.time.now_ms(now);
+        let at_ms = self.log_time.now_ms(now);
         let wall_ms = wall_ms();
         let encode = |command| {
             postcard::to_stdvec(&LogEntry {
@@ -105,8 +107,8 @@
         }
     }
 
-    fn lead(&self, now: Tick) -> Lead {
-        Lead {
+    fn leadership(&self, now: Tick) -> Leadership {
+        Leadership {
             term: self.node.term().0,
             since: self.led_since.filter(|_| self.node.leads(now)),
             leader: self.leader_address(now),
@@ -118,6 +120,7 @@
         self.node.members().0.get(&leader).map(|member| member.address)
     }
 
+    /// Returns the known leader; this node only while its lease is valid.
     fn leader(&self, now: Tick) -> Option<MemberId> {
         let leader = self.node.leader()?;
         (leader != self.node.id() || self.node.leads(now)).then_some(leader)
@@ -126,7 +129,7 @@
     fn member_list(&self, now: Tick) -> MemberList {
         let members = self.node.members().clone();
         let blank = self
-            .forming
+            .discovery
             .blank(now)
             .filter(|(id, _, _)| !members.0.contains_key(id))
             .map(|(id, node, address)| (id, node.clone(), address))
@@ -138,8 +141,8 @@
         }
     }
 
-    fn replace(&mut self, replace: &Replace, now: Tick) -> Result<Replaced, ReplaceError> {
-        if !self.node.leads(now) || self.stalled.is_some() {
+    fn replace(&mut self, replace: &ReplaceMember, now: Tick) -> Result<Replacement, ReplaceError> {
+        if !self.node.leads(now) || self.stalled_write.is_some() {
             return Err(ReplaceError::Change(ChangeError::NotLeading));
         }
         let list = self.member_list(now);
@@ -161,7 +164,7 @@
         self.node
             .replace(*old, *new, member, now)
             .map_err(ReplaceError::Change)?;
-        Ok(Replaced {
+        Ok(Replacement {
             old: old.to_string(),
             new: new.to_string(),
         })
--- a/crates/state/src/core/watchers.rs
+++ b/crates/state/src/core/watchers.rs
@@ -1,4 +1,4 @@
-//! Learners that wait for news of the configuration.
+//! Long polls for changes of the configuration and the catalog.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::applied::AppliedState;
 use crate::feed::CatalogFeed;
 
-/// Longest that a question is held.
+/// Longest time for which a poll is held, whatever the caller asks for.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Learners with the time at which they get an answer in any case.
+/// Open long polls with their deadlines, at which they are answered in any case.
 #[derive(Debug, Default)]
 pub(super) struct Watchers {
     waiting: Vec<(Tick, Watch, oneshot::Sender<Watched>)>,
@@ -26,7 +26,7 @@
         self.waiting.push((now + wait, watch, reply));
     }
 
-    pub(super) fn follow(&mut self, follow: Follow, reply: oneshot::Sender<Followed>, now: Tick) {
+    pub(super) fn add_follower(&mut self, follow: Follow, reply: oneshot::Sender<Followed>, now: Tick) {
         let wait = Duration::from_millis(follow.wait_ms).min(MAX_WAIT);
         self.following.push((now + wait, follow, reply));
     }
@@ -35,12 +35,13 @@
         self.following.len()
     }
 
-    /// Answers who has news of the catalog or has waited long enough; `told` holds what all of them are told.
+    /// Answers the catalog polls that have changes to receive or whose deadline has passed; `common` makes the part of the
+    /// answer that is the same for all.
     pub(super) fn answer_followers(
         &mut self,
         applied: &AppliedState,
         feed: &mut CatalogFeed,
-        told: impl Fn() -> Followed,
+        common: impl Fn() -> Followed,
         now: Tick,
     ) {
         self.following.retain(|(_, _, reply)| !reply.is_closed());
@@ -50,23 +51,23 @@
             let parts = applied.catalog().map(|newest| feed.next_parts(&follow, newest));
             let answer = Followed {
                 parts: parts.unwrap_or_default(),
-                ..told()
+                ..common()
             };
-            // An asker that has gone away needs no answer.
+            // A dropped receiver needs no answer.
             let _ = reply.send(answer);
         }
     }
 
-    /// Answers who has news or has waited long enough.
+    /// Answers the configuration polls that have changes to receive or whose deadline has passed.
     pub(super) fn answer(&mut self, applied: &AppliedState, age: Duration, now: Tick) {
         let revision = applied.config.revision;
         let ready = |(until, watch, _): &mut (Tick, Watch, _)| watch.after < revision || *until <= now;
         let age_ms = age.as_millis() as u64;
         for (_, watch, reply) in self.waiting.extract_if(.., ready) {
-            // An asker that has gone away needs no answer.
+            // A dropped receiver needs no answer.
             let _ = reply.send(applied.since(watch.after, age_ms));
         }
-        // Whoever hung up would be kept until its time is over, which adds up while a link flaps.
+        // Closed polls would be kept until their deadline, and accumulate while a network link flaps.
         self.waiting.retain(|(_, _, reply)| !reply.is_closed());
     }
 }
--- a/crates/state/src/disk/check.rs
+++ b/crates/state/src/disk/check.rs
@@ -1,4 +1,4 @@
-//! Verifies a folder without a running node and without changing it.
+//! Offline verification of a data folder; changes nothing in it.
 
 use std::path::Path;
 
@@ -6,31 +6,31 @@
 use super::{DiskError, identity, segment, snapshot};
 use crate::raft::{HardState, MemberId, Position};
 
-/// What a sound folder holds.
+/// Content of an undamaged data folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FolderReport {
-    /// The incarnation; `None` when the folder is blank.
+    /// Incarnation of the disk; `None` when the folder is blank.
     pub id: Option<MemberId>,
     /// Term and vote.
     pub hard_state: HardState,
     /// Position of the snapshot.
     pub snapshot: Position,
-    /// Bytes of the snapshot.
+    /// Bytes of the snapshot file; 0 without one.
     pub snapshot_bytes: u64,
-    /// Number of segments.
+    /// Number of log segments.
     pub segments: usize,
-    /// Records behind the snapshot.
+    /// Number of records after the snapshot.
     pub records: usize,
-    /// End of the log.
+    /// Position of the last record, or of the snapshot if there are none after it.
     pub log_end: Position,
-    /// Bytes of a torn last frame, which the next start cuts off.
+    /// Bytes of an incomplete frame at the end of the log, which the next start removes.
     pub torn_bytes: usize,
 }
 
-/// Reads every file of a folder.
+/// Reads and verifies every file of a data folder.
 ///
 /// # Errors
-/// Names the first file that is damaged and the offset in it.
+/// Returns the first file that is damaged, with the offset in it, or that cannot be read.
 pub fn check_folder(folder: &Path) -> Result<FolderReport, DiskError> {
     let id = identity::read(folder)?;
     let (snapshot, snapshot_bytes) = snapshot::read(folder)?;
@@ -39,8 +39,8 @@
     let mut torn = 0;
     for (at, (_, path)) in segments.iter().enumerate() {
         let content = segment::read(path, at + 1 == segments.len())?;
-        replay.take(content.batches, &snapshot, folder)?;
-        torn = content.torn;
+        replay.apply(content.batches, &snapshot, folder)?;
+        torn = content.torn_bytes;
     }
     let last = replay.records.last().map_or(snapshot.at, |record| record.at);
     Ok(FolderReport {
--- a/crates/state/src/disk/error.rs
+++ b/crates/state/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! Failures of the data folder.
+//! Errors of the data folder.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,26 +7,26 @@
 
 use crate::raft::Index;
 
-/// The data folder can't be read or written.
+/// The data folder cannot be read or written.
 #[derive(Debug, Display, Error)]
 pub enum DiskError {
-    /// The operating system refused.
+    /// The operating system reported an error.
     #[display("{step} {}: {source}", file.display())]
     Io {
-        /// What was tried.
+        /// Operation that failed, as a verb before the file name.
         step: &'static str,
         /// The file or folder.
         file: PathBuf,
-        /// Why it failed.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A record can't be encoded.
+    /// The content of a frame cannot be encoded, or the data of a snapshot cannot be decoded.
     #[display("a record can't be encoded: {source}")]
     Codec {
-        /// Why it failed.
+        /// Error of the codec.
         source: postcard::Error,
     },
-    /// Bytes that were synced are not what was written.
+    /// Synced bytes differ from what was written.
     #[display("{} is damaged at offset {offset}: wipe the folder and repair the node from its peers", file.display())]
     Damaged {
         /// The file.
@@ -39,17 +39,17 @@
     Version {
         /// The file.
         file: PathBuf,
-        /// Its version.
+        /// Format version of the file.
         found: u8,
-        /// The version that this program reads.
+        /// Format version that this program reads.
         expected: u8,
     },
-    /// Records are missing between two that are there.
+    /// Records are missing before one that is present.
     #[display("{} misses the records after {after}: wipe the folder and repair the node from its peers", folder.display())]
     Gap {
         /// The folder.
         folder: PathBuf,
-        /// The record before the gap.
+        /// Index of the last record before the gap.
         after: Index,
     },
     /// Another process uses the folder.
@@ -61,7 +61,7 @@
 }
 
 impl DiskError {
-    /// Wraps an error of the operating system.
+    /// Returns a function that wraps an error of the operating system with the operation and the file.
     pub(super) fn io(step: &'static str, file: &Path) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::Io {
             step,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Tells whether there is no room; such a write is repeated later.
+    /// Returns whether the disk or a quota is full; such a write is tried again later.
     #[must_use]
     pub fn is_full(&self) -> bool {
         let kinds = [io::ErrorKind::StorageFull, io::ErrorKind::QuotaExceeded];
--- a/crates/state/src/disk/folder.rs
+++ b/crates/state/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! The folder as a whole: opening, writing and making room.
+//! The data folder: opening, writing, and removing what snapshots cover.
 
 use std::fs::{self, File, TryLockError};
 use std::io::Write;
@@ -12,24 +12,24 @@
 use super::{DiskError, Space, Unlimited, identity, snapshot};
 use crate::raft::{HardState, Index, Ready, Record, Restored, Snapshot};
 
-const LOCK: &str = "lock";
-/// Ending of a file that is not whole yet.
-const UNFINISHED: &str = ".new";
+const LOCK_FILE: &str = "lock";
+/// Suffix of a file that is still being written.
+const UNFINISHED_SUFFIX: &str = ".new";
 
-/// When a segment ends and when a snapshot is due.
+/// Sizes at which a new segment or a snapshot begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes after which a new segment begins.
-    pub segment: u64,
-    /// Bytes of log since the last snapshot after which another is due.
-    pub snapshot: u64,
+    /// Bytes of a segment from which a new one begins.
+    pub segment_bytes: u64,
+    /// Bytes of log since the last snapshot from which another is due; more if the last snapshot was larger.
+    pub snapshot_bytes: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            segment: 4 * 1024 * 1024,
-            snapshot: 8 * 1024 * 1024,
+            segment_bytes: 4 * 1024 * 1024,
+            snapshot_bytes: 8 * 1024 * 1024,
         }
     }
 }
@@ -41,31 +41,33 @@
     limits: Limits,
     space: Arc<dyn Space>,
     hard: HardState,
+    /// Number of the segment that is written to.
     number: u64,
     segment: Segment,
     /// Older segments with the newest index in each.
     older: Vec<(u64, PathBuf, Index)>,
+    /// Newest index in the segment that is written to.
     newest: Index,
     /// Bytes of log since the last snapshot.
-    since: u64,
+    log_bytes: u64,
     /// Bytes of the last snapshot.
-    size: u64,
-    /// A snapshot that is being written, and the bytes of log that it covers.
-    writing: Option<Writing>,
-    /// Keeps other processes out as long as it is open.
+    snapshot_size: u64,
+    /// Snapshot that is being written by a thread.
+    writing: Option<SnapshotWrite>,
+    /// Holds the lock that keeps other processes out.
     _lock: File,
 }
 
 impl Folder {
-    /// Opens a folder and reads what it holds; a blank one becomes a new incarnation.
+    /// Opens a folder and reads its content; a blank one gets a new incarnation.
     ///
     /// # Errors
-    /// Fails when the folder can't be used, is used by another process, or holds damaged files.
+    /// Fails when the folder cannot be read or written, is used by another process, or holds damaged files.
     pub fn open(folder: &Path, limits: Limits) -> Result<(Self, Restored), DiskError> {
         Self::open_with(folder, limits, Arc::new(Unlimited))
     }
 
-    /// Opens a folder whose room is decided elsewhere.
+    /// Opens a folder with a given limit of disk space.
     ///
     /// # Errors
     /// Fails as [`Folder::open`] does.
@@ -75,26 +77,26 @@
         remove_unfinished(folder)?;
         let id = match identity::read(folder)? {
             Some(id) => id,
-            None => identity::draw(folder)?,
+            None => identity::create(folder)?,
         };
-        let (snapshot, size) = snapshot::read(folder)?;
+        let (snapshot, snapshot_size) = snapshot::read(folder)?;
         let mut segments = segment::list(folder)?;
-        let mut read = Replay::default();
+        let mut replay = Replay::default();
         let mut older = Vec::new();
         let last = segments.pop();
         for (number, path) in segments {
             let content = segment::read(&path, false)?;
             older.push((number, path, segment::newest_index(&content.batches)));
-            read.take(content.batches, &snapshot, folder)?;
+            replay.apply(content.batches, &snapshot, folder)?;
         }
-        let (number, segment, newest, since) = match last {
+        let (number, segment, newest, log_bytes) = match last {
             Some((number, path)) => {
                 let content = segment::read(&path, true)?;
                 let newest = segment::newest_index(&content.batches);
-                read.take(content.batches, &snapshot, folder)?;
-                let segment = Segment::open(&path, content.good as u64)?;
-                let since = segment.length();
-                (number, segment, newest, since)
+                replay.apply(content.batches, &snapshot, folder)?;
+                let segment = Segment::open(&path, content.whole_bytes as u64)?;
+                let log_bytes = segment.length();
+                (number, segment, newest, log_bytes)
             }
             None => (
                 1,
@@ -105,42 +107,42 @@
         };
         let restored = Restored {
             id,
-            hard_state: read.hard,
+            hard_state: replay.hard,
             snapshot,
-            records: read.records,
+            records: replay.records,
         };
-        let since = since + older.len() as u64 * limits.segment;
+        let log_bytes = log_bytes + older.len() as u64 * limits.segment_bytes;
         let opened = Self {
             path: folder.to_owned(),
             limits,
             space,
-            hard: read.hard,
+            hard: replay.hard,
             number,
             segment,
             older,
             newest,
-            since,
-            size,
+            log_bytes,
+            snapshot_size,
             writing: None,
             _lock: lock,
         };
         Ok((opened, restored))
     }
 
-    /// Makes the writes of a node durable with one sync, two when a snapshot is among them.
+    /// Writes and syncs the output of a node: one sync of the log, and before it those of a snapshot if there is one.
     ///
     /// # Errors
-    /// Fails when they can't be made durable; nothing may be acknowledged then. After [`DiskError::is_full`] the same
+    /// Fails when the writes cannot be synced; then nothing may be acknowledged. After [`DiskError::is_full`] the same
     /// writes may be tried again.
     pub fn write(&mut self, ready: &Ready) -> Result<(), DiskError> {
         if let Some(snapshot) = &ready.snapshot {
-            self.keep(snapshot)?;
+            self.save_snapshot(snapshot)?;
         }
         if ready.hard_state.is_none() && ready.records.is_empty() {
             return Ok(());
         }
-        if self.segment.length() >= self.limits.segment {
-            self.roll()?;
+        if self.segment.length() >= self.limits.segment_bytes {
+            self.start_segment()?;
         }
         let batch = Batch {
             hard: ready.hard_state,
@@ -148,69 +150,69 @@
         };
         let before = self.segment.length();
         self.segment.append(&batch, self.space.as_ref())?;
-        self.since += self.segment.length() - before;
+        self.log_bytes += self.segment.length() - before;
         self.hard = ready.hard_state.unwrap_or(self.hard);
         let newest = ready.records.last().map(|record| record.at.index);
         self.newest = self.newest.max(newest.unwrap_or_default());
         Ok(())
     }
 
-    /// Tells whether enough log has been written since the last snapshot.
+    /// Returns whether enough log was written since the last snapshot, and none is being written.
     #[must_use]
     pub fn wants_snapshot(&self) -> bool {
-        // A large state is written less often, so that snapshots cost no more than the log itself.
-        self.writing.is_none() && self.since >= self.limits.snapshot.max(self.size)
+        // Large snapshots are written less often, so that they cost no more writes than the log itself.
+        self.writing.is_none() && self.log_bytes >= self.limits.snapshot_bytes.max(self.snapshot_size)
     }
 
     /// Writes a snapshot and removes the segments that it covers.
     ///
     /// # Errors
-    /// Fails when the snapshot can't be made durable; the log is then as before.
-    pub fn keep(&mut self, snapshot: &Snapshot) -> Result<(), DiskError> {
+    /// Fails when the snapshot cannot be synced; then the log is as before.
+    pub fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), DiskError> {
         snapshot::write(&self.path, snapshot, self.space.as_ref())?;
-        self.since = 0;
-        self.size = snapshot.data.len() as u64;
-        self.cover(snapshot.at.index)
+        self.log_bytes = 0;
+        self.snapshot_size = snapshot.data.len() as u64;
+        self.remove_covered(snapshot.at.index)
     }
 
-    /// Begins to write a snapshot on a thread of its own.
+    /// Starts to write a snapshot on a thread of its own.
     ///
-    /// A large state takes longer to sync than a leader may be silent; written by the thread that answers, each snapshot
-    /// would cost the group its leader.
+    /// Syncing a large state takes longer than the election timeout; on the thread that answers, each snapshot would cost
+    /// the leader its lease.
     ///
     /// # Errors
-    /// Fails when the system refuses a thread; the log is then as before.
-    pub fn keep_later(&mut self, snapshot: Snapshot) -> Result<(), DiskError> {
+    /// Fails when the operating system refuses a thread; then the log is as before.
+    pub fn start_snapshot(&mut self, snapshot: Snapshot) -> Result<(), DiskError> {
         let (done, result) = bounded(1);
-        let (index, size) = (snapshot.at.index, snapshot.data.len() as u64);
+        let (index, snapshot_size) = (snapshot.at.index, snapshot.data.len() as u64);
         let (path, space) = (self.path.clone(), Arc::clone(&self.space));
         let work = move || {
-            // The folder may be closed by now, and then nobody wants the result.
+            // The receiver is gone if the folder was closed meanwhile.
             let _ = done.send(snapshot::write(&path, &snapshot, space.as_ref()));
         };
         let thread = thread::Builder::new().name("snapshot".to_owned()).spawn(work);
         thread.map_err(DiskError::io("start a thread for", &self.path))?;
-        self.writing = Some(Writing {
+        self.writing = Some(SnapshotWrite {
             index,
-            size,
-            since: self.since,
+            snapshot_size,
+            log_bytes: self.log_bytes,
             result,
         });
         Ok(())
     }
 
-    /// Removes what a snapshot covers that was begun with [`Folder::keep_later`], once it is written.
+    /// Removes the segments that a snapshot of [`Folder::start_snapshot`] covers, once it is written.
     ///
     /// # Errors
-    /// Fails when the snapshot could not be written; the log is then as before.
-    pub fn finish(&mut self) -> Result<(), DiskError> {
+    /// Fails when the snapshot could not be written; then the log is as before.
+    pub fn finish_snapshot(&mut self) -> Result<(), DiskError> {
         let Some(writing) = &self.writing else {
             return Ok(());
         };
         let result = match writing.result.try_recv() {
             Err(TryRecvError::Empty) => return Ok(()),
             Ok(result) => result,
-            // The thread is gone without a word, so nothing is known to be written.
+            // The thread ended without a result, so the snapshot may not be written.
             Err(TryRecvError::Disconnected) => {
                 self.writing = None;
                 return Ok(());
@@ -220,18 +222,18 @@
             return Ok(());
         };
         result?;
-        self.since = self.since.saturating_sub(writing.since);
-        self.size = writing.size;
-        self.cover(writing.index)
+        self.log_bytes = self.log_bytes.saturating_sub(writing.log_bytes);
+        self.snapshot_size = writing.snapshot_size;
+        self.remove_covered(writing.index)
     }
 
-    /// Removes the segments that a written snapshot covers.
-    fn cover(&mut self, index: Index) -> Result<(), DiskError> {
+    /// Removes the segments that the written snapshot at an index covers.
+    fn remove_covered(&mut self, index: Index) -> Result<(), DiskError> {
         let covered = |newest: Index| newest <= index;
-        if covered(self.newest) && self.segment.length() >= self.limits.segment {
-            self.roll()?;
+        if covered(self.newest) && self.segment.length() >= self.limits.segment_bytes {
+            self.start_segment()?;
         }
-        // Only a prefix is removed: a later segment may replace records of an earlier one.
+        // Only a prefix of the segments is removed: a later segment may replace records of an earlier one.
         let count = self.older.iter().take_while(|(_, _, newest)| covered(*newest)).count();
         for (_, path, _) in self.older.drain(..count) {
             fs::remove_file(&path).map_err(DiskError::io("remove", &path))?;
@@ -239,7 +241,8 @@
         sync_folder(&self.path)
     }
 
-    fn roll(&mut self) -> Result<(), DiskError> {
+    /// Starts a new segment.
+    fn start_segment(&mut self) -> Result<(), DiskError> {
         let number = self.number + 1;
         let segment = Segment::create(&self.path, number, self.hard, self.space.as_ref())?;
         let path = self.path.join(format!("log-{:016}", self.number));
@@ -251,17 +254,18 @@
     }
 }
 
-/// A snapshot on its way to the disk.
+/// A snapshot that a thread is writing.
 #[derive(Debug)]
-struct Writing {
+struct SnapshotWrite {
+    /// Index up to which the snapshot covers the log.
     index: Index,
-    size: u64,
-    /// Bytes of log when it was begun.
-    since: u64,
+    snapshot_size: u64,
+    /// Bytes of log since the previous snapshot when this one was started.
+    log_bytes: u64,
     result: Receiver<Result<(), DiskError>>,
 }
 
-/// The log as its batches build it up.
+/// Hard state and log, rebuilt from the batches in the segments.
 #[derive(Debug, Default)]
 pub(super) struct Replay {
     pub(super) hard: HardState,
@@ -269,14 +273,15 @@
 }
 
 impl Replay {
-    pub(super) fn take(&mut self, batches: Vec<Batch>, snapshot: &Snapshot, folder: &Path) -> Result<(), DiskError> {
+    /// Applies batches in the order in which they were written; records that the snapshot covers are skipped.
+    pub(super) fn apply(&mut self, batches: Vec<Batch>, snapshot: &Snapshot, folder: &Path) -> Result<(), DiskError> {
         for batch in batches {
             self.hard = batch.hard.unwrap_or(self.hard);
-            let news = batch
+            let added = batch
                 .records
                 .into_iter()
                 .filter(|record| record.at.index > snapshot.at.index);
-            for record in news {
+            for record in added {
                 let kept = self.records.partition_point(|old| old.at.index < record.at.index);
                 self.records.truncate(kept);
                 let last = self.records.last().map_or(snapshot.at.index, |old| old.at.index);
@@ -293,12 +298,12 @@
     }
 }
 
-/// Writes a whole file so that it is there with all of its content or not at all.
-pub(super) fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
+/// Writes a file atomically: after a crash it exists with its whole content or not at all.
+pub(super) fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
     let path = folder.join(name);
-    let unfinished = folder.join(format!("{name}{UNFINISHED}"));
-    if let Err(error) = fill(&unfinished, bytes) {
-        // On a full disk what was begun would take the room that the log needs.
+    let unfinished = folder.join(format!("{name}{UNFINISHED_SUFFIX}"));
+    if let Err(error) = write_synced(&unfinished, bytes) {
+        // On a full disk an unfinished file would take the space that the log needs.
         let _ = fs::remove_file(&unfinished);
         return Err(error);
     }
@@ -306,14 +311,14 @@
     sync_folder(folder)
 }
 
-fn fill(path: &Path, bytes: &[u8]) -> Result<(), DiskError> {
+fn write_synced(path: &Path, bytes: &[u8]) -> Result<(), DiskError> {
     let mut file = File::create(path).map_err(DiskError::io("create", path))?;
     file.write_all(bytes).map_err(DiskError::io("write", path))?;
     file.sync_all().map_err(DiskError::io("sync", path))
 }
 
-/// Lists files with a prefix and a number, in order of the numbers.
-pub(super) fn numbered(folder: &Path, prefix: &str) -> Result<Vec<(u64, PathBuf)>, DiskError> {
+/// Lists the files whose name is a prefix and a number, in order of the numbers.
+pub(super) fn list_numbered(folder: &Path, prefix: &str) -> Result<Vec<(u64, PathBuf)>, DiskError> {
     let mut found = Vec::new();
     for item in fs::read_dir(folder).map_err(DiskError::io("read", folder))? {
         let path = item.map_err(DiskError::io("read", folder))?.path();
@@ -332,7 +337,7 @@
 }
 
 fn lock(folder: &Path) -> Result<File, DiskError> {
-    let path = folder.join(LOCK);
+    let path = folder.join(LOCK_FILE);
     let file = File::create(&path).map_err(DiskError::io("create", &path))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
@@ -346,7 +351,7 @@
 fn remove_unfinished(folder: &Path) -> Result<(), DiskError> {
     for item in fs::read_dir(folder).map_err(DiskError::io("read", folder))? {
         let path = item.map_err(DiskError::io("read", folder))?.path();
-        if path.to_string_lossy().ends_with(UNFINISHED) {
+        if path.to_string_lossy().ends_with(UNFINISHED_SUFFIX) {
             fs::remove_file(&path).map_err(DiskError::io("remove", &path))?;
         }
     }
--- a/crates/state/src/disk/frame.rs
+++ b/crates/state/src/disk/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: what is written with one sync, with checksums over head and content.
+//! Frames: the unit of one synced write, with checksums over header and content.
 
 use std::path::Path;
 
@@ -7,25 +7,25 @@
 
 use super::DiskError;
 
-/// Bytes at the start of every file: kind and format version.
+/// Bytes at the start of every file: 7 of its kind and 1 of the format version.
 pub(super) const MAGIC_LEN: usize = 8;
-/// Version of every file in the folder.
+/// Format version of all files in the folder.
 const VERSION: u8 = 2;
-/// Bytes before the content of a frame: length, checksum of the content, checksum of these two.
-const HEAD: usize = 12;
+/// Bytes before the content of a frame: content length, CRC-32 of the content, and CRC-32 of these two.
+const HEADER_LEN: usize = 12;
 
-/// Kind of a file.
+/// Kind of a file, as its first bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Kind(pub(super) &'static [u8; 7]);
+pub(super) struct FileKind(pub(super) &'static [u8; 7]);
 
-impl Kind {
+impl FileKind {
     pub(super) fn magic(self) -> [u8; MAGIC_LEN] {
         let mut magic = [VERSION; MAGIC_LEN];
         magic[..7].copy_from_slice(self.0);
         magic
     }
 
-    /// Checks the start of a file.
+    /// Checks kind and format version at the start of a file.
     pub(super) fn check(self, bytes: &[u8], file: &Path) -> Result<(), DiskError> {
         let damaged = || DiskError::Damaged {
             file: file.to_owned(),
@@ -50,7 +50,7 @@
 /// Encodes one frame.
 pub(super) fn encode<T: Serialize>(content: &T) -> Result<Vec<u8>, DiskError> {
     let content = postcard::to_stdvec(content).map_err(|source| DiskError::Codec { source })?;
-    let mut bytes = Vec::with_capacity(HEAD + content.len());
+    let mut bytes = Vec::with_capacity(HEADER_LEN + content.len());
     bytes.extend_from_slice(&(content.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&content).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&bytes).to_le_bytes());
@@ -58,41 +58,43 @@
     Ok(bytes)
 }
 
-/// What stands at an offset.
+/// Result of reading a frame at an offset.
 #[derive(Debug)]
-pub(super) enum Found<'a> {
-    /// A whole frame and the offset behind it.
+pub(super) enum FrameAt<'a> {
+    /// The content of a whole frame and the offset after it.
     Whole(&'a [u8], usize),
     /// The end of the file.
     End,
-    /// Something else.
+    /// An incomplete or damaged frame.
     Broken,
 }
 
-/// Reads what stands at an offset.
-pub(super) fn at(bytes: &[u8], offset: usize) -> Found<'_> {
+/// Reads the frame at an offset.
+pub(super) fn read_at(bytes: &[u8], offset: usize) -> FrameAt<'_> {
     if offset == bytes.len() {
-        return Found::End;
+        return FrameAt::End;
     }
-    let Some(head) = bytes.get(offset..offset + HEAD) else {
-        return Found::Broken;
+    let Some(head) = bytes.get(offset..offset + HEADER_LEN) else {
+        return FrameAt::Broken;
     };
     let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     if crc32fast::hash(&head[..8]) != number(8) {
-        return Found::Broken;
+        return FrameAt::Broken;
     }
-    let end = offset + HEAD + number(0) as usize;
-    match bytes.get(offset + HEAD..end) {
-        Some(content) if crc32fast::hash(content) == number(4) => Found::Whole(content, end),
-        _ => Found::Broken,
+    let end = offset + HEADER_LEN + number(0) as usize;
+    match bytes.get(offset + HEADER_LEN..end) {
+        Some(content) if crc32fast::hash(content) == number(4) => FrameAt::Whole(content, end),
+        _ => FrameAt::Broken,
     }
 }
 
-/// Tells whether a whole frame begins anywhere behind an offset.
+/// Returns whether a whole frame begins anywhere after an offset.
 ///
-/// Every frame is synced before the next is written. So broken bytes with a whole frame behind them were whole once.
-pub(super) fn follows(bytes: &[u8], offset: usize) -> bool {
-    (offset + 1..bytes.len()).any(|start| matches!(at(bytes, start), Found::Whole(content, _) if !content.is_empty()))
+/// Each frame is synced before the next is written. Broken bytes that a whole frame follows were therefore synced and
+/// damaged later, not torn by a crash.
+pub(super) fn whole_frame_follows(bytes: &[u8], offset: usize) -> bool {
+    (offset + 1..bytes.len())
+        .any(|start| matches!(read_at(bytes, start), FrameAt::Whole(content, _) if !content.is_empty()))
 }
 
 /// Decodes the content of a frame.
--- a/crates/state/src/disk/mod.rs
+++ b/crates/state/src/disk/mod.rs
@@ -1,7 +1,7 @@
 //! The data folder: identity, log segments and snapshots.
 //!
-//! Nothing is acknowledged before it is synced. Segments are only appended to: a record with an index that is there
-//! already replaces it and all behind it, so that no write ever changes bytes that were synced before.
+//! Nothing is acknowledged before it is synced. Segments are append-only: a record whose index is already in the log
+//! replaces that record and all after it, so that no write changes bytes that were synced before.
 
 mod check;
 mod error;
--- a/crates/state/src/disk/segment.rs
+++ b/crates/state/src/disk/segment.rs
@@ -1,4 +1,4 @@
-//! Log segments.
+//! Log segments: append-only files of frames.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
@@ -6,43 +6,43 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::frame::{self, Found, Kind, MAGIC_LEN};
+use super::frame::{self, FileKind, FrameAt, MAGIC_LEN};
 use super::{DiskError, Space, folder};
 use crate::raft::{HardState, Index, Record};
 
-const KIND: Kind = Kind(b"GSLOG\0\0");
+const KIND: FileKind = FileKind(b"GSLOG\0\0");
 const PREFIX: &str = "log-";
 
-/// What one sync adds to the log.
+/// Content of a frame: what one sync adds to the log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Batch {
-    /// Term and vote, when they changed and at the start of every segment.
+    /// Term and vote, if they changed, and always in the first frame of a segment.
     pub(super) hard: Option<HardState>,
-    /// Records in order.
+    /// Consecutive records.
     pub(super) records: Vec<Record>,
 }
 
-/// The segment that is written to.
+/// A segment that is open for writing.
 #[derive(Debug)]
 pub(super) struct Segment {
     path: PathBuf,
     file: File,
-    /// Bytes that are synced.
+    /// Synced bytes.
     length: u64,
 }
 
-/// What was read from a segment.
+/// Content of a segment file.
 #[derive(Debug, Default)]
 pub(super) struct Content {
     pub(super) batches: Vec<Batch>,
-    /// Bytes up to the last whole frame.
-    pub(super) good: usize,
-    /// Bytes behind it.
-    pub(super) torn: usize,
+    /// Bytes up to the end of the last whole frame.
+    pub(super) whole_bytes: usize,
+    /// Bytes of an incomplete frame after that.
+    pub(super) torn_bytes: usize,
 }
 
 impl Segment {
-    /// Creates a segment whose first frame repeats term and vote, so that older segments can be removed.
+    /// Creates a segment. Its first frame repeats term and vote, so that older segments can be removed.
     pub(super) fn create(folder: &Path, number: u64, hard: HardState, space: &dyn Space) -> Result<Self, DiskError> {
         let mut bytes = KIND.magic().to_vec();
         bytes.extend(frame::encode(&Batch {
@@ -50,13 +50,13 @@
             records: Vec::new(),
         })?);
         let path = path_of(folder, number);
-        space.take(bytes.len()).map_err(DiskError::io("write", &path))?;
-        // The name appears only with its content: a crash leaves no half-made segment.
-        folder::replace(folder, &name_of(number), &bytes)?;
+        space.reserve(bytes.len()).map_err(DiskError::io("write", &path))?;
+        // The file appears under its name only with its content, so that a crash leaves no incomplete segment.
+        folder::write_atomically(folder, &name_of(number), &bytes)?;
         Self::open(&path, bytes.len() as u64)
     }
 
-    /// Opens a segment for writing and cuts it to its whole frames.
+    /// Opens a segment for writing and truncates it to `length`, the end of its whole frames.
     pub(super) fn open(path: &Path, length: u64) -> Result<Self, DiskError> {
         let file = OpenOptions::new()
             .append(true)
@@ -67,7 +67,7 @@
             file,
             length,
         };
-        segment.cut()?;
+        segment.truncate_to_synced()?;
         Ok(segment)
     }
 
@@ -79,8 +79,8 @@
     pub(super) fn append(&mut self, batch: &Batch, space: &dyn Space) -> Result<(), DiskError> {
         let bytes = frame::encode(batch)?;
         if let Err(error) = self.write(&bytes, space) {
-            // A part of the frame would look like damage once another frame stands behind it.
-            self.cut()?;
+            // The part of the frame that was written would look like damage once another frame follows it.
+            self.truncate_to_synced()?;
             return Err(error);
         }
         self.length += bytes.len() as u64;
@@ -88,12 +88,13 @@
     }
 
     fn write(&mut self, bytes: &[u8], space: &dyn Space) -> Result<(), DiskError> {
-        space.take(bytes.len()).map_err(DiskError::io("write", &self.path))?;
+        space.reserve(bytes.len()).map_err(DiskError::io("write", &self.path))?;
         self.file.write_all(bytes).map_err(DiskError::io("write", &self.path))?;
         self.file.sync_data().map_err(DiskError::io("sync", &self.path))
     }
 
-    fn cut(&self) -> Result<(), DiskError> {
+    /// Removes bytes after the last synced frame.
+    fn truncate_to_synced(&self) -> Result<(), DiskError> {
         let length = self.file.metadata().map_err(DiskError::io("read", &self.path))?.len();
         if length > self.length {
             self.file
@@ -105,44 +106,44 @@
     }
 }
 
-/// Reads a segment; only the newest one may end in a torn frame.
+/// Reads a segment; only the newest one may end with an incomplete frame.
 pub(super) fn read(path: &Path, newest: bool) -> Result<Content, DiskError> {
     let bytes = fs::read(path).map_err(DiskError::io("read", path))?;
     KIND.check(&bytes, path)?;
     let mut content = Content {
-        good: MAGIC_LEN,
+        whole_bytes: MAGIC_LEN,
         ..Content::default()
     };
     loop {
-        match frame::at(&bytes, content.good) {
-            Found::Whole(frame, end) => {
-                content.batches.push(frame::decode(frame, path, content.good)?);
-                content.good = end;
+        match frame::read_at(&bytes, content.whole_bytes) {
+            FrameAt::Whole(frame, end) => {
+                content.batches.push(frame::decode(frame, path, content.whole_bytes)?);
+                content.whole_bytes = end;
             }
-            Found::End => return Ok(content),
-            Found::Broken if newest && !frame::follows(&bytes, content.good) => {
-                content.torn = bytes.len() - content.good;
+            FrameAt::End => return Ok(content),
+            FrameAt::Broken if newest && !frame::whole_frame_follows(&bytes, content.whole_bytes) => {
+                content.torn_bytes = bytes.len() - content.whole_bytes;
                 return Ok(content);
             }
-            Found::Broken => {
+            FrameAt::Broken => {
                 return Err(DiskError::Damaged {
                     file: path.to_owned(),
-                    offset: content.good,
+                    offset: content.whole_bytes,
                 });
             }
         }
     }
 }
 
-/// Gives the newest index that a segment holds.
+/// Returns the newest index in a segment's batches; zero without records.
 pub(super) fn newest_index(batches: &[Batch]) -> Index {
     let records = batches.iter().flat_map(|batch| &batch.records);
     records.map(|record| record.at.index).max().unwrap_or_default()
 }
 
-/// Lists the segments of a folder in order.
+/// Lists the segments of a folder in order of their numbers.
 pub(super) fn list(folder: &Path) -> Result<Vec<(u64, PathBuf)>, DiskError> {
-    folder::numbered(folder, PREFIX)
+    folder::list_numbered(folder, PREFIX)
 }
 
 fn name_of(number: u64) -> String {
--- a/crates/state/src/disk/snapshot.rs
+++ b/crates/state/src/disk/snapshot.rs
@@ -1,13 +1,13 @@
-//! Snapshots on disk.
+//! Snapshot files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use super::frame::{self, Found, Kind, MAGIC_LEN};
+use super::frame::{self, FileKind, FrameAt, MAGIC_LEN};
 use super::{DiskError, Space, folder};
 use crate::raft::Snapshot;
 
-const KIND: Kind = Kind(b"GSSNAP\0");
+const KIND: FileKind = FileKind(b"GSSNAP\0");
 const PREFIX: &str = "snapshot-";
 
 /// Writes a snapshot and removes the older ones.
@@ -16,9 +16,9 @@
     let mut bytes = KIND.magic().to_vec();
     bytes.extend(frame::encode(snapshot)?);
     space
-        .take(bytes.len())
+        .reserve(bytes.len())
         .map_err(DiskError::io("write", &folder.join(&name)))?;
-    folder::replace(folder, &name, &bytes)?;
+    folder::write_atomically(folder, &name, &bytes)?;
     for (index, path) in list(folder)? {
         if index < snapshot.at.index.0 {
             fs::remove_file(&path).map_err(DiskError::io("remove", &path))?;
@@ -27,18 +27,18 @@
     Ok(())
 }
 
-/// Reads the newest snapshot, or an empty one where there is none.
+/// Reads the newest snapshot and the size of its file in bytes, or an empty one if there is none.
 pub(super) fn read(folder: &Path) -> Result<(Snapshot, u64), DiskError> {
     let Some((_, path)) = list(folder)?.pop() else {
         return Ok((Snapshot::default(), 0));
     };
     let bytes = fs::read(&path).map_err(DiskError::io("read", &path))?;
     KIND.check(&bytes, &path)?;
-    match frame::at(&bytes, MAGIC_LEN) {
-        Found::Whole(content, end) if end == bytes.len() => {
+    match frame::read_at(&bytes, MAGIC_LEN) {
+        FrameAt::Whole(content, end) if end == bytes.len() => {
             Ok((frame::decode(content, &path, MAGIC_LEN)?, bytes.len() as u64))
         }
-        // The name appeared only after the content was synced, so this was whole once.
+        // The file got its name only after its content was synced, so it was damaged later.
         _ => Err(DiskError::Damaged {
             file: path,
             offset: MAGIC_LEN,
@@ -47,5 +47,5 @@
 }
 
 fn list(folder: &Path) -> Result<Vec<(u64, PathBuf)>, DiskError> {
-    folder::numbered(folder, PREFIX)
+    folder::list_numbered(folder, PREFIX)
 }
--- a/crates/state/src/disk/space.rs
+++ b/crates/state/src/disk/space.rs
@@ -1,23 +1,23 @@
-//! Room on the disk.
+//! Limits of disk space.
 
 use std::fmt::Debug;
 use std::io;
 
-/// Decides whether bytes may be written; tests let a disk run full with it.
+/// Decides whether bytes may be written, so that tests can simulate a full disk.
 pub trait Space: Debug + Send + Sync {
-    /// Asks for room.
+    /// Reserves space for a write.
     ///
     /// # Errors
-    /// Fails with `StorageFull` when there is none.
-    fn take(&self, bytes: usize) -> io::Result<()>;
+    /// Fails with `StorageFull` when there is no space.
+    fn reserve(&self, bytes: usize) -> io::Result<()>;
 }
 
-/// Leaves the decision to the file system.
+/// Sets no limit besides that of the file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Unlimited;
 
 impl Space for Unlimited {
-    fn take(&self, _bytes: usize) -> io::Result<()> {
+    fn reserve(&self, _bytes: usize) -> io::Result<()> {
         Ok(())
     }
 }
--- a/crates/state/src/duties/mod.rs
+++ b/crates/state/src/duties/mod.rs
@@ -23,7 +23,7 @@
 use orders::Orders;
 
 use crate::applied::{Command, Reply, WindowUsage};
-use crate::core::{Ask, Lead};
+use crate::core::{Leadership, StateRequest};
 use crate::registry::EntryRegistry;
 
 /// Pause between two looks at what is due.
@@ -101,7 +101,7 @@
 #[derive(derive_more::Debug)]
 pub struct LeaderDuties {
     node: NodeId,
-    ring: Sender<Ask>,
+    requests: Sender<StateRequest>,
     registry: Arc<EntryRegistry>,
     clock: Clock,
     timing: DutyTiming,
@@ -122,7 +122,7 @@
     #[must_use]
     pub fn new(
         node: NodeId,
-        (ring, registry, clock): (Sender<Ask>, Arc<EntryRegistry>, Clock),
+        (requests, registry, clock): (Sender<StateRequest>, Arc<EntryRegistry>, Clock),
         timing: DutyTiming,
         office: Box<dyn PlatformApi>,
         logger: Logger,
@@ -130,7 +130,7 @@
         let acted = clock.now();
         Self {
             node,
-            ring,
+            requests,
             registry,
             clock,
             timing,
@@ -173,16 +173,16 @@
 
     /// Gives the term in which this process may act, if it may.
     fn leads(&self) -> Option<(u64, Tick)> {
-        let lead: Lead = self.ask(Ask::Lead)?;
+        let lead: Leadership = self.ask(StateRequest::Leadership)?;
         let since = lead.since?;
         let now = self.clock.now();
         let turns = lead.term == self.term || now.since(self.acted) >= self.timing.holder_lease + MARGIN;
         (turns && now.since(since) >= SETTLED).then_some((lead.term, since))
     }
 
-    fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> Ask) -> Option<T> {
+    fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> StateRequest) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        self.ring.try_send(ask(reply)).ok()?;
+        self.requests.try_send(ask(reply)).ok()?;
         answer.blocking_recv().ok()
     }
 
@@ -204,7 +204,7 @@
     fn report(&mut self, window: u64) -> bool {
         let counts = self.registry.counts(window);
         let command = Command::Usage(WindowUsage { window, counts });
-        let fixed = self.ask(|reply| Ask::Command(Box::new(command), reply));
+        let fixed = self.ask(|reply| StateRequest::Command(Box::new(command), reply));
         let Some(Ok(Reply::Usage(usage))) = fixed else {
             return false;
         };
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 
 use super::{CapacityOrder, DutyHolder, LeaderDuties, PlatformError};
-use crate::core::Ask;
+use crate::core::StateRequest;
 
 /// Pause between two looks at the list for the plan of capacity.
 const PLAN: Duration = Duration::from_secs(1);
@@ -125,7 +125,7 @@
 
     fn scaled(&self) -> Vec<(ServiceName, Scaling, u32)> {
         let (reply, answer) = oneshot::channel();
-        let read = Ask::Read(Box::new(move |applied, _age| {
+        let read = StateRequest::Read(Box::new(move |applied, _age| {
             let services = applied.catalog().map(|catalog| catalog.services.iter());
             let scaled = services.into_iter().flatten();
             let scaled = scaled.filter_map(|service| {
@@ -135,7 +135,7 @@
             // An asker that has gone away needs no answer.
             let _ = reply.send(scaled.collect());
         }));
-        if self.ring.try_send(read).is_err() {
+        if self.requests.try_send(read).is_err() {
             return Vec::new();
         }
         answer.blocking_recv().unwrap_or_default()
--- a/crates/state/src/lists.rs
+++ b/crates/state/src/lists.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use upstream::directory::Directory;
 
-use crate::core::{Ask, Lead};
+use crate::core::{Leadership, StateRequest};
 use crate::registry::EntryRegistry;
 
 /// Pause between two reads. A reclaim's notice comes two seconds and a half before its end; the list tells it up to a second
@@ -23,7 +23,7 @@
 #[derive(derive_more::Debug)]
 pub struct ListPoller {
     /// Questions to the thread that owns the state.
-    pub requests: Sender<Ask>,
+    pub requests: Sender<StateRequest>,
     /// Where lists go.
     pub registry: Arc<EntryRegistry>,
     /// The clock.
@@ -55,8 +55,8 @@
 
     fn leads(&self) -> Option<u64> {
         let (reply, answer) = oneshot::channel();
-        self.requests.try_send(Ask::Lead(reply)).ok()?;
-        let lead: Lead = answer.blocking_recv().ok()?;
+        self.requests.try_send(StateRequest::Leadership(reply)).ok()?;
+        let lead: Leadership = answer.blocking_recv().ok()?;
         lead.since.map(|_| lead.term)
     }
 
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -12,7 +12,7 @@
 use slog::{Logger, info};
 use state::admin::Admin;
 use state::cli::Options;
-use state::core::{Ask, MembershipMode, NodeConfig};
+use state::core::{MembershipMode, NodeConfig, StateRequest};
 use state::program::StateNode;
 use state::settings::Settings;
 use telemetry::scrape::MetricsExporter;
@@ -59,10 +59,10 @@
 
 fn start_admin(
     settings: &Settings,
-    ring: Sender<Ask>,
+    requests: Sender<StateRequest>,
     scrape: MetricsExporter,
 ) -> anyhow::Result<rouille::Server<impl Fn(&rouille::Request) -> rouille::Response + Send + Sync + 'static>> {
-    let admin = Admin::new(ring, settings.operator.clone(), scrape);
+    let admin = Admin::new(requests, settings.operator.clone(), scrape);
     let server = rouille::Server::new(settings.admin, move |request| admin.answer(request))
         .map_err(|error| anyhow::anyhow!("listen on {}: {error}", settings.admin))?;
     Ok(server.pool_size(ADMIN_THREADS))
--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 use upstream::directory::EngineProbe;
 
-use crate::core::{Ask, Lead};
+use crate::core::{Leadership, StateRequest};
 use crate::registry::EntryRegistry;
 
 /// Pause between two rounds of questions, one to each data centre. The shortest notices leave 1.1 s, of which engines tell after
@@ -26,7 +26,7 @@
 #[derive(derive_more::Debug)]
 pub struct ReclaimPoller {
     /// Questions to the thread that owns the state.
-    pub requests: Sender<Ask>,
+    pub requests: Sender<StateRequest>,
     /// Where reclaims go.
     pub registry: Arc<EntryRegistry>,
     /// The clock.
@@ -59,8 +59,8 @@
 
     fn leads(&self) -> Option<u64> {
         let (reply, answer) = oneshot::channel();
-        self.requests.try_send(Ask::Lead(reply)).ok()?;
-        let lead: Lead = answer.blocking_recv().ok()?;
+        self.requests.try_send(StateRequest::Leadership(reply)).ok()?;
+        let lead: Leadership = answer.blocking_recv().ok()?;
         lead.since.map(|_| lead.term)
     }
 
--- a/crates/state/src/peers.rs
+++ b/crates/state/src/peers.rs
@@ -17,15 +17,15 @@
 use crate::raft::{Body, MemberId, Message, Snapshot};
 
 /// Parcels that may wait for a peer; more are dropped and counted, and the agreement sends again what matters.
-const RING: usize = 256;
+const MAX_QUEUED: usize = 256;
 /// Most bytes that travel in one call, unless a single parcel is larger.
-const MAX_BYTES: usize = 1024 * 1024;
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 /// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// What one node sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Parcel {
+pub enum PeerMessage {
     /// A message of the agreement.
     Agree(Message),
     /// A node tells who it is.
@@ -36,26 +36,26 @@
 
 /// Parcels with their sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Delivery {
+pub struct PeerBatch {
     /// The sender's incarnation.
     pub from: MemberId,
     /// Where the sender answers.
     pub address: SocketAddr,
     /// The parcels in order.
-    pub parcels: Vec<Parcel>,
+    pub parcels: Vec<PeerMessage>,
 }
 
 /// The rings to all peers.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerSenders {
     calls: RpcRuntime,
     node: NodeId,
     id: MemberId,
     address: SocketAddr,
-    rings: BTreeMap<SocketAddr, Sender<Parcel>>,
+    queues: BTreeMap<SocketAddr, Sender<PeerMessage>>,
 }
 
-impl Peers {
+impl PeerSenders {
     /// Makes the sending side of a node.
     #[must_use]
     pub const fn new(calls: RpcRuntime, node: NodeId, id: MemberId, address: SocketAddr) -> Self {
@@ -64,73 +64,76 @@
             node,
             id,
             address,
-            rings: BTreeMap::new(),
+            queues: BTreeMap::new(),
         }
     }
 
     /// Sends a parcel, or drops it when too many wait.
-    pub fn send(&mut self, to: SocketAddr, parcel: Parcel) {
-        if !self.rings.contains_key(&to)
-            && let Some(ring) = self.start(to)
+    pub fn send(&mut self, to: SocketAddr, message: PeerMessage) {
+        if !self.queues.contains_key(&to)
+            && let Some(queue) = self.start_sender(to)
         {
-            self.rings.insert(to, ring);
+            self.queues.insert(to, queue);
         }
-        let sent = self.rings.get(&to).is_some_and(|ring| ring.try_send(parcel).is_ok());
+        let sent = self
+            .queues
+            .get(&to)
+            .is_some_and(|queue| queue.try_send(message).is_ok());
         if !sent {
             counter!("gentian_state_messages_dropped_total").increment(1);
         }
     }
 
-    fn start(&self, to: SocketAddr) -> Option<Sender<Parcel>> {
+    fn start_sender(&self, to: SocketAddr) -> Option<Sender<PeerMessage>> {
         let client = self.calls.client(to, Duration::ZERO).ok()?;
-        let (ring, parcels) = bounded(RING);
+        let (queue, messages) = bounded(MAX_QUEUED);
         let (calls, node, id, address) = (self.calls.clone(), self.node.clone(), self.id, self.address);
         let work = move || {
-            while let Some(batch) = take(&parcels) {
-                let delivery = Delivery {
+            while let Some(batch) = next_batch(&messages) {
+                let delivery = PeerBatch {
                     from: id,
                     address,
                     parcels: batch,
                 };
                 if deliver(&calls, &client, &node, &delivery).is_none() {
                     counter!("gentian_state_messages_failed_total").increment(1);
-                    std::thread::sleep(PAUSE);
+                    std::thread::sleep(RETRY_PAUSE);
                 }
             }
         };
         let thread = std::thread::Builder::new().name(format!("to {to}"));
         thread.spawn(work).ok()?;
-        Some(ring)
+        Some(queue)
     }
 }
 
 /// Waits for a parcel and takes what else there is.
-fn take(parcels: &Receiver<Parcel>) -> Option<Vec<Parcel>> {
-    let first = parcels.recv().ok()?;
-    let mut bytes = size(&first);
+fn next_batch(messages: &Receiver<PeerMessage>) -> Option<Vec<PeerMessage>> {
+    let first = messages.recv().ok()?;
+    let mut bytes = payload_size(&first);
     let mut batch = vec![first];
-    while bytes < MAX_BYTES
-        && let Ok(next) = parcels.try_recv()
+    while bytes < MAX_BATCH_BYTES
+        && let Ok(next) = messages.try_recv()
     {
-        bytes += size(&next);
+        bytes += payload_size(&next);
         batch.push(next);
     }
     Some(batch)
 }
 
-fn size(parcel: &Parcel) -> usize {
-    match parcel {
-        Parcel::Agree(message) => match &message.body {
+fn payload_size(message: &PeerMessage) -> usize {
+    match message {
+        PeerMessage::Agree(message) => match &message.body {
             Body::Append { records, .. } => records.iter().map(|record| record.payload.size()).sum(),
             Body::Part { bytes, .. } => bytes.len(),
             _ => 0,
         },
-        Parcel::Form(snapshot) => snapshot.data.len(),
-        Parcel::Hello(_) => 0,
+        PeerMessage::Form(snapshot) => snapshot.data.len(),
+        PeerMessage::Hello(_) => 0,
     }
 }
 
-fn deliver(calls: &RpcRuntime, client: &HttpClient, node: &NodeId, delivery: &Delivery) -> Option<()> {
+fn deliver(calls: &RpcRuntime, client: &HttpClient, node: &NodeId, delivery: &PeerBatch) -> Option<()> {
     let messages = postcard::to_stdvec(delivery).ok()?;
     counter!("gentian_state_sent_bytes_total").increment(messages.len() as u64);
     let packet = Envelope::new(node, Revision::default(), Packet { messages });
--- a/crates/state/src/program.rs
+++ b/crates/state/src/program.rs
@@ -23,9 +23,9 @@
 
 use crate::applied::{Command, Reply};
 
-use crate::core::{Ask, Core, NodeConfig, ring};
+use crate::core::{Core, NodeConfig, StateRequest, request_channel};
 use crate::disk::{Folder, Limits};
-use crate::peers::Peers;
+use crate::peers::PeerSenders;
 use crate::registry::EntryRegistry;
 use crate::rpc::Rpc;
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct StateNode {
     /// Questions to the thread that owns the state.
-    pub requests: Sender<Ask>,
+    pub requests: Sender<StateRequest>,
     /// What is known of the entry hosts while this node leads.
     pub registry: Arc<EntryRegistry>,
     /// The clock of all its parts.
@@ -66,11 +66,11 @@
     ) -> anyhow::Result<Self> {
         let clock = Clock::start();
         let calls = RpcRuntime::start(2, TIMEOUT)?;
-        let (ring, asks) = ring();
+        let (requests, asks) = request_channel();
         let registry = Arc::new(EntryRegistry::new(slack));
         let rpc = Rpc::new(
             me.node.clone(),
-            ring.clone(),
+            requests.clone(),
             Arc::clone(&registry),
             clock.clone(),
             logger.clone(),
@@ -88,7 +88,7 @@
         let server = calls.wait(Server::builder().set_config(config).build(listen))?;
         let server = calls.wait(async { server.start(methods) });
         Ok(Self {
-            requests: ring,
+            requests,
             registry,
             clock,
             calls,
@@ -118,13 +118,13 @@
     me: NodeConfig,
     data: &Path,
     calls: &RpcRuntime,
-    asks: Receiver<Ask>,
+    asks: Receiver<StateRequest>,
     clock: Clock,
     logger: &Logger,
     stop: &Arc<AtomicBool>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let (folder, restored) = Folder::open(data, Limits::default())?;
-    let peers = Peers::new(
+    let peers = PeerSenders::new(
         calls.with_timeout(PEER_TIMEOUT),
         me.node.clone(),
         restored.id,
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug)]
 pub struct GroupClient {
     node: NodeId,
-    ring: Sender<Ask>,
+    requests: Sender<StateRequest>,
     calls: RpcRuntime,
 }
 
@@ -162,7 +162,7 @@
     pub fn group_client(&self, node: &NodeId) -> GroupClient {
         GroupClient {
             node: node.clone(),
-            ring: self.requests.clone(),
+            requests: self.requests.clone(),
             calls: self.calls.with_timeout(DECIDE),
         }
     }
@@ -295,7 +295,11 @@
 
     fn here(&self, command: Command) -> Result<Reply, Unavailable> {
         let (reply, answer) = oneshot::channel();
-        if self.ring.try_send(Ask::Command(Box::new(command), reply)).is_err() {
+        if self
+            .requests
+            .try_send(StateRequest::Command(Box::new(command), reply))
+            .is_err()
+        {
             return Err(Unavailable::NoQuorum {
                 reason: "too many requests wait".to_owned(),
             });
--- a/crates/state/src/raft/leader.rs
+++ b/crates/state/src/raft/leader.rs
@@ -267,7 +267,7 @@
     /// Returns when the leader sent the last message that a member has answered, or when it asked for the votes of its
     /// election if the member has not answered since. `None` unless the node leads and has that member.
     #[must_use]
-    pub fn last_answer(&self, id: MemberId) -> Option<Tick> {
+    pub fn last_ack(&self, id: MemberId) -> Option<Tick> {
         let Role::Leader(leading) = &self.role else {
             return None;
         };
--- a/crates/state/src/rpc.rs
+++ b/crates/state/src/rpc.rs
@@ -21,8 +21,8 @@
 };
 
 use crate::applied::{Command, Reply};
-use crate::core::Ask;
-use crate::peers::Delivery;
+use crate::core::StateRequest;
+use crate::peers::PeerBatch;
 use crate::registry::{EntryRegistry, SharedLimits};
 
 /// JSON-RPC code for a node that is stopping.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct Rpc {
     me: NodeId,
-    ring: Sender<Ask>,
+    requests: Sender<StateRequest>,
     registry: Arc<EntryRegistry>,
     clock: Clock,
     logger: Logger,
@@ -48,14 +48,14 @@
     #[must_use]
     pub const fn new(
         me: NodeId,
-        ring: Sender<Ask>,
+        requests: Sender<StateRequest>,
         registry: Arc<EntryRegistry>,
         clock: Clock,
         logger: Logger,
     ) -> Self {
         Self {
             me,
-            ring,
+            requests,
             registry,
             clock,
             logger,
@@ -69,7 +69,11 @@
     /// Appends a command; a full ring is a refusal, since the command was not written.
     async fn command(&self, command: Command) -> RpcResult<Result<Reply, Unavailable>> {
         let (reply, answer) = oneshot::channel();
-        if self.ring.try_send(Ask::Command(Box::new(command), reply)).is_err() {
+        if self
+            .requests
+            .try_send(StateRequest::Command(Box::new(command), reply))
+            .is_err()
+        {
             return Ok(Err(Unavailable::NoQuorum {
                 reason: "too many requests wait".to_owned(),
             }));
@@ -80,7 +84,7 @@
     /// Gives what the log says of shared limits.
     async fn sharing(&self) -> RpcResult<SharedLimits> {
         let read = |reply: oneshot::Sender<SharedLimits>| {
-            Ask::Read(Box::new(move |applied, _age| {
+            StateRequest::Read(Box::new(move |applied, _age| {
                 let accounts = applied.catalog().map(|catalog| catalog.accounts.iter());
                 let quotas = accounts.into_iter().flatten();
                 let quotas = quotas.filter_map(|account| Some((account.name.clone(), account.quota?)));
@@ -110,9 +114,9 @@
         }
     }
 
-    async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> Ask) -> RpcResult<Envelope<T>> {
+    async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> StateRequest) -> RpcResult<Envelope<T>> {
         let (reply, answer) = oneshot::channel();
-        self.ring.try_send(ask(reply)).map_err(|_full| stopping())?;
+        self.requests.try_send(ask(reply)).map_err(|_full| stopping())?;
         let body = answer.await.map_err(|_closed| stopping())?;
         Ok(self.wrap(body))
     }
@@ -136,7 +140,7 @@
     }
 
     async fn watch(&self, request: Envelope<Watch>) -> RpcResult<Envelope<Watched>> {
-        self.ask(|reply| Ask::Watch(request.body, reply)).await
+        self.ask(|reply| StateRequest::Watch(request.body, reply)).await
     }
 
     async fn claim(&self, request: Envelope<Claim>) -> RpcResult<Envelope<Claimed>> {
@@ -152,7 +156,7 @@
     }
 
     async fn status(&self, _request: Envelope<()>) -> RpcResult<Envelope<StateStatus>> {
-        self.ask(Ask::Status).await
+        self.ask(StateRequest::Status).await
     }
 }
 
@@ -171,11 +175,11 @@
     }
 
     async fn follow(&self, request: Envelope<Follow>) -> RpcResult<Envelope<Followed>> {
-        self.ask(|reply| Ask::Follow(request.body, reply)).await
+        self.ask(|reply| StateRequest::Follow(request.body, reply)).await
     }
 
     async fn beat(&self, request: Envelope<Heartbeat>) -> RpcResult<Envelope<HeartbeatReply>> {
-        let lead = self.ask(Ask::Lead).await?.body;
+        let lead = self.ask(StateRequest::Leadership).await?.body;
         if lead.since.is_none() {
             let leader = lead.leader;
             return Ok(self.wrap(HeartbeatReply::Unavailable(Unavailable::NotLeader { leader })));
@@ -194,8 +198,8 @@
             let (reply, _) = oneshot::channel();
             // A count that is not noted now is noted when it next changes; until then the leader's own is used.
             let _ = self
-                .ring
-                .try_send(Ask::Command(Box::new(Command::Sharers(count)), reply));
+                .requests
+                .try_send(StateRequest::Command(Box::new(Command::Sharers(count)), reply));
         }
         let listening = || Unavailable::NoQuorum {
             reason: "a new leader listens who shares the limits".to_owned(),
@@ -208,7 +212,7 @@
     }
 
     async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<BorrowReply>> {
-        let lead = self.ask(Ask::Lead).await?.body;
+        let lead = self.ask(StateRequest::Leadership).await?.body;
         if lead.since.is_none() {
             let leader = lead.leader;
             return Ok(self.wrap(BorrowReply::Unavailable(Unavailable::NotLeader { leader })));
@@ -222,10 +226,10 @@
 #[async_trait]
 impl RaftRpcServer for Rpc {
     async fn deliver(&self, batch: Envelope<Packet>) -> RpcResult<()> {
-        let delivery: Delivery = postcard::from_bytes(&batch.body.messages).map_err(|error| {
+        let delivery: PeerBatch = postcard::from_bytes(&batch.body.messages).map_err(|error| {
             ErrorObjectOwned::owned(UNREADABLE, format!("messages of {}: {error}", batch.from), None::<()>)
         })?;
-        if self.ring.try_send(Ask::Deliver(delivery)).is_err() {
+        if self.requests.try_send(StateRequest::Deliver(delivery)).is_err() {
             counter!("gentian_state_messages_dropped_total").increment(1);
         }
         Ok(())
--- a/crates/state/tests/first_orders.rs
+++ b/crates/state/tests/first_orders.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use slog::{Discard, Logger, o};
 use state::applied::{AppliedState, Command, LogEntry, WindowUsage};
-use state::core::{Ask, Lead, ring};
+use state::core::{Leadership, StateRequest, request_channel};
 use state::duties::{CapacityOrder, DutyHolder, DutyTiming, LeaderDuties, PlatformApi, PlatformError};
 use state::registry::EntryRegistry;
 use telemetry::Clock;
@@ -79,20 +79,20 @@
 }
 
 /// Answers what the duties ask, as the leader.
-fn lead(clock: &Clock) -> crossbeam_channel::Sender<Ask> {
-    let (asks, questions) = ring();
+fn lead(clock: &Clock) -> crossbeam_channel::Sender<StateRequest> {
+    let (asks, questions) = request_channel();
     let since = clock.now();
     thread::spawn(move || {
         let applied = applied();
         for ask in questions {
             match ask {
                 // An asker that has gone away needs no answer.
-                Ask::Lead(reply) => drop(reply.send(Lead {
+                StateRequest::Leadership(reply) => drop(reply.send(Leadership {
                     term: TERM,
                     since: Some(since),
                     leader: None,
                 })),
-                Ask::Read(read) => read(&applied, Duration::ZERO),
+                StateRequest::Read(read) => read(&applied, Duration::ZERO),
                 _ => {}
             }
         }
--- a/crates/state/tests/log_recovery.rs
+++ b/crates/state/tests/log_recovery.rs
@@ -10,8 +10,8 @@
 use state::raft::{HardState, Index, Payload, Position, Ready, Record, Snapshot, Term};
 
 const SMALL: Limits = Limits {
-    segment: 200,
-    snapshot: 400,
+    segment_bytes: 200,
+    snapshot_bytes: 400,
 };
 
 fn record(term: u64, index: u64) -> Record {
@@ -123,7 +123,7 @@
     ));
     fs::write(&first, &whole).unwrap();
     let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
-    open.keep(&snapshot(1, 20)).unwrap();
+    open.save_snapshot(&snapshot(1, 20)).unwrap();
     drop(open);
     flip(&folder.path().join("snapshot-0000000000000020"), 2);
     assert!(matches!(check_folder(folder.path()), Err(DiskError::Damaged { .. })));
@@ -182,7 +182,7 @@
     for index in 1..=500 {
         open.write(&records(1, index..=index)).unwrap();
         if open.wants_snapshot() {
-            open.keep(&snapshot(1, index)).unwrap();
+            open.save_snapshot(&snapshot(1, index)).unwrap();
         }
     }
     drop(open);
@@ -206,7 +206,7 @@
 struct Room(Arc<AtomicUsize>);
 
 impl Space for Room {
-    fn take(&self, bytes: usize) -> io::Result<()> {
+    fn reserve(&self, bytes: usize) -> io::Result<()> {
         let taken = self
             .0
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(bytes));
@@ -238,15 +238,15 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
     (1..=30).for_each(|index| open.write(&records(1, index..=index)).unwrap());
-    open.keep_later(snapshot(1, 20)).unwrap();
+    open.start_snapshot(snapshot(1, 20)).unwrap();
     for index in 31..=60 {
         open.write(&records(1, index..=index)).unwrap();
-        open.finish().unwrap();
+        open.finish_snapshot().unwrap();
     }
     while !folder.path().join("snapshot-0000000000000020").exists() {
         std::thread::yield_now();
     }
-    open.finish().unwrap();
+    open.finish_snapshot().unwrap();
     drop(open);
     let (_, restored) = Folder::open(folder.path(), SMALL).unwrap();
     assert_eq!(restored.snapshot.at, record(1, 20).at);
