--- a/crates/state/src/admin/access.rs
+++ b/crates/state/src/admin/access.rs
@@ -1,4 +1,4 @@
-//! Who may do what.
+//! Authentication and permissions of operators.
 
 use contract::KeyHash;
 use derive_more::Display;
@@ -7,28 +7,29 @@
 use super::{Admin, problem};
 use crate::applied::Role;
 
-/// What a request needs.
+/// Permission that a request needs.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(super) enum Right {
+pub(super) enum Permission {
     #[display("view")]
     View,
     #[display("contract")]
     Contract,
     #[display("capacity")]
     Capacity,
+    /// Held only by the key from the node's settings.
     #[display("root")]
     Root,
 }
 
-/// Who makes a request.
+/// The authenticated operator of a request.
 #[derive(Debug)]
 pub(super) struct Caller {
     pub(super) name: String,
-    /// `None` for the key from the node's settings, which may do everything.
+    /// `None` for the key from the node's settings, which has every permission.
     role: Option<Role>,
 }
 
-impl Right {
+impl Permission {
     pub(super) fn of(method: &str, parts: &[&str]) -> Self {
         match (method, parts.get(1)) {
             ("GET", _) => Self::View,
@@ -40,19 +41,19 @@
 }
 
 impl Caller {
-    pub(super) fn may(&self, right: Right) -> bool {
+    pub(super) fn may(&self, permission: Permission) -> bool {
         match self.role {
             None => true,
-            Some(Role::View) => right == Right::View,
-            Some(Role::Contract) => matches!(right, Right::View | Right::Contract),
-            Some(Role::Capacity) => matches!(right, Right::View | Right::Capacity),
+            Some(Role::View) => permission == Permission::View,
+            Some(Role::Contract) => matches!(permission, Permission::View | Permission::Contract),
+            Some(Role::Capacity) => matches!(permission, Permission::View | Permission::Capacity),
         }
     }
 }
 
 impl Admin {
-    /// Finds out who makes a request.
-    pub(super) fn caller(&self, request: &Request) -> Result<Caller, Response> {
+    /// Authenticates a request by its bearer key; returns the refusal otherwise.
+    pub(super) fn authenticate(&self, request: &Request) -> Result<Caller, Response> {
         let key = request
             .header("Authorization")
             .and_then(|value| value.strip_prefix("Bearer "));
@@ -62,7 +63,7 @@
             let name = request.header("Operator").unwrap_or("root").to_owned();
             return Ok(Caller { name, role: None });
         }
-        let found = self.ask(move |applied, _| {
+        let found = self.with_state(move |applied, _| {
             let mut operators = applied.operators.iter();
             let found = operators.find(|(_, operator)| operator.key_hash.matches(&hash));
             found.map(|(name, operator)| (name.clone(), operator.role))
--- a/crates/state/src/admin/answer.rs
+++ b/crates/state/src/admin/answer.rs
@@ -1,10 +1,10 @@
-//! Answers and refusals.
+//! Responses to changes, and error responses.
 
 use rouille::Response;
 use serde_json::json;
 use wire::state::{Proposed, Unavailable};
 
-/// Seconds after which an operator's program tries again; an election takes about one.
+/// Value of `Retry-After` in seconds; an election takes about one second.
 const RETRY_AFTER: &str = "1";
 
 pub(super) fn proposed(answer: &Proposed) -> Response {
--- a/crates/state/src/admin/members.rs
+++ b/crates/state/src/admin/members.rs
@@ -1,4 +1,4 @@
-//! Members of the group and the replacement of lost disks.
+//! Listing the members of the group, and replacing a member whose disk is lost.
 
 use contract::NodeId;
 use rouille::{Request, Response};
@@ -6,17 +6,17 @@
 use serde_json::json;
 use tokio::sync::oneshot;
 
-use super::{Admin, answer, body, problem};
+use super::{Admin, answer, json_body, problem};
 use crate::core::{MemberList, ReplaceError, ReplaceMember, StateRequest};
 use crate::raft::ChangeError;
 use wire::state::Unavailable;
 
-/// Body of a replacement.
+/// Body of a replacement request.
 #[derive(Debug, Deserialize)]
-struct Asked {
-    /// The member whose disk is lost.
+struct ReplaceBody {
+    /// Name of the member whose disk is lost.
     old: NodeId,
-    /// The node that takes its place; the same name when it is left out.
+    /// Name of the node that replaces it; the same name if absent.
     new: Option<NodeId>,
 }
 
@@ -25,15 +25,15 @@
         let (reply, answer) = oneshot::channel();
         let sent = self.requests.try_send(StateRequest::Members(reply));
         match sent.ok().and_then(|()| answer.blocking_recv().ok()) {
-            // A blank disk knows nobody; the operator would take the empty list for the group.
+            // A node with a blank disk knows no members; the operator would take the empty list for the group's.
             Some(list) if list.members.is_empty() => problem(503, "this node's disk is blank, ask another node"),
-            Some(list) => Response::json(&render(&list)),
+            Some(list) => Response::json(&members_json(&list)),
             None => problem(503, "the node is stopping or overloaded"),
         }
     }
 
     pub(super) fn replace(&self, request: &Request) -> Response {
-        let asked: Asked = match body(request) {
+        let asked: ReplaceBody = match json_body(request) {
             Ok(asked) => asked,
             Err(refusal) => return refusal,
         };
@@ -54,7 +54,7 @@
     }
 }
 
-fn render(list: &MemberList) -> serde_json::Value {
+fn members_json(list: &MemberList) -> serde_json::Value {
     let members: Vec<_> = list
         .members
         .0
--- a/crates/state/src/admin/mod.rs
+++ b/crates/state/src/admin/mod.rs
@@ -20,13 +20,13 @@
 
 use crate::applied::{AppliedState, Command, Operator, PutOperator, Reply};
 use crate::core::StateRequest;
-use access::{Caller, Right};
+use access::{Caller, Permission};
 use answer::{problem, proposed, unavailable};
 
-/// Largest body, in bytes.
-const MAX_BODY: u64 = 1024 * 1024;
+/// Most bytes of a request body that are read.
+const MAX_BODY_BYTES: u64 = 1024 * 1024;
 
-/// Answers operators.
+/// Handler of the administration API.
 #[derive(Clone, Debug)]
 pub struct Admin {
     requests: Sender<StateRequest>,
@@ -35,7 +35,7 @@
 }
 
 impl Admin {
-    /// Makes the API for a ring; whoever shows the key as a bearer token may do everything.
+    /// Creates the handler; a caller with `key` as its bearer key has every permission.
     #[must_use]
     pub const fn new(requests: Sender<StateRequest>, key: KeyHash, scrape: MetricsExporter) -> Self {
         Self { requests, key, scrape }
@@ -51,15 +51,18 @@
             _ => {}
         }
         let parts: Vec<&str> = url.trim_matches('/').split('/').collect();
-        let caller = match self.caller(request) {
+        let caller = match self.authenticate(request) {
             Ok(caller) => caller,
             Err(refusal) => return refusal,
         };
-        let needed = Right::of(request.method(), &parts);
+        let needed = Permission::of(request.method(), &parts);
         if !caller.may(needed) {
             return problem(
                 403,
-                &format!("operator {} may not do this, it needs the role {needed}", caller.name),
+                &format!(
+                    "operator {} lacks the role {needed}, which this request needs",
+                    caller.name
+                ),
             );
         }
         self.route(request, &parts, &caller)
@@ -67,40 +70,40 @@
 
     fn route(&self, request: &Request, parts: &[&str], caller: &Caller) -> Response {
         match (request.method(), parts) {
-            ("GET", ["v1", "config"]) => self.config(|config| Some(config.clone())),
-            ("GET", ["v1", "contracts"]) => self.config(|config| Some(config.contracts.clone())),
+            ("GET", ["v1", "config"]) => self.config_part(|config| Some(config.clone())),
+            ("GET", ["v1", "contracts"]) => self.config_part(|config| Some(config.contracts.clone())),
             ("GET", ["v1", "contracts", id]) => {
                 let id = CustomerId::from(*id);
-                self.config(move |config| config.contracts.get(&id).cloned())
+                self.config_part(move |config| config.contracts.get(&id).cloned())
             }
-            ("GET", ["v1", "upstreams"]) => self.config(|config| Some(config.upstreams.clone())),
+            ("GET", ["v1", "upstreams"]) => self.config_part(|config| Some(config.upstreams.clone())),
             ("GET", ["v1", "history"]) => self.history(request),
-            ("GET", ["v1", "operators"]) => self.read(|applied| Some(applied.operators.clone())),
+            ("GET", ["v1", "operators"]) => self.respond_with(|applied| Some(applied.operators.clone())),
             ("GET", ["v1", "members"]) => self.members(),
             ("POST", ["v1", "members", "replace"]) => self.replace(request),
-            ("PUT", ["v1", "contracts", id]) => self.put::<Contract>(request, caller, |contract| {
+            ("PUT", ["v1", "contracts", id]) => self.put_item::<Contract>(request, caller, |contract| {
                 (contract.customer.as_str() == *id).then_some(Change::PutContract(contract))
             }),
-            ("PUT", ["v1", "upstreams", id]) => self.put::<UpstreamSpec>(request, caller, |spec| {
+            ("PUT", ["v1", "upstreams", id]) => self.put_item::<UpstreamSpec>(request, caller, |spec| {
                 (spec.id.as_str() == *id).then_some(Change::PutUpstream(spec))
             }),
-            ("DELETE", ["v1", "contracts", id]) => self.change(request, caller, Change::DropContract((*id).into())),
+            ("DELETE", ["v1", "contracts", id]) => self.propose(request, caller, Change::DropContract((*id).into())),
             ("DELETE", ["v1", "upstreams", id]) => {
-                self.change(request, caller, Change::DropUpstream(UpstreamId::from(*id)))
+                self.propose(request, caller, Change::DropUpstream(UpstreamId::from(*id)))
             }
-            ("GET", ["v1", "rules"]) => self.config(|config| Some(config.rules.clone())),
-            ("PUT", ["v1", "rules"]) => self.put::<HostRule>(request, caller, |rule| Some(Change::PutRule(rule))),
+            ("GET", ["v1", "rules"]) => self.config_part(|config| Some(config.rules.clone())),
+            ("PUT", ["v1", "rules"]) => self.put_item::<HostRule>(request, caller, |rule| Some(Change::PutRule(rule))),
             ("DELETE", ["v1", "rules", model, zone, class]) => {
-                self.change(request, caller, Change::DropRule([*model, zone, class].join("/")))
+                self.propose(request, caller, Change::DropRule([*model, zone, class].join("/")))
             }
             ("PUT", ["v1", "drains", host, incarnation]) => match incarnation.parse() {
                 Ok(incarnation) => {
                     let host = HostId::from(*host);
-                    self.change(request, caller, Change::DrainHost { host, incarnation })
+                    self.propose(request, caller, Change::DrainHost { host, incarnation })
                 }
                 Err(_) => problem(400, "the incarnation is not a number"),
             },
-            ("PUT", ["v1", "operators", name]) => match body::<Operator>(request) {
+            ("PUT", ["v1", "operators", name]) => match json_body::<Operator>(request) {
                 Ok(operator) => self.put_operator(request, caller, name, Some(operator)),
                 Err(refusal) => refusal,
             },
@@ -109,20 +112,21 @@
         }
     }
 
-    /// Answers with a part of the configuration as this node knows it, and the age of that.
-    fn config<T: Serialize + Send + 'static>(
+    /// Responds with a part of the configuration as this node knows it, with its age.
+    fn config_part<T: Serialize + Send + 'static>(
         &self,
         part: impl FnOnce(&Config) -> Option<T> + Send + 'static,
     ) -> Response {
-        self.read(|applied| part(&applied.config))
+        self.respond_with(|applied| part(&applied.config))
     }
 
-    fn read<T: Serialize + Send + 'static>(
+    /// Responds with a part of the applied state, with the revision of the configuration and its age.
+    fn respond_with<T: Serialize + Send + 'static>(
         &self,
         part: impl FnOnce(&AppliedState) -> Option<T> + Send + 'static,
     ) -> Response {
         let read = |applied: &AppliedState, age_ms| (applied.config.revision, part(applied), age_ms);
-        match self.ask(read) {
+        match self.with_state(read) {
             Some((revision, Some(item), age_ms)) => {
                 Response::json(&json!({"revision": revision, "age_ms": age_ms, "item": item}))
             }
@@ -131,10 +135,11 @@
         }
     }
 
-    fn ask<T: Send + 'static>(&self, read: impl FnOnce(&AppliedState, u64) -> T + Send + 'static) -> Option<T> {
+    /// Runs a function on the applied state and its age in milliseconds; `None` if the node does not answer.
+    fn with_state<T: Send + 'static>(&self, read: impl FnOnce(&AppliedState, u64) -> T + Send + 'static) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         let read = Box::new(move |applied: &AppliedState, age: std::time::Duration| {
-            // An asker that has gone away needs no answer.
+            // A dropped receiver needs no answer.
             let _ = reply.send(read(applied, age.as_millis() as u64));
         });
         self.requests.try_send(StateRequest::Read(read)).ok()?;
@@ -146,7 +151,7 @@
             .get_param("after")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        self.read(move |applied| {
+        self.respond_with(move |applied| {
             let news = applied
                 .audits
                 .iter()
@@ -155,20 +160,22 @@
         })
     }
 
-    fn put<T: DeserializeOwned>(
+    /// Decodes the body into a change and proposes it; `change` returns `None` if the body names another item than the
+    /// path.
+    fn put_item<T: DeserializeOwned>(
         &self,
         request: &Request,
         caller: &Caller,
         change: impl FnOnce(T) -> Option<Change>,
     ) -> Response {
-        match body(request).map(change) {
-            Ok(Some(change)) => self.change(request, caller, change),
+        match json_body(request).map(change) {
+            Ok(Some(change)) => self.propose(request, caller, change),
             Ok(None) => problem(400, "the name in the path and the name in the body differ"),
             Err(refusal) => refusal,
         }
     }
 
-    fn change(&self, request: &Request, caller: &Caller, change: Change) -> Response {
+    fn propose(&self, request: &Request, caller: &Caller, change: Change) -> Response {
         let id = match change_id(request) {
             Ok(id) => id,
             Err(refusal) => return refusal,
@@ -176,10 +183,10 @@
         let base = match request.get_param("base").map(|text| text.parse().map(Revision)) {
             None => None,
             Some(Ok(base)) => Some(base),
-            Some(Err(_)) => return problem(400, "base is not a revision"),
+            Some(Err(_)) => return problem(400, "query parameter base is not a revision number"),
         };
         let operator = caller.name.clone();
-        self.command(Command::Propose(Propose {
+        self.submit(Command::Propose(Propose {
             id,
             base,
             operator,
@@ -191,13 +198,13 @@
         match change_id(request) {
             Ok(id) => {
                 let (by, name) = (caller.name.clone(), name.to_owned());
-                self.command(Command::Operator(PutOperator { id, by, name, operator }))
+                self.submit(Command::Operator(PutOperator { id, by, name, operator }))
             }
             Err(refusal) => refusal,
         }
     }
 
-    fn command(&self, command: Command) -> Response {
+    fn submit(&self, command: Command) -> Response {
         let (reply, answer) = oneshot::channel();
         let sent = self.requests.try_send(StateRequest::Command(Box::new(command), reply));
         match sent.ok().and_then(|()| answer.blocking_recv().ok()) {
@@ -211,12 +218,14 @@
     }
 }
 
-/// Reads a JSON body.
-fn body<T: DeserializeOwned>(request: &Request) -> Result<T, Response> {
+/// Reads and decodes a JSON body; returns the refusal otherwise.
+fn json_body<T: DeserializeOwned>(request: &Request) -> Result<T, Response> {
     let mut text = String::new();
-    let read = request.data().map(|data| data.take(MAX_BODY).read_to_string(&mut text));
+    let read = request
+        .data()
+        .map(|data| data.take(MAX_BODY_BYTES).read_to_string(&mut text));
     if !matches!(read, Some(Ok(_))) {
-        return Err(problem(400, "the body can't be read as text"));
+        return Err(problem(400, "the body cannot be read as UTF-8 text"));
     }
     serde_json::from_str(&text).map_err(|error| problem(400, &error.to_string()))
 }
@@ -226,5 +235,5 @@
         .header("Change-Id")
         .map(ChangeId::from)
         .filter(ChangeId::is_valid);
-    id.ok_or_else(|| problem(400, "header Change-Id is needed: a name of letters, digits and -_.:/"))
+    id.ok_or_else(|| problem(400, "header Change-Id must be a name of letters, digits and -_.:/"))
 }
--- a/crates/state/src/applied.rs
+++ b/crates/state/src/applied.rs
@@ -1,4 +1,4 @@
-//! The state that the log produces: a deterministic function of its entries.
+//! The replicated state machine: its state is a deterministic function of the log entries.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use wire::catalog::{Document, Fetched, Publish, Published, Upload, Uploaded};
 use wire::state::{Claim, Claimed, Lease, Leased, Outcome, Propose, Proposed, Settle, Settled, Watched};
 
-use crate::uploads::{Added, Uploads};
+use crate::uploads::{AddedPiece, Uploads};
 
-/// Changes that are kept for learners; one further behind gets the whole configuration.
+/// Configuration changes that are kept for followers of the configuration; one that lacks older ones gets all of it.
 const KEPT_RECORDS: usize = 256;
-/// Changes that the audit trail keeps; older ones are forgotten.
+/// Most changes in the audit trail; older ones are dropped.
 pub const KEPT_AUDITS: usize = 4_096;
-/// Windows of usage that are kept: those that may still be reported, many times over.
+/// Usage windows that are kept; many times those that may still have to be reported.
 const KEPT_WINDOWS: usize = 64;
-/// How long a claim and its outcome are kept, in milliseconds of log time; after that the key may be used anew.
+/// How long a claim and its outcome are kept, in milliseconds of log time; after that its key may be used again.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
-/// How long the answer to a change is kept for resends, in milliseconds of log time.
+/// How long the answer to a change is kept for retries, in milliseconds of log time.
 pub const CHANGE_RETENTION_MS: u64 = 7 * CLAIM_RETENTION_MS;
 
 /// One entry of the log.
@@ -27,20 +27,20 @@
 pub struct LogEntry {
     /// Log time in milliseconds, set by the leader; it never goes back.
     pub at_ms: u64,
-    /// The leader's wall clock in milliseconds since 1970; only for people who read the audit trail.
+    /// The leader's wall clock in milliseconds since 1970; used only in the audit trail.
     pub wall_ms: u64,
-    /// What to do.
+    /// Command to apply.
     pub command: Command,
 }
 
-/// What an entry does.
+/// Command of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Changes the configuration.
+    /// Changes one item of the configuration.
     Propose(Propose),
-    /// Claims a call.
+    /// Claims a call under its idempotency key.
     Claim(Claim),
-    /// Records an outcome.
+    /// Records the outcome of a claimed call.
     Settle(Settle),
     /// Acquires, renews or releases a lease.
     Lease(Lease),
@@ -48,26 +48,26 @@
     Operator(PutOperator),
     /// Publishes a catalog.
     Publish(Publish),
-    /// Reads the newest document; an answer shows that a majority still follows, so that no newer one exists elsewhere.
+    /// Reads the newest document. Only a committed read proves that no newer document exists elsewhere.
     Fetch,
     /// Fixes the usage of a window before it is reported.
     Usage(WindowUsage),
-    /// Notes how many entry hosts share limits, for the next leader.
+    /// Stores the number of entry hosts that share quotas, for the next leader.
     Sharers(u32),
-    /// Adds a piece to a publication.
+    /// Adds a piece to the upload of a large publication.
     Upload(Upload),
 }
 
-/// The usage of one window.
+/// Request counts of one usage window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowUsage {
-    /// Number of the window.
+    /// Number of the window: the wall clock divided by its length.
     pub window: u64,
-    /// Requests that began in it, by client account.
+    /// Requests that began in the window, by client account.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// What an operator may do.
+/// Permissions of an operator.
 #[derive(Clone, Copy, Debug, Display, FromStr, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -82,118 +82,120 @@
     Capacity,
 }
 
-/// An operator.
+/// An operator of the administration API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operator {
-    /// What the operator may do.
+    /// Permissions of the operator.
     pub role: Role,
-    /// Hash of the bearer key.
+    /// Hash of the operator's bearer key.
     pub key_hash: KeyHash,
 }
 
-/// A change of the operators.
+/// Adds, changes or removes an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutOperator {
-    /// Id of the change.
+    /// Id of the change; a retry with the same id gets the first answer.
     pub id: ChangeId,
-    /// Who makes it.
+    /// Name of the operator who makes the change.
     pub by: String,
-    /// The operator's name.
+    /// Name of the operator who is changed.
     pub name: String,
-    /// What the operator is from now on; `None` removes the operator.
+    /// New role and key; `None` removes the operator.
     pub operator: Option<Operator>,
 }
 
-/// What an entry answers.
+/// Result of applying a log entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// To a proposal.
+    /// Result of [`Command::Propose`] and [`Command::Operator`].
     Proposed(Proposed),
-    /// To a claim.
+    /// Result of [`Command::Claim`].
     Claimed(Claimed),
-    /// To an outcome.
+    /// Result of [`Command::Settle`].
     Settled(Settled),
-    /// To a lease.
+    /// Result of [`Command::Lease`].
     Leased(Leased),
-    /// To a document.
+    /// Result of [`Command::Publish`].
     Published(Published),
-    /// To a piece of a document.
+    /// Result of [`Command::Upload`].
     Uploaded(Uploaded),
-    /// To a read of the newest document.
+    /// Result of [`Command::Fetch`].
     Fetched(Fetched),
-    /// To the usage of a window: what is to be reported.
+    /// Result of [`Command::Usage`]: the counts to report.
     Usage(WindowUsage),
-    /// To what only is noted.
-    Noted,
+    /// Result of [`Command::Sharers`].
+    Stored,
 }
 
-/// Who changed what, as operators read it.
+/// An entry of the audit trail.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Audit {
-    /// The revision that the change led to, or the newest one for other changes.
+    /// Revision of the configuration after the change.
     pub revision: Revision,
-    /// The change's id.
+    /// Id of the change.
     pub id: ChangeId,
-    /// The operator whose key was shown.
+    /// Name of the operator who made the change.
     pub operator: String,
-    /// What changed, in words.
+    /// Description of the change.
     pub change: String,
-    /// Wall clock of the leader in milliseconds since 1970.
+    /// The leader's wall clock in milliseconds since 1970.
     pub wall_ms: u64,
 }
 
-/// Everything that the log has produced so far.
+/// State after the log entries applied so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AppliedState {
-    /// Index of the newest entry that is contained.
+    /// Index of the newest applied entry.
     pub index: u64,
-    /// Log time of that entry.
+    /// Log time of that entry, in milliseconds.
     pub at_ms: u64,
     /// Contracts and upstreams.
     pub config: Config,
-    /// The newest changes.
+    /// The newest changes of the configuration, for hosts that follow it.
     pub records: VecDeque<ChangeRecord>,
     /// Operators by name.
     pub operators: BTreeMap<String, Operator>,
-    /// The audit trail.
+    /// Audit trail, oldest first.
     pub audits: VecDeque<Audit>,
-    /// The newest document with the catalog that it stands for.
+    /// The newest published document with its catalog; `None` before the first.
     pub published: Option<Arc<Publish>>,
-    /// Documents that have come in part.
+    /// Unfinished uploads.
     pub uploads: Uploads,
-    /// Entry hosts that share limits, as last counted.
+    /// Number of entry hosts that share quotas, as stored by the last leader.
     pub sharers: u32,
-    /// Usage of the newest windows, as it was or will be reported.
+    /// Request counts of the newest usage windows, as they were or will be reported.
     pub usage: BTreeMap<u64, BTreeMap<String, u64>>,
+    /// Answers to changes, for retries.
     answered: BTreeMap<ChangeId, Proposed>,
     answered_at: VecDeque<(u64, ChangeId)>,
+    /// Revision of the last change of each item.
     touched: BTreeMap<String, Revision>,
-    claims: BTreeMap<Key, Held>,
-    claimed_at: VecDeque<(u64, Key)>,
-    leases: BTreeMap<String, Granted>,
+    claims: BTreeMap<ClaimKey, StoredClaim>,
+    claimed_at: VecDeque<(u64, ClaimKey)>,
+    leases: BTreeMap<String, StoredLease>,
 }
 
-type Key = (CustomerId, String);
+type ClaimKey = (CustomerId, String);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Held {
+struct StoredClaim {
     digest: String,
     request: RequestId,
     outcome: Option<Outcome>,
     at_ms: u64,
-    /// Until when the holder may send, in log time.
+    /// Log time until which the holder may send the call.
     until_ms: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Granted {
+struct StoredLease {
     holder: NodeId,
     token: u64,
     until_ms: u64,
 }
 
 impl AppliedState {
-    /// Applies the entry at an index of the log; indexes in between held no entries.
+    /// Applies the entry at an index of the log; skipped indexes held no entries.
     pub fn apply_at(&mut self, index: u64, entry: &LogEntry) -> Reply {
         self.index = index.saturating_sub(1);
         self.apply(entry)
@@ -211,17 +213,18 @@
             Command::Settle(ask) => Reply::Settled(self.settle(ask)),
             Command::Lease(ask) => Reply::Leased(self.lease(ask)),
             Command::Publish(ask) => Reply::Published(self.publish(ask)),
-            Command::Usage(ask) => Reply::Usage(self.fix_usage(ask)),
+            Command::Usage(ask) => Reply::Usage(self.store_usage(ask)),
             Command::Sharers(count) => {
                 self.sharers = *count;
-                Reply::Noted
+                Reply::Stored
             }
             Command::Upload(piece) => Reply::Uploaded(self.upload(piece)),
-            Command::Fetch => Reply::Fetched(Fetched::Document(self.document())),
+            Command::Fetch => Reply::Fetched(Fetched::Document(self.newest_document())),
         }
     }
 
-    /// Gives a learner what it misses after a revision.
+    /// Returns the changes after a revision for a host that follows the configuration, or the whole configuration if
+    /// these changes are not kept any more.
     #[must_use]
     pub fn since(&self, after: Revision, age_ms: u64) -> Watched {
         let known = self
@@ -255,14 +258,14 @@
         }
     }
 
-    /// Gives the newest catalog.
+    /// Returns the newest catalog; `None` before the first publication.
     #[must_use]
     pub fn catalog(&self) -> Option<&Catalog> {
         self.published.as_ref().map(|published| &published.catalog)
     }
 
-    /// Puts a document in force unless one of the same or a higher version is; the operator who was overtaken is answered
-    /// like the one who came first, since a resend must never be refused.
+    /// Puts a document in force unless one of the same or a higher version is in force. A late publication is accepted
+    /// all the same, since a retry must never be refused.
     fn publish(&mut self, ask: &Publish) -> Published {
         let current = self.catalog().map_or(0, |catalog| catalog.version);
         let changed = self.published.is_none() || ask.catalog.version > current;
@@ -277,16 +280,17 @@
 
     fn upload(&mut self, piece: &Upload) -> Uploaded {
         match self.uploads.add(piece, self.at_ms) {
-            Added::Held(bytes) => Uploaded::Held(bytes),
-            Added::Complete(bytes) => match postcard::from_bytes(&bytes) {
+            AddedPiece::Held(bytes) => Uploaded::Held(bytes),
+            AddedPiece::Complete(bytes) => match postcard::from_bytes(&bytes) {
                 Ok(ask) => Uploaded::Published(self.publish(&ask)),
                 Err(error) => Uploaded::Unreadable(error.to_string()),
             },
         }
     }
 
-    /// Keeps the first counts of a window: two reports of one window must be equal, whoever sends the second.
-    fn fix_usage(&mut self, ask: &WindowUsage) -> WindowUsage {
+    /// Stores the first counts of a window and returns them from then on: all reports of a window must be equal,
+    /// whichever leader sends them.
+    fn store_usage(&mut self, ask: &WindowUsage) -> WindowUsage {
         let counts = self
             .usage
             .entry(ask.window)
@@ -301,22 +305,21 @@
         }
     }
 
-    fn document(&self) -> Option<Document> {
+    fn newest_document(&self) -> Option<Document> {
         self.published.as_ref().map(|published| Document {
             version: published.catalog.version,
             bytes: published.document.clone(),
         })
     }
 
-    /// Gives the number of claims that are kept.
+    /// Returns the number of claims that are kept.
     #[must_use]
     pub fn claim_count(&self) -> u64 {
         self.claims.len() as u64
     }
 
     fn propose(&mut self, ask: &Propose, wall_ms: u64) -> Proposed {
-        // The answer to a change may be lost; the operator's resend must neither apply twice nor be told of a conflict
-        // with itself.
+        // The answer to a change may be lost; a retry must neither apply the change twice nor conflict with it.
         if let Some(first) = self.answered.get(&ask.id) {
             return first.clone();
         }
@@ -325,13 +328,14 @@
         let answer = match self.config.check(&ask.change) {
             Err(problems) => Proposed::Invalid(problems.to_string()),
             Ok(()) if ask.base.is_some_and(|base| base < touched) => Proposed::Conflict(touched),
-            Ok(()) => self.accept(ask, item, wall_ms),
+            Ok(()) => self.accept_change(ask, item, wall_ms),
         };
-        self.remember(&ask.id, &answer);
+        self.store_answer(&ask.id, &answer);
         answer
     }
 
-    fn accept(&mut self, ask: &Propose, item: String, wall_ms: u64) -> Proposed {
+    /// Applies a valid change under the next revision.
+    fn accept_change(&mut self, ask: &Propose, item: String, wall_ms: u64) -> Proposed {
         let revision = self.config.revision.next();
         let record = ChangeRecord {
             revision,
@@ -345,7 +349,7 @@
             self.records.pop_front();
         }
         self.touched.insert(item, revision);
-        self.audit(&ask.id, &ask.operator, ask.change.to_string(), wall_ms);
+        self.add_audit(&ask.id, &ask.operator, ask.change.to_string(), wall_ms);
         Proposed::Accepted(revision)
     }
 
@@ -360,13 +364,13 @@
             self.operators.remove(&ask.name);
             format!("drop operator {}", ask.name)
         };
-        self.audit(&ask.id, &ask.by, change, wall_ms);
+        self.add_audit(&ask.id, &ask.by, change, wall_ms);
         let answer = Proposed::Accepted(self.config.revision);
-        self.remember(&ask.id, &answer);
+        self.store_answer(&ask.id, &answer);
         answer
     }
 
-    fn audit(&mut self, id: &ChangeId, operator: &str, change: String, wall_ms: u64) {
+    fn add_audit(&mut self, id: &ChangeId, operator: &str, change: String, wall_ms: u64) {
         self.audits.push_back(Audit {
             revision: self.config.revision,
             id: id.clone(),
@@ -379,12 +383,12 @@
         }
     }
 
-    fn remember(&mut self, id: &ChangeId, answer: &Proposed) {
+    fn store_answer(&mut self, id: &ChangeId, answer: &Proposed) {
         self.answered.insert(id.clone(), answer.clone());
         self.answered_at.push_back((self.at_ms, id.clone()));
     }
 
-    /// Forgets what has been kept for its time.
+    /// Drops answers and claims whose retention time has passed.
     fn expire(&mut self) {
         let now = self.at_ms;
         while let Some((at, id)) = self.answered_at.front()
@@ -396,7 +400,7 @@
         while let Some((at, key)) = self.claimed_at.front()
             && at.saturating_add(CLAIM_RETENTION_MS) < now
         {
-            // A key that became free may have been claimed anew since.
+            // A key that was given back may have been claimed again since.
             if self.claims.get(key).is_some_and(|held| held.at_ms == *at) {
                 self.claims.remove(key);
             }
@@ -408,15 +412,15 @@
         let key = (ask.customer.clone(), ask.key.clone());
         let now = self.at_ms;
         let Some(held) = self.claims.get_mut(&key) else {
-            return self.grant(key, ask);
+            return self.grant_claim(key, ask);
         };
         if held.outcome == Some(Outcome::NotRun) {
-            // The holder gave its claim back and has told its caller so. A copy of its question that arrives late would
-            // otherwise hold the key for nobody.
+            // The holder gave its claim back and has told its caller so. A late copy of its claim would otherwise hold
+            // the key for nobody.
             if held.request == ask.request {
                 return Claimed::Done(Outcome::NotRun);
             }
-            return self.grant(key, ask);
+            return self.grant_claim(key, ask);
         }
         if held.digest != ask.digest {
             return Claimed::Mismatch;
@@ -425,8 +429,8 @@
             Some(outcome) => Claimed::Done(outcome.clone()),
             None if held.request == ask.request => Claimed::Granted,
             None if held.until_ms < now => {
-                // The holder has died or was frozen. It may have sent the call, so the key is never granted again; the
-                // caller learns that the outcome is not known, and the service is asked where it can tell.
+                // The holder died or was paused. It may have sent the call, so the key is not granted again; the caller
+                // learns that the outcome is unknown until the service reports it.
                 held.outcome = Some(Outcome::Unknown);
                 Claimed::Done(Outcome::Unknown)
             }
@@ -434,13 +438,20 @@
         }
     }
 
-    fn grant(&mut self, key: Key, ask: &Claim) -> Claimed {
-        self.hold(key, ask.digest.clone(), &ask.request, None, ask.hold_ms);
+    fn grant_claim(&mut self, key: ClaimKey, ask: &Claim) -> Claimed {
+        self.store_claim(key, ask.digest.clone(), &ask.request, None, ask.hold_ms);
         Claimed::Granted
     }
 
-    fn hold(&mut self, key: Key, digest: String, request: &RequestId, outcome: Option<Outcome>, hold_ms: u64) {
-        let held = Held {
+    fn store_claim(
+        &mut self,
+        key: ClaimKey,
+        digest: String,
+        request: &RequestId,
+        outcome: Option<Outcome>,
+        hold_ms: u64,
+    ) {
+        let held = StoredClaim {
             digest,
             request: request.clone(),
             outcome,
@@ -455,18 +466,18 @@
         let key = (ask.customer.clone(), ask.key.clone());
         let Some(held) = self.claims.get_mut(&key) else {
             if ask.outcome == Outcome::NotRun {
-                // The claim that is given back may still be on its way; it must not be granted when it arrives.
-                self.hold(key, String::new(), &ask.request, Some(Outcome::NotRun), 0);
+                // The claim that is given back may still be in flight; it must not be granted when it arrives.
+                self.store_claim(key, String::new(), &ask.request, Some(Outcome::NotRun), 0);
                 return Settled::Stored;
             }
             return Settled::NotHeld;
         };
-        let told = held.outcome == Some(Outcome::Unknown) && matches!(ask.outcome, Outcome::Answered { .. });
-        if held.request != ask.request && !told {
+        let reported_later = held.outcome == Some(Outcome::Unknown) && matches!(ask.outcome, Outcome::Answered { .. });
+        if held.request != ask.request && !reported_later {
             return Settled::NotHeld;
         }
-        // A known answer is final; an unknown outcome may still be settled by what the service tells later. Only a
-        // holder that has not sent anything says that the call was not run, which it can't after anything else.
+        // A known answer is final; an unknown outcome may still be replaced by an answer that the service reports
+        // later. A holder reports `NotRun` only if it has not sent the call, so it cannot follow another outcome.
         match (&held.outcome, &ask.outcome) {
             (None, _) | (Some(Outcome::Unknown), Outcome::Answered { .. }) => held.outcome = Some(ask.outcome.clone()),
             _ => {}
@@ -491,11 +502,11 @@
             self.leases.remove(&ask.name);
             return Leased::Released;
         }
-        // The index of the entry grows for ever, so no later holder can get an older token.
+        // Entry indexes only grow, so that no later holder gets a smaller token.
         let token = current.map_or(self.index, |granted| granted.token);
         self.leases.insert(
             ask.name.clone(),
-            Granted {
+            StoredLease {
                 holder: ask.holder.clone(),
                 token,
                 until_ms,
@@ -505,6 +516,7 @@
     }
 }
 
+/// Returns the key of the item that a change concerns; two changes of one item can conflict.
 fn item_of(change: &Change) -> String {
     match change {
         Change::PutContract(contract) => format!("contract {}", contract.customer),
--- a/crates/state/src/cli.rs
+++ b/crates/state/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of `gentian-state`.
 
 use argh::FromArgs;
 
--- a/crates/state/src/core/discovery.rs
+++ b/crates/state/src/core/discovery.rs
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Answers an announcement: with the first snapshot to a first member of the group, else with this node's own hello.
+    /// Answers an announcement: with the first snapshot to a first member of the group, else with this node's own
+    /// hello.
     fn on_hello(&mut self, from: MemberId, address: SocketAddr, hello: Hello, now: Tick) {
         let blank = !hello.member;
         self.discovery.add_reported(&hello.known);
--- a/crates/state/src/core/log_time.rs
+++ b/crates/state/src/core/log_time.rs
@@ -25,8 +25,8 @@
 
     /// Takes over the time of an applied entry.
     ///
-    /// A follower continues from each entry, since its clock may be faster than the leader's. A leader does not: its time
-    /// went on between writing and applying the entry.
+    /// A follower continues from each entry, since its clock may be faster than the leader's. A leader does not: its
+    /// time went on between writing and applying the entry.
     pub(super) fn observe(&mut self, at_ms: u64, leads: bool, now: Tick) {
         if !leads || at_ms > self.now_ms(now) {
             *self = Self::new(at_ms, now);
--- a/crates/state/src/core/membership.rs
+++ b/crates/state/src/core/membership.rs
@@ -99,7 +99,8 @@
             return;
         };
         if self.node.remove(lost, now).is_ok() {
-            info!(self.logger, "member removed"; "member" => %lost, "silent_s" => limit.as_secs(), "answering" => answering);
+            info!(self.logger, "member removed"; "member" => %lost, "silent_s" => limit.as_secs(),
+                "answering" => answering);
         }
     }
 }
--- a/crates/state/src/core/mod.rs
+++ b/crates/state/src/core/mod.rs
@@ -205,8 +205,8 @@
         match self.folder.write(&ready) {
             Ok(()) => {}
             Err(error) if error.is_full() => {
-                // No message that depends on these writes has been sent. They are kept, nobody is answered, and the group
-                // goes on without this node until there is space.
+                // No message that depends on these writes has been sent. They are kept, nobody is answered, and the
+                // group goes on without this node until there is space.
                 if self.stalled_write.is_none() {
                     warn!(self.logger, "no room on the disk"; "error" => %error);
                 }
@@ -234,7 +234,7 @@
             return Ok(());
         };
         if self.write(ready)? {
-            info!(self.logger, "room on the disk again");
+            info!(self.logger, "disk space is available again");
         }
         Ok(())
     }
--- a/crates/state/src/core/serve.rs
+++ b/crates/state/src/core/serve.rs
@@ -24,8 +24,8 @@
                     commands.push(*command);
                     replies.push(reply);
                 }
-                // A blank disk holds no state. A learner would take the empty configuration as valid and refuse every
-                // caller, and operators would see no contracts. Without an answer they ask another node.
+                // A blank disk holds no state. An entry host would take the empty configuration as valid and refuse
+                // every caller, and operators would see no contracts. Without an answer they ask another node.
                 StateRequest::Watch(..) | StateRequest::Follow(..) | StateRequest::Read(_)
                     if self.node.members().is_empty() => {}
                 StateRequest::Watch(watch, reply) => self.watchers.add(watch, reply, now),
--- a/crates/state/src/disk/check.rs
+++ b/crates/state/src/disk/check.rs
@@ -36,13 +36,13 @@
     let (snapshot, snapshot_bytes) = snapshot::read(folder)?;
     let segments = segment::list(folder)?;
     let mut replay = Replay::default();
-    let mut torn = 0;
+    let mut torn_bytes = 0;
     for (at, (_, path)) in segments.iter().enumerate() {
         let content = segment::read(path, at + 1 == segments.len())?;
         replay.apply(content.batches, &snapshot, folder)?;
-        torn = content.torn_bytes;
+        torn_bytes = content.torn_bytes;
     }
-    let last = replay.records.last().map_or(snapshot.at, |record| record.at);
+    let log_end = replay.records.last().map_or(snapshot.at, |record| record.at);
     Ok(FolderReport {
         id,
         hard_state: replay.hard,
@@ -50,7 +50,7 @@
         snapshot_bytes,
         segments: segments.len(),
         records: replay.records.len(),
-        log_end: last,
-        torn_bytes: torn,
+        log_end,
+        torn_bytes,
     })
 }
--- a/crates/state/src/disk/error.rs
+++ b/crates/state/src/disk/error.rs
@@ -21,7 +21,7 @@
         source: io::Error,
     },
     /// The content of a frame cannot be encoded, or the data of a snapshot cannot be decoded.
-    #[display("a record can't be encoded: {source}")]
+    #[display("cannot encode or decode stored data: {source}")]
     Codec {
         /// Error of the codec.
         source: postcard::Error,
--- a/crates/state/src/disk/folder.rs
+++ b/crates/state/src/disk/folder.rs
@@ -177,8 +177,8 @@
 
     /// Starts to write a snapshot on a thread of its own.
     ///
-    /// Syncing a large state takes longer than the election timeout; on the thread that answers, each snapshot would cost
-    /// the leader its lease.
+    /// Syncing a large state takes longer than the election timeout; on the thread that answers, each snapshot would
+    /// cost the leader its lease.
     ///
     /// # Errors
     /// Fails when the operating system refuses a thread; then the log is as before.
--- a/crates/state/src/disk/identity.rs
+++ b/crates/state/src/disk/identity.rs
@@ -33,8 +33,8 @@
 /// Draws a new random id and writes it.
 pub(super) fn create(folder: &Path) -> Result<MemberId, DiskError> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    // Random bits alone could repeat on virtual machines that are restored from one image, the clock alone on two machines
-    // that start at once.
+    // Random bits alone could repeat on virtual machines that are restored from one image, the clock alone on two
+    // machines that start at once.
     let id = MemberId(rand::rng().random::<u64>() ^ since.as_nanos() as u64);
     let mut bytes = KIND.magic().to_vec();
     bytes.extend(frame::encode(&id)?);
--- a/crates/state/src/duties/mod.rs
+++ b/crates/state/src/duties/mod.rs
@@ -1,7 +1,8 @@
-//! Duties that one process does for all: the leader of the state group reports usage and orders capacity.
+//! Duties of the leader of the state group towards the platform: reporting usage and ordering capacity.
 //!
-//! The fencing token is the leader's term. A new leader begins only after it has led for a while: by then what a former
-//! leader sent has arrived. One that leads again after another waits longer, so that two don't take turns.
+//! The fencing token is the leader's term. A new leader acts only after it has led for a while: by then the calls of
+//! the former leader have arrived. A node that leads again after another one waits longer, so that two do not
+//! alternate.
 
 mod orders;
 
@@ -26,78 +27,78 @@
 use crate::core::{Leadership, StateRequest};
 use crate::registry::EntryRegistry;
 
-/// Pause between two looks at what is due.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Time after a window's end in which entry hosts tell their last counts of it: several beats, one of them lost.
-const SETTLE_MS: u64 = 2_500;
-/// Windows that are looked at for a report that is still due.
-const BACK: u64 = 5;
-/// Time for which a new leader waits for what a former one may just have sent.
-const SETTLED: Duration = Duration::from_secs(1);
-/// Time that a leader adds to the time in which holders must not take turns.
-const MARGIN: Duration = Duration::from_millis(300);
-
-/// Who makes a call.
+/// Interval between two checks of what is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after the end of a usage window until its counts are complete: several heartbeats, one of them lost.
+const REPORT_DELAY_MS: u64 = 2_500;
+/// Number of past usage windows that are reported late if necessary.
+const MAX_LATE_WINDOWS: u64 = 5;
+/// Time for which a new leader waits, so that calls of the former one have arrived.
+const TAKEOVER_DELAY: Duration = Duration::from_secs(1);
+/// Safety margin added to [`DutyTiming::holder_lease`].
+const LEASE_MARGIN: Duration = Duration::from_millis(300);
+
+/// The caller of the platform: the process that holds the duties.
 #[derive(Clone, Copy, Debug)]
 pub struct DutyHolder<'a> {
     /// Name of the process.
     pub name: &'a str,
-    /// Fencing token.
+    /// Term of the leader; the platform refuses calls with an older one.
     pub fencing_token: u64,
 }
 
-/// A wanted number of upstreams.
+/// An order for a number of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityOrder {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The data centre.
+    /// Name of the data centre.
     pub zone: String,
-    /// How many there shall be.
+    /// Number of upstreams that there should be, the present ones included.
     pub count: u32,
-    /// Whether they are reclaimable.
+    /// Whether these are reclaimable upstreams, at the spot price, instead of on-demand ones.
     pub reclaimable: bool,
 }
 
-/// A call that failed.
+/// Failure of a call to the platform.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum PlatformError {
-    /// No answer; the call may have counted.
+    /// No answer; the call may have taken effect.
     #[display("no answer: {_0}")]
     Unanswered(#[error(not(source))] String),
-    /// The call did not count.
+    /// Refused with this HTTP status; the call had no effect.
     #[display("refused with {_0}")]
     Refused(#[error(not(source))] u16),
-    /// Nothing of what was ordered is available.
+    /// No upstream of the ordered kind is available.
     #[display("none available")]
     NoCapacity,
 }
 
-/// Takes reports and orders.
+/// Client of the platform that takes usage reports and capacity orders.
 pub trait PlatformApi: Send {
-    /// Reports the usage of a window; an exact repeat changes nothing.
+    /// Reports the usage of a window; an exact repetition has no effect.
     ///
     /// # Errors
-    /// Tells why the report may not have counted.
-    fn report(&self, seat: &DutyHolder<'_>, usage: &WindowUsage) -> Result<(), PlatformError>;
+    /// Fails when the report may not have taken effect.
+    fn report(&self, holder: &DutyHolder<'_>, usage: &WindowUsage) -> Result<(), PlatformError>;
 
     /// Orders capacity.
     ///
     /// # Errors
-    /// Tells why the order may not have counted.
-    fn order(&self, seat: &DutyHolder<'_>, order: &CapacityOrder) -> Result<(), PlatformError>;
+    /// Fails when the order may not have taken effect.
+    fn order(&self, holder: &DutyHolder<'_>, order: &CapacityOrder) -> Result<(), PlatformError>;
 }
 
-/// Times of the duties, from the settings.
+/// Timing of the duties, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct DutyTiming {
-    /// Time in which holders must not take turns.
+    /// Time within which calls of two holders must not alternate.
     pub holder_lease: Duration,
-    /// Length of a window of usage.
+    /// Length of a usage window.
     pub usage_window: Duration,
 }
 
-/// The thread that does the duties while its process leads.
+/// The thread that performs the duties while its node leads.
 #[derive(derive_more::Debug)]
 pub struct LeaderDuties {
     node: NodeId,
@@ -105,40 +106,42 @@
     registry: Arc<EntryRegistry>,
     clock: Clock,
     timing: DutyTiming,
-    #[debug("office")]
-    office: Box<dyn PlatformApi>,
+    #[debug("platform")]
+    platform: Box<dyn PlatformApi>,
     logger: Logger,
-    /// Windows whose report was accepted in this term.
+    /// Usage windows whose report was accepted in this term.
     reported: BTreeSet<u64>,
+    /// Term in which this process acted last; 0 before that.
     term: u64,
-    /// When this process acted last; its start counts as an act, since it may have acted just before.
-    acted: Tick,
-    /// What was ordered, and why.
+    /// When this process called the platform last; its start counts as a call, since an earlier run may have made one
+    /// just before.
+    last_call: Tick,
+    /// Orders placed so far and the observations that they depend on.
     orders: Orders,
 }
 
 impl LeaderDuties {
-    /// Makes the duties of a node.
+    /// Creates the duties of a node.
     #[must_use]
     pub fn new(
         node: NodeId,
         (requests, registry, clock): (Sender<StateRequest>, Arc<EntryRegistry>, Clock),
         timing: DutyTiming,
-        office: Box<dyn PlatformApi>,
+        platform: Box<dyn PlatformApi>,
         logger: Logger,
     ) -> Self {
-        let acted = clock.now();
+        let last_call = clock.now();
         Self {
             node,
             requests,
             registry,
             clock,
             timing,
-            office,
+            platform,
             logger,
             reported: BTreeSet::new(),
             term: 0,
-            acted,
+            last_call,
             orders: Orders::default(),
         }
     }
@@ -150,48 +153,51 @@
     pub fn start(mut self) -> std::io::Result<()> {
         let work = move || {
             loop {
-                thread::sleep(PAUSE);
+                thread::sleep(CHECK_INTERVAL);
                 self.turn();
             }
         };
         thread::Builder::new().name("duties".to_owned()).spawn(work).map(drop)
     }
 
+    /// Does what is due, if this process may act; starts anew in a new term.
     fn turn(&mut self) {
-        let Some((term, _)) = self.leads() else {
+        let Some((term, _)) = self.acting_term() else {
             return;
         };
         if self.term != term {
             info!(self.logger, "duties taken"; "fence" => term);
             self.reported.clear();
-            self.orders.forget();
+            self.orders.clear_placed();
             self.term = term;
         }
-        self.report_usage();
-        self.keep_capacity();
+        self.report_due_windows();
+        self.maintain_capacity();
     }
 
-    /// Gives the term in which this process may act, if it may.
-    fn leads(&self) -> Option<(u64, Tick)> {
+    /// Returns the term in which this process may act now and since when it has led, if it may.
+    fn acting_term(&self) -> Option<(u64, Tick)> {
         let lead: Leadership = self.ask(StateRequest::Leadership)?;
         let since = lead.since?;
         let now = self.clock.now();
-        let turns = lead.term == self.term || now.since(self.acted) >= self.timing.holder_lease + MARGIN;
-        (turns && now.since(since) >= SETTLED).then_some((lead.term, since))
+        let may_act = lead.term == self.term || now.since(self.last_call) >= self.timing.holder_lease + LEASE_MARGIN;
+        (may_act && now.since(since) >= TAKEOVER_DELAY).then_some((lead.term, since))
     }
 
+    /// Sends a request to the thread that owns the state and waits for the answer.
     fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> StateRequest) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.requests.try_send(ask(reply)).ok()?;
         answer.blocking_recv().ok()
     }
 
-    fn report_usage(&mut self) {
-        let length = self.timing.usage_window.as_millis() as u64;
+    /// Reports the past usage windows that were not reported in this term, until one report fails.
+    fn report_due_windows(&mut self) {
+        let window_ms = self.timing.usage_window.as_millis() as u64;
         let now = wall_ms();
-        let newest = now.saturating_sub(SETTLE_MS) / length.max(1);
-        for window in newest.saturating_sub(BACK)..newest {
-            if self.reported.contains(&window) || !self.registry.knows(window) {
+        let newest = now.saturating_sub(REPORT_DELAY_MS) / window_ms.max(1);
+        for window in newest.saturating_sub(MAX_LATE_WINDOWS)..newest {
+            if self.reported.contains(&window) || !self.registry.has_window(window) {
                 continue;
             }
             if !self.report(window) {
@@ -200,29 +206,29 @@
         }
     }
 
-    /// Reports a window with the counts that the group has fixed; tells whether it was accepted.
+    /// Reports a window with the counts stored by the group; returns whether the platform accepted the report.
     fn report(&mut self, window: u64) -> bool {
         let counts = self.registry.counts(window);
         let command = Command::Usage(WindowUsage { window, counts });
-        let fixed = self.ask(|reply| StateRequest::Command(Box::new(command), reply));
-        let Some(Ok(Reply::Usage(usage))) = fixed else {
+        let stored = self.ask(|reply| StateRequest::Command(Box::new(command), reply));
+        let Some(Ok(Reply::Usage(usage))) = stored else {
             return false;
         };
-        // Fixing the counts took time; another may lead by now.
-        let Some((term, _)) = self.leads().filter(|(term, _)| *term == self.term) else {
+        // Storing the counts took time, in which another node may have become leader.
+        let Some((term, _)) = self.acting_term().filter(|(term, _)| *term == self.term) else {
             return false;
         };
-        let seat = DutyHolder {
+        let holder = DutyHolder {
             name: self.node.as_str(),
             fencing_token: term,
         };
-        self.acted = self.clock.now();
-        match self.office.report(&seat, &usage) {
+        self.last_call = self.clock.now();
+        match self.platform.report(&holder, &usage) {
             Ok(()) => {
                 info!(self.logger, "usage reported"; "window" => window, "accounts" => usage.counts.len(),
                     "requests" => usage.counts.values().sum::<u64>(), "fence" => term);
                 self.reported.insert(window);
-                while self.reported.len() > 4 * BACK as usize {
+                while self.reported.len() > 4 * MAX_LATE_WINDOWS as usize {
                     self.reported.pop_first();
                 }
                 true
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,4 +1,5 @@
-//! Replicated state: contracts and upstreams, claims and outcomes, leases with fencing tokens.
+//! Replicated state of gentianspring on Raft: contracts and upstreams, the catalog, claims of calls and their outcomes,
+//! and leases with fencing tokens.
 
 pub mod admin;
 pub mod applied;
@@ -7,7 +8,7 @@
 pub mod disk;
 pub mod duties;
 pub mod feed;
-mod listing;
+mod list_changes;
 pub mod lists;
 pub mod notices;
 pub mod peers;
@@ -16,5 +17,5 @@
 pub mod registry;
 pub mod rpc;
 pub mod settings;
-mod signs;
+mod shared_observations;
 pub mod uploads;
--- a/crates/state/src/lists.rs
+++ b/crates/state/src/lists.rs
@@ -1,4 +1,5 @@
-//! The leader reads the list of upstreams for all entry hosts, so that its rate does not grow with their number.
+//! Polling of the upstream list by the leader, on behalf of all entry hosts, so that the request rate does not grow
+//! with their number.
 
 use std::sync::Arc;
 use std::thread;
@@ -14,24 +15,24 @@
 use crate::core::{Leadership, StateRequest};
 use crate::registry::EntryRegistry;
 
-/// Pause between two reads. A reclaim's notice comes two seconds and a half before its end; the list tells it up to a second
-/// late and the news takes a beat to reach the entry hosts, so that half a second more is a third of what streams have to
-/// move.
-const PAUSE: Duration = Duration::from_millis(450);
+/// Pause between two reads. A reclaim is announced 2.5 s before it takes effect; the list shows it up to a second late,
+/// and entry hosts hear of it with their next heartbeat. Half a second more would take a third of the time that is left
+/// to migrate streams.
+const READ_PAUSE: Duration = Duration::from_millis(450);
 
-/// The thread that reads the list while its process leads.
+/// The thread that reads the list while its node leads.
 #[derive(derive_more::Debug)]
 pub struct ListPoller {
-    /// Questions to the thread that owns the state.
+    /// Requests to the thread that owns the state.
     pub requests: Sender<StateRequest>,
-    /// Where lists go.
+    /// Receives the lists.
     pub registry: Arc<EntryRegistry>,
-    /// The clock.
+    /// Clock of the node.
     pub clock: Clock,
-    /// What reads.
+    /// Source of the list.
     #[debug("directory")]
     pub directory: Box<dyn Directory>,
-    /// The log.
+    /// Logger of the node.
     pub logger: Logger,
 }
 
@@ -42,40 +43,41 @@
     /// Fails when the operating system refuses a thread.
     pub fn start(mut self) -> std::io::Result<()> {
         let work = move || {
-            let mut failed = 0;
+            let mut failures = 0;
             loop {
-                if let Some(term) = self.leads() {
-                    self.read(term, &mut failed);
+                if let Some(term) = self.leading_term() {
+                    self.read_list(term, &mut failures);
                 }
-                thread::sleep(PAUSE);
+                thread::sleep(READ_PAUSE);
             }
         };
         thread::Builder::new().name("lists".to_owned()).spawn(work).map(drop)
     }
 
-    fn leads(&self) -> Option<u64> {
+    /// Returns the term if this node leads.
+    fn leading_term(&self) -> Option<u64> {
         let (reply, answer) = oneshot::channel();
         self.requests.try_send(StateRequest::Leadership(reply)).ok()?;
         let lead: Leadership = answer.blocking_recv().ok()?;
         lead.since.map(|_| lead.term)
     }
 
-    fn read(&mut self, term: u64, failed: &mut u32) {
+    fn read_list(&mut self, term: u64, failures: &mut u32) {
         let asked = self.clock.now();
         match self.directory.read() {
             Ok(list) => {
-                if *failed > 0 {
-                    info!(self.logger, "list of upstreams is read again"; "tries" => *failed);
+                if *failures > 0 {
+                    info!(self.logger, "list of upstreams is read again"; "tries" => *failures);
                 }
-                *failed = 0;
+                *failures = 0;
                 self.registry.set_list(term, list, asked);
             }
             Err(error) => {
-                if *failed == 0 {
+                if *failures == 0 {
                     warn!(self.logger, "list of upstreams can't be read"; "step" => "list", "error" => error);
                 }
                 counter!("gentian_state_list_failed_total").increment(1);
-                *failed += 1;
+                *failures += 1;
             }
         }
     }
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -1,4 +1,4 @@
-//! `gentian-state`: the replicated state of gentianspring.
+//! `gentian-state`: a node of gentianspring's replicated state.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use telemetry::scrape::MetricsExporter;
 use telemetry::{ended, log};
 
-/// Threads of the administration API.
+/// Threads of the administration API, each for one request at a time.
 const ADMIN_THREADS: usize = 8;
 
 fn main() -> ExitCode {
@@ -45,14 +45,14 @@
         peers: settings.peers.clone(),
         membership: MembershipMode::Manual,
     };
-    let program = StateNode::start(me, &settings.data, Slack::default(), logger, &stop)?;
-    let admin = start_admin(settings, program.requests.clone(), scrape)?;
+    let node = StateNode::start(me, &settings.data, Slack::default(), logger, &stop)?;
+    let admin = start_admin(settings, node.requests.clone(), scrape)?;
     info!(logger, "serving"; "inner" => %settings.listen, "admin" => %admin.server_addr());
     while !stop.load(Ordering::Relaxed) {
         admin.poll_timeout(Duration::from_millis(50));
     }
     info!(logger, "stopping");
-    let stopped = program.stop(&settings.data);
+    let stopped = node.stop(&settings.data);
     log::finish();
     stopped
 }
--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -1,4 +1,4 @@
-//! The leader asks engines for reclaims, since the list tells of them too late for their streams to move.
+//! Polling of engines for reclaim notices by the leader: the list shows reclaims too late to migrate all streams.
 
 use std::sync::Arc;
 use std::thread;
@@ -16,25 +16,25 @@
 use crate::core::{Leadership, StateRequest};
 use crate::registry::EntryRegistry;
 
-/// Pause between two rounds of questions, one to each data centre. The shortest notices leave 1.1 s, of which engines tell after
-/// 0.2 s and entry hosts hear within a beat.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Age up to which a list says whom to ask.
-const LIST_FRESH: Duration = Duration::from_secs(3);
+/// Pause between two rounds, in which engines of each data centre are asked. The shortest notices leave 1.1 s; with
+/// this pause the leader learns of them within 0.2 s, and entry hosts with their next heartbeat.
+const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Greatest age of a list from which the engines to ask are chosen.
+const MAX_LIST_AGE: Duration = Duration::from_secs(3);
 
-/// The thread that asks while its process leads.
+/// The thread that asks engines for reclaims while its node leads.
 #[derive(derive_more::Debug)]
 pub struct ReclaimPoller {
-    /// Questions to the thread that owns the state.
+    /// Requests to the thread that owns the state.
     pub requests: Sender<StateRequest>,
-    /// Where reclaims go.
+    /// Receives the reclaims.
     pub registry: Arc<EntryRegistry>,
-    /// The clock.
+    /// Clock of the node.
     pub clock: Clock,
-    /// Who is asked.
+    /// Client of the engines.
     #[debug("engines")]
     pub engines: Box<dyn EngineProbe>,
-    /// The log.
+    /// Logger of the node.
     pub logger: Logger,
 }
 
@@ -45,58 +45,61 @@
     /// Fails when the operating system refuses a thread.
     pub fn start(self) -> std::io::Result<()> {
         let work = move || {
-            let mut turn = 0;
+            let mut round = 0;
             loop {
-                thread::sleep(PAUSE);
-                if let Some(term) = self.leads() {
-                    self.round(term, turn);
+                thread::sleep(ROUND_PAUSE);
+                if let Some(term) = self.leading_term() {
+                    self.ask_engines(term, round);
                 }
-                turn += 1;
+                round += 1;
             }
         };
         thread::Builder::new().name("notices".to_owned()).spawn(work).map(drop)
     }
 
-    fn leads(&self) -> Option<u64> {
+    /// Returns the term if this node leads.
+    fn leading_term(&self) -> Option<u64> {
         let (reply, answer) = oneshot::channel();
         self.requests.try_send(StateRequest::Leadership(reply)).ok()?;
         let lead: Leadership = answer.blocking_recv().ok()?;
         lead.since.map(|_| lead.term)
     }
 
-    fn round(&self, term: u64, turn: usize) {
-        let Some(list) = self.registry.list(self.clock.now(), LIST_FRESH) else {
+    /// Asks engines of each group of upstreams and records the reclaims that they report.
+    fn ask_engines(&self, term: u64, round: usize) {
+        let Some(list) = self.registry.list(self.clock.now(), MAX_LIST_AGE) else {
             return;
         };
-        for (group, asked) in engines_to_probe(&list, turn) {
-            if let Some(left) = self.left(&asked) {
-                self.tell(term, group, left, asked.len());
+        for (group, asked) in engines_to_probe(&list, round) {
+            if let Some(left) = self.time_left(&asked) {
+                self.report_reclaim(term, group, left, asked.len());
             }
         }
     }
 
-    /// Gives the time that is left if all of them say that they are taken away.
-    fn left(&self, asked: &[&Listed]) -> Option<Duration> {
-        let mut least: Option<Duration> = None;
-        for one in asked {
-            let left = self.ask(one)?;
-            least = Some(least.map_or(left, |least| least.min(left)));
+    /// Returns the shortest time until the reclaim if all asked engines report one.
+    fn time_left(&self, asked: &[&Listed]) -> Option<Duration> {
+        let mut shortest: Option<Duration> = None;
+        for engine in asked {
+            let left = self.ask_engine(engine)?;
+            shortest = Some(shortest.map_or(left, |shortest| shortest.min(left)));
         }
-        least
+        shortest
     }
 
-    fn ask(&self, one: &Listed) -> Option<Duration> {
-        let answer = self.engines.left(one.address);
+    /// Returns the time until an engine's host is reclaimed; `None` if it is not, or if the engine does not answer.
+    fn ask_engine(&self, engine: &Listed) -> Option<Duration> {
+        let answer = self.engines.left(engine.address);
         answer.unwrap_or_else(|error| {
-            // An engine that does not answer is judged by the list and by its callers.
+            // An engine that does not answer is left to the list and to the entry hosts' own failure detection.
             counter!("gentian_state_notices_failed_total").increment(1);
-            debug!(self.logger, "engine does not tell"; "upstream" => &one.id, "peer" => %one.address,
-                "step" => "notice", "error" => error);
+            debug!(self.logger, "engine did not answer whether it is reclaimed"; "upstream" => &engine.id,
+                "peer" => %engine.address, "step" => "notice", "error" => error);
             None
         })
     }
 
-    fn tell(&self, term: u64, group: ReclaimGroup, left: Duration, witnesses: usize) {
+    fn report_reclaim(&self, term: u64, group: ReclaimGroup, left: Duration, witnesses: usize) {
         let now = self.clock.now();
         info!(self.logger, "engines tell of a reclaim"; "service" => %group.0, "zone" => %group.1,
             "left_ms" => left.as_millis() as u64, "witnesses" => witnesses);
--- a/crates/state/src/peers.rs
+++ b/crates/state/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to the other nodes: a thread and a bounded ring for each.
+//! Messages to the other nodes: a sender thread and a bounded queue for each.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,36 +16,36 @@
 use crate::core::Hello;
 use crate::raft::{Body, MemberId, Message, Snapshot};
 
-/// Parcels that may wait for a peer; more are dropped and counted, and the agreement sends again what matters.
+/// Most messages that may wait for a peer; more are dropped and counted, and Raft sends again what is needed.
 const MAX_QUEUED: usize = 256;
-/// Most bytes that travel in one call, unless a single parcel is larger.
+/// Most payload bytes of one call, unless a single message is larger.
 const MAX_BATCH_BYTES: usize = 1024 * 1024;
 /// Pause after a call that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What one node sends to another.
+/// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A message of the agreement.
+    /// A Raft message.
     Agree(Message),
-    /// A node tells who it is.
+    /// The announcement of a node.
     Hello(Hello),
-    /// The first members of a group that has just begun.
+    /// The first snapshot of a new group, sent to its blank members.
     Form(Snapshot),
 }
 
-/// Parcels with their sender.
+/// Messages of one call with their sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerBatch {
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub from: MemberId,
-    /// Where the sender answers.
+    /// Inner address of the sender.
     pub address: SocketAddr,
-    /// The parcels in order.
+    /// The messages in the order in which they were sent.
     pub parcels: Vec<PeerMessage>,
 }
 
-/// The rings to all peers.
+/// Queues and sender threads of all peers.
 #[derive(Debug)]
 pub struct PeerSenders {
     calls: RpcRuntime,
@@ -56,7 +56,7 @@
 }
 
 impl PeerSenders {
-    /// Makes the sending side of a node.
+    /// Creates the sending side of a node; a sender thread is started with the first message to its peer.
     #[must_use]
     pub const fn new(calls: RpcRuntime, node: NodeId, id: MemberId, address: SocketAddr) -> Self {
         Self {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sends a parcel, or drops it when too many wait.
+    /// Queues a message, or drops it when too many wait.
     pub fn send(&mut self, to: SocketAddr, message: PeerMessage) {
         if !self.queues.contains_key(&to)
             && let Some(queue) = self.start_sender(to)
@@ -107,7 +107,7 @@
     }
 }
 
-/// Waits for a parcel and takes what else there is.
+/// Waits for a message and takes those that are queued after it; `None` once the queue is closed.
 fn next_batch(messages: &Receiver<PeerMessage>) -> Option<Vec<PeerMessage>> {
     let first = messages.recv().ok()?;
     let mut bytes = payload_size(&first);
--- a/crates/state/src/program.rs
+++ b/crates/state/src/program.rs
@@ -1,4 +1,4 @@
-//! The parts that every program with replicated state is put together from.
+//! A state node: the thread that owns the state, the server of the inner protocol, and a client for the group.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -29,82 +29,82 @@
 use crate::registry::EntryRegistry;
 use crate::rpc::Rpc;
 
-/// Longest wait for another node.
-const TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for another node of the group; a frozen one must not keep newer messages waiting.
+/// Longest wait for an answer of another node.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest wait for the delivery of Raft messages; a paused node must not delay newer messages for longer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most connections of the inner protocol: some hundred learners and callers, each with one or two.
+/// Most connections of the inner protocol: several hundred hosts and other callers with one or two each.
 const MAX_CONNECTIONS: u32 = 2_048;
 
 /// A running state node.
 #[derive(Debug)]
 pub struct StateNode {
-    /// Questions to the thread that owns the state.
+    /// Requests to the thread that owns the state.
     pub requests: Sender<StateRequest>,
-    /// What is known of the entry hosts while this node leads.
+    /// What the node knows about entry hosts while it leads.
     pub registry: Arc<EntryRegistry>,
-    /// The clock of all its parts.
+    /// Clock of all parts of the node.
     pub clock: Clock,
-    /// Calls to other nodes.
+    /// Runtime for calls to other nodes.
     pub calls: RpcRuntime,
-    owner: JoinHandle<()>,
+    core_thread: JoinHandle<()>,
     server: ServerHandle,
 }
 
 impl StateNode {
-    /// Opens the data folder and starts the node; `stop` is set when the folder can't be written any more, `slack` is what
-    /// may pass beyond each quota in a window.
+    /// Opens the data folder and starts the node. `stop` is set when the folder cannot be written any more; `slack` is
+    /// by how much each quota may be exceeded in a window.
     ///
     /// # Errors
-    /// Fails when the data folder or the address can't be used.
+    /// Fails when the data folder or the address cannot be used.
     pub fn start(
-        me: NodeConfig,
+        config: NodeConfig,
         data: &Path,
         slack: Slack,
         logger: &Logger,
         stop: &Arc<AtomicBool>,
     ) -> anyhow::Result<Self> {
         let clock = Clock::start();
-        let calls = RpcRuntime::start(2, TIMEOUT)?;
-        let (requests, asks) = request_channel();
+        let calls = RpcRuntime::start(2, CALL_TIMEOUT)?;
+        let (requests, queue) = request_channel();
         let registry = Arc::new(EntryRegistry::new(slack));
         let rpc = Rpc::new(
-            me.node.clone(),
+            config.node.clone(),
             requests.clone(),
             Arc::clone(&registry),
             clock.clone(),
             logger.clone(),
         );
-        let listen = me.address;
-        let owner = start_owner(me, data, &calls, asks, clock.clone(), logger, stop)?;
+        let listen = config.address;
+        let core_thread = start_core(config, data, &calls, queue, clock.clone(), logger, stop)?;
         let mut methods = StateRpcServer::into_rpc(rpc.clone());
         methods.merge(CatalogRpcServer::into_rpc(rpc.clone()))?;
         methods.merge(RaftRpcServer::into_rpc(rpc))?;
-        let config = ServerConfig::builder()
+        let limits = ServerConfig::builder()
             .max_request_body_size(MAX_MESSAGE_BYTES)
             .max_response_body_size(MAX_MESSAGE_BYTES)
             .max_connections(MAX_CONNECTIONS)
             .build();
-        let server = calls.wait(Server::builder().set_config(config).build(listen))?;
+        let server = calls.wait(Server::builder().set_config(limits).build(listen))?;
         let server = calls.wait(async { server.start(methods) });
         Ok(Self {
             requests,
             registry,
             clock,
             calls,
-            owner,
+            core_thread,
             server,
         })
     }
 
-    /// Stops the inner protocol.
+    /// Stops the server of the inner protocol.
     ///
     /// # Errors
-    /// Fails when the data folder could not be written.
+    /// Fails when the node had already stopped because the data folder could not be written.
     pub fn stop(&self, data: &Path) -> anyhow::Result<()> {
-        // A second request to stop changes nothing.
+        // The only error is that the server was stopped before.
         let _ = self.server.stop();
-        if self.owner.is_finished() {
+        if self.core_thread.is_finished() {
             anyhow::bail!(
                 "the data folder {} cannot be written; the log names the file",
                 data.display()
@@ -114,11 +114,11 @@
     }
 }
 
-fn start_owner(
-    me: NodeConfig,
+fn start_core(
+    config: NodeConfig,
     data: &Path,
     calls: &RpcRuntime,
-    asks: Receiver<StateRequest>,
+    queue: Receiver<StateRequest>,
     clock: Clock,
     logger: &Logger,
     stop: &Arc<AtomicBool>,
@@ -126,29 +126,29 @@
     let (folder, restored) = Folder::open(data, Limits::default())?;
     let peers = PeerSenders::new(
         calls.with_timeout(PEER_TIMEOUT),
-        me.node.clone(),
+        config.node.clone(),
         restored.id,
-        me.address,
+        config.address,
     );
-    let core = Core::new(me, folder, restored, peers, clock, logger.clone())?;
+    let core = Core::new(config, folder, restored, peers, clock, logger.clone())?;
     let stop = Arc::clone(stop);
     let work = move || {
-        if core.run(&asks).is_err() {
+        if core.run(&queue).is_err() {
             stop.store(true, Ordering::Relaxed);
         }
     };
     Ok(std::thread::Builder::new().name("state".to_owned()).spawn(work)?)
 }
 
-/// Time in which a node looks for a leader before it tells an operator that there is none. Operators move on to another
-/// node after a second.
-const DECIDE: Duration = Duration::from_millis(800);
-/// Bytes of a publication in one entry of the log.
-const PIECE: usize = 256 * 1024;
-/// Pause before the leader is looked for again.
-const PAUSE: Duration = Duration::from_millis(40);
+/// Time for which a node looks for a leader before it reports to an operator that there is none. Operators turn to
+/// another node after a second.
+const LEADER_SEARCH: Duration = Duration::from_millis(800);
+/// Most bytes of a publication in one log entry.
+const PIECE_BYTES: usize = 256 * 1024;
+/// Pause before the leader is looked up again.
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// The group as an operator's API at any of its nodes sees it: what another node has to decide is passed on to it.
+/// Client of the group for the operators' API of any of its nodes: commands are forwarded to the leader.
 #[derive(Clone, Debug)]
 pub struct GroupClient {
     node: NodeId,
@@ -157,26 +157,26 @@
 }
 
 impl StateNode {
-    /// Gives the group as seen from this node.
+    /// Returns a client of the group that starts at this node; `node` names it to the others.
     #[must_use]
     pub fn group_client(&self, node: &NodeId) -> GroupClient {
         GroupClient {
             node: node.clone(),
             requests: self.requests.clone(),
-            calls: self.calls.with_timeout(DECIDE),
+            calls: self.calls.with_timeout(LEADER_SEARCH),
         }
     }
 }
 
 impl GroupClient {
-    /// Publishes a document.
+    /// Publishes a document with its catalog.
     #[must_use]
     pub fn publish(&self, ask: &Publish) -> Published {
-        if ask.document.len() > PIECE {
+        if ask.document.len() > PIECE_BYTES {
             return self.publish_in_pieces(ask);
         }
         let remote = |client: HttpClient, message| async move { client.publish(message).await };
-        let result = self.decide(
+        let result = self.run_command(
             Command::Publish(ask.clone()),
             |reply| match reply {
                 Reply::Published(published) => Some(published),
@@ -195,7 +195,7 @@
     #[must_use]
     pub fn fetch(&self) -> Fetched {
         let remote = |client: HttpClient, message| async move { client.fetch(message).await };
-        let result = self.decide(
+        let result = self.run_command(
             Command::Fetch,
             |reply| match reply {
                 Reply::Fetched(fetched) => Some(fetched),
@@ -210,7 +210,7 @@
         result.unwrap_or_else(Fetched::Unavailable)
     }
 
-    /// Publishes a document in several entries of the log, so that none of them keeps beats and other changes waiting.
+    /// Publishes a document in several log entries, so that no large entry delays heartbeats and other changes.
     fn publish_in_pieces(&self, ask: &Publish) -> Published {
         let bytes = postcard::to_stdvec(ask).expect("every publication can be encoded");
         let id = UploadId {
@@ -220,7 +220,7 @@
         };
         let (mut offset, mut moved) = (0, Instant::now());
         loop {
-            let until = bytes.len().min(offset + PIECE);
+            let until = bytes.len().min(offset + PIECE_BYTES);
             let piece = Upload {
                 id,
                 offset: offset as u64,
@@ -230,21 +230,21 @@
                 Uploaded::Published(published) => return published,
                 Uploaded::Unreadable(why) => return Published::Unavailable(undecided(&why)),
                 Uploaded::Held(held) if held as usize > offset => (offset, moved) = (held as usize, Instant::now()),
-                // Others' pieces have pushed this publication out.
-                Uploaded::Held(_) if moved.elapsed() > DECIDE => {
+                // Pieces of other publications have displaced this one.
+                Uploaded::Held(_) if moved.elapsed() > LEADER_SEARCH => {
                     return Published::Unavailable(undecided("too many publications at once"));
                 }
                 Uploaded::Held(held) => offset = held as usize,
-                // A piece that is sent twice is taken once, so that it can go to the next leader.
-                Uploaded::Unavailable(why) if moved.elapsed() > DECIDE => return Published::Unavailable(why),
-                Uploaded::Unavailable(_) => std::thread::sleep(PAUSE),
+                // A repeated piece has no effect, so that it can be sent again to the next leader.
+                Uploaded::Unavailable(why) if moved.elapsed() > LEADER_SEARCH => return Published::Unavailable(why),
+                Uploaded::Unavailable(_) => std::thread::sleep(RETRY_PAUSE),
             }
         }
     }
 
     fn upload(&self, piece: &Upload) -> Uploaded {
         let remote = |client: HttpClient, message| async move { client.upload(message).await };
-        let result = self.decide(
+        let result = self.run_command(
             Command::Upload(piece.clone()),
             |reply| match reply {
                 Reply::Uploaded(uploaded) => Some(uploaded),
@@ -259,8 +259,8 @@
         result.unwrap_or_else(Uploaded::Unavailable)
     }
 
-    /// Appends a command here or at the leader; looks for a leader for a short while.
-    fn decide<T, F>(
+    /// Appends a command at this node or the leader; looks for a leader for at most [`LEADER_SEARCH`].
+    fn run_command<T, F>(
         &self,
         command: Command,
         unwrap: impl Fn(Reply) -> Option<T>,
@@ -272,12 +272,12 @@
     {
         let begun = Instant::now();
         loop {
-            let why = match self.here(command.clone()) {
+            let why = match self.run_locally(command.clone()) {
                 Ok(reply) => {
                     let other = || undecided("the reply belongs to another command");
                     return unwrap(reply).ok_or_else(other);
                 }
-                Err(Unavailable::NotLeader { leader: Some(leader) }) => match self.at(leader, &remote) {
+                Err(Unavailable::NotLeader { leader: Some(leader) }) => match self.run_at(leader, &remote) {
                     Ok(answer) => match refused(answer) {
                         Ok(answer) => return Ok(answer),
                         Err(why) => why,
@@ -286,14 +286,15 @@
                 },
                 Err(why) => why,
             };
-            if matches!(why, Unavailable::Undecided { .. }) || begun.elapsed() > DECIDE {
+            if matches!(why, Unavailable::Undecided { .. }) || begun.elapsed() > LEADER_SEARCH {
                 return Err(why);
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_PAUSE);
         }
     }
 
-    fn here(&self, command: Command) -> Result<Reply, Unavailable> {
+    /// Appends a command at this node.
+    fn run_locally(&self, command: Command) -> Result<Reply, Unavailable> {
         let (reply, answer) = oneshot::channel();
         if self
             .requests
@@ -301,13 +302,16 @@
             .is_err()
         {
             return Err(Unavailable::NoQuorum {
-                reason: "too many requests wait".to_owned(),
+                reason: "too many requests are waiting".to_owned(),
             });
         }
-        answer.blocking_recv().map_err(|_stopped| undecided("the node stops"))?
+        answer
+            .blocking_recv()
+            .map_err(|_stopped| undecided("the node is stopping"))?
     }
 
-    fn at<T, F>(&self, leader: SocketAddr, remote: impl Fn(HttpClient) -> F) -> Result<T, Unavailable>
+    /// Makes a call at the leader.
+    fn run_at<T, F>(&self, leader: SocketAddr, remote: impl Fn(HttpClient) -> F) -> Result<T, Unavailable>
     where
         F: Future<Output = Result<Envelope<T>, jsonrpsee::core::ClientError>>,
     {
--- a/crates/state/src/raft/change.rs
+++ b/crates/state/src/raft/change.rs
@@ -19,13 +19,13 @@
     #[display("not the leader")]
     NotLeading,
     /// Another change is not committed yet, or the leader has not committed a record of its own term.
-    #[display("another change of the members is not finished")]
+    #[display("another membership change is not finished")]
     InProgress,
     /// The member to remove or replace does not exist.
     #[display("no such member")]
     NoSuchMember,
     /// The node to add is already a member.
-    #[display("a member already")]
+    #[display("already a member")]
     AlreadyMember,
 }
 
@@ -35,8 +35,8 @@
     /// The later steps need no further call; a new leader continues them as well.
     ///
     /// # Errors
-    /// Fails when the node does not lead, another change is not finished, `old` is no member or `new` is one; then nothing
-    /// was written.
+    /// Fails when the node does not lead, another change is not finished, `old` is no member or `new` is one; then
+    /// nothing was written.
     pub fn replace(&mut self, old: MemberId, new: MemberId, member: Member, now: Tick) -> Result<Index, ChangeError> {
         self.check_lease(now);
         let members = self.changeable_members()?;
@@ -52,8 +52,8 @@
     /// Adds a learner that becomes a voter once it has caught up.
     ///
     /// # Errors
-    /// Fails when the node does not lead, another change is not finished, or `new` is already a member; then nothing was
-    /// written.
+    /// Fails when the node does not lead, another change is not finished, or `new` is already a member; then nothing
+    /// was written.
     pub fn add(&mut self, new: MemberId, member: Member, now: Tick) -> Result<Index, ChangeError> {
         self.check_lease(now);
         let members = self.changeable_members()?;
@@ -83,7 +83,8 @@
     /// Removes a member.
     ///
     /// # Errors
-    /// Fails when the node does not lead, another change is not finished, or `old` is no member; then nothing was written.
+    /// Fails when the node does not lead, another change is not finished, or `old` is no member; then nothing was
+    /// written.
     pub fn remove(&mut self, old: MemberId, now: Tick) -> Result<Index, ChangeError> {
         self.check_lease(now);
         let mut members = self.changeable_members()?;
@@ -107,8 +108,8 @@
         };
         let mut members = members;
         if votes {
-            // The new voter has caught up. Removing the old member first would leave a group of two, which the loss of one
-            // host would stop.
+            // The new voter has caught up. Removing the old member first would leave a group of two, which the loss of
+            // one host would stop.
             members.0.remove(&old);
             if let Some(member) = members.0.get_mut(&new) {
                 member.replaces = None;
@@ -139,8 +140,8 @@
 
     /// Returns whether a learner is close enough to the end of the log to become a voter.
     ///
-    /// A voter that lags far behind counts for the size of a majority but acknowledges no new records for a long time; the
-    /// loss of another host in that time would stop the group.
+    /// A voter that lags far behind counts for the size of a majority but acknowledges no new records for a long time;
+    /// the loss of another host in that time would stop the group.
     fn has_caught_up(&self, id: MemberId) -> bool {
         let matched = self.matched(id);
         matched.0 + MAX_PROMOTION_LAG >= self.log.last().index.0 && matched >= self.snapshot.at.index
@@ -155,8 +156,8 @@
 
     /// Returns the current members if they may be changed now.
     ///
-    /// Two changes at once, or one before a record of the leader's own term is committed, could result in two majorities
-    /// that do not overlap.
+    /// Two changes at once, or one before a record of the leader's own term is committed, could result in two
+    /// majorities that do not overlap.
     fn changeable_members(&self) -> Result<Members, ChangeError> {
         if !matches!(self.role, Role::Leader(_)) {
             return Err(ChangeError::NotLeading);
--- a/crates/state/src/raft/election.rs
+++ b/crates/state/src/raft/election.rs
@@ -17,8 +17,8 @@
                 pre: true,
                 granted: true,
             } => true,
-            // A node that was partitioned would otherwise depose a leader that all others hear, and that leader relies on
-            // its followers granting no vote until its lease ends.
+            // A node that was partitioned would otherwise depose a leader that all others hear, and that leader relies
+            // on its followers granting no vote until its lease ends.
             Body::AskVote { pre: false, .. } if self.withholds_votes(now) => false,
             _ => {
                 self.step_down(message.term, now);
@@ -31,8 +31,8 @@
     pub(super) fn reject_stale(&mut self, message: &Message) {
         match message.body {
             Body::AskVote { pre, .. } => self.queue_message(message.from, Body::Vote { pre, granted: false }),
-            // The answer has no echo of the sender's clock. When it arrives, the sender may lead in the newer term, even
-            // with a restarted clock, and would take the echo for an acknowledgement of that term.
+            // The answer has no echo of the sender's clock. When it arrives, the sender may lead in the newer term,
+            // even with a restarted clock, and would take the echo for an acknowledgement of that term.
             Body::Append { .. } | Body::Part { .. } => self.queue_message(message.from, Body::Old),
             _ => {}
         }
@@ -50,9 +50,9 @@
 
     /// Steps down when the leader lease has ended: no majority has answered within it.
     ///
-    /// A leader that was partitioned or paused must stop before others elect a new one; otherwise both would grant leases
-    /// and report different configurations to operators. The check uses the node's own clock and runs before any tick,
-    /// message or call is handled.
+    /// A leader that was partitioned or paused must stop before others elect a new one; otherwise both would grant
+    /// leases and report different configurations to operators. The check uses the node's own clock and runs before any
+    /// tick, message or call is handled.
     pub(super) fn check_lease(&mut self, now: Tick) {
         if matches!(self.role, Role::Leader(_)) && !self.leads(now) {
             self.step_down(self.hard_state.term, now);
--- a/crates/state/src/raft/leader.rs
+++ b/crates/state/src/raft/leader.rs
@@ -247,11 +247,11 @@
             }
             leading.others.get(&id).map_or(Index(0), |progress| progress.matched)
         };
-        let Some(agreed) = self.members().majority_value(matched) else {
+        let Some(majority_index) = self.members().majority_value(matched) else {
             return;
         };
-        if agreed > self.commit && self.log.term_of(agreed) == Some(self.hard_state.term) {
-            self.commit = agreed;
+        if majority_index > self.commit && self.log.term_of(majority_index) == Some(self.hard_state.term) {
+            self.commit = majority_index;
             self.continue_change(now);
         }
     }
--- a/crates/state/src/raft/log.rs
+++ b/crates/state/src/raft/log.rs
@@ -81,8 +81,8 @@
             .collect()
     }
 
-    /// Returns the newest index up to which the logs may match when the record at `index` conflicts: the end of the term
-    /// before the conflicting one.
+    /// Returns the newest index up to which the logs may match when the record at `index` conflicts: the end of the
+    /// term before the conflicting one.
     pub(super) fn conflict_hint(&self, index: Index) -> Index {
         let Some(term) = self.term_of(index) else {
             return self.last().index.min(index.previous());
--- a/crates/state/src/raft/message.rs
+++ b/crates/state/src/raft/message.rs
@@ -19,8 +19,8 @@
 
 /// Content of a message.
 ///
-/// `sent` is the leader's own clock in microseconds. The answer echoes it, so that the leader can compute its lease without
-/// comparing two clocks.
+/// `sent` is the leader's own clock in microseconds. The answer echoes it, so that the leader can compute its lease
+/// without comparing two clocks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// Requests a vote or a pre-vote.
--- a/crates/state/src/raft/node.rs
+++ b/crates/state/src/raft/node.rs
@@ -124,8 +124,8 @@
             next_write: synced.next(),
             role: Role::Follower { leader: None },
             election_deadline: now,
-            // Before it stopped, the node may have acknowledged a leader, whose lease relies on it for up to the election
-            // timeout; a vote for another node in that time could make two leaders.
+            // Before it stopped, the node may have acknowledged a leader, whose lease relies on it for up to the
+            // election timeout; a vote for another node in that time could make two leaders.
             vote_lockout: now + timing.election,
             incoming_snapshot: None,
             snapshot_received: false,
@@ -282,8 +282,8 @@
         Ok(first)
     }
 
-    /// Returns the next writes and messages. The writes must be synced before [`Node::on_synced`] is called and before the
-    /// messages in [`Ready::after_sync`] are sent.
+    /// Returns the next writes and messages. The writes must be synced before [`Node::on_synced`] is called and before
+    /// the messages in [`Ready::after_sync`] are sent.
     pub fn ready(&mut self, now: Tick) -> Ready {
         self.send_pending(now);
         let last = self.log.last().index;
@@ -325,8 +325,8 @@
         records
     }
 
-    /// Takes over `data` as the snapshot of the applied state and drops the log before it, except for the last
-    /// [`KEPT_RECORDS`] records.
+    /// Takes over `data` as the snapshot of the applied state and drops the log before it, except for the newest
+    /// records, which followers a little behind still need.
     pub fn compact(&mut self, data: Vec<u8>) -> &Snapshot {
         let index = self.applied;
         let term = self.log.term_of(index).unwrap_or(self.snapshot.at.term);
--- a/crates/state/src/raft/timing.rs
+++ b/crates/state/src/raft/timing.rs
@@ -4,8 +4,8 @@
 
 /// Leader lease as a percentage of the election timeout.
 ///
-/// The rest tolerates clock rates that differ by up to a fifth: a leader stops by its own clock before the followers, by
-/// theirs, may elect another.
+/// The rest tolerates clock rates that differ by up to a fifth: a leader stops by its own clock before the followers,
+/// by theirs, may elect another.
 const LEASE_PERCENT: u32 = 80;
 
 /// Timeouts of the Raft protocol; they must be the same on all nodes.
@@ -13,8 +13,8 @@
 pub struct Timing {
     /// Interval between two heartbeats.
     pub heartbeat: Duration,
-    /// Shortest interval between two heartbeats when there is a newer commit index to announce, so that clients watching
-    /// a follower hear of it soon.
+    /// Shortest interval between two heartbeats when there is a newer commit index to announce, so that clients
+    /// watching a follower hear of it soon.
     pub commit_notice: Duration,
     /// Shortest election timeout; each node waits a random time between this and twice this without a leader.
     pub election: Duration,
--- a/crates/state/src/raft/types.rs
+++ b/crates/state/src/raft/types.rs
@@ -15,11 +15,11 @@
 #[derive(Clone, Copy, Debug, Default, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Index(pub u64);
 
-/// Id of one incarnation of a node's disk.
+/// Id of one incarnation of a node: of the disk that holds its votes and its log.
 ///
 /// A node whose disk was lost has lost its votes and its log. Under its old id, records that it had acknowledged would
-/// count as replicated although they are gone, and it could vote twice in a term. A blank disk therefore gets a new random
-/// id, which counts for nothing until it is a member.
+/// count as replicated although they are gone, and it could vote twice in a term. A blank disk therefore gets a new
+/// random id, which counts for nothing until it is a member.
 #[derive(Clone, Copy, Debug, Default, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{_0:016x}")]
 pub struct MemberId(pub u64);
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -1,6 +1,6 @@
-//! What the leader knows of the entry hosts: who shares the limits, and what they count.
+//! What the leader knows about entry hosts: which of them share quotas, and what they report.
 //!
-//! None of it is written to the log: every entry host says all of it again within a beat.
+//! None of it is written to the log: every entry host reports all of it again with its next heartbeat.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,50 +15,52 @@
 use policy::rollout::{Progress, Rollout};
 use wire::registry::{Heartbeat, LeaderUpdate, QuotaShare, ServiceLoad};
 
-use crate::listing::Listing;
-use crate::signs::Signs;
+use crate::list_changes::UpstreamList;
+use crate::shared_observations::Observations;
 
-/// Windows of usage that are kept: at the length of five seconds, more than three minutes.
+/// Usage windows that are kept: more than three minutes with windows of five seconds.
 const KEPT_WINDOWS: usize = 40;
 
-/// What the leader of a term knows of the entry hosts.
+/// What the leader of a term knows about entry hosts.
 #[derive(Debug, Default)]
 pub struct EntryRegistry {
     inner: Mutex<Inner>,
-    /// Units beyond a quota that may pass in a window, over all entry hosts.
+    /// By how much all entry hosts together may exceed a quota in a window.
     slack: Slack,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     term: u64,
-    list: Listing,
+    list: UpstreamList,
     reclaims: ReportedReclaims,
-    signs: Signs,
+    observations: Observations,
     rollout: Rollout,
-    /// Number of sharers that the log holds.
-    counted: u32,
-    sharers: Option<QuotaAllocator>,
+    /// Number of entry hosts that the replicated state holds.
+    stored_count: u32,
+    allocator: Option<QuotaAllocator>,
+    /// Requests by usage window and by entry host with the incarnation of its process.
     counts: BTreeMap<u64, BTreeMap<(NodeId, u64), Counts>>,
+    /// Load of each service by entry host, with the time of its heartbeat.
     loads: BTreeMap<NodeId, (Tick, BTreeMap<String, ServiceLoad>)>,
 }
 
-/// What the log says of shared limits.
+/// Replicated inputs of shared quotas.
 #[derive(Clone, Debug, Default)]
 pub struct SharedLimits {
     /// Quotas by client account.
     pub quotas: Vec<(String, Quota)>,
-    /// Entry hosts that share, as last counted.
+    /// Number of entry hosts that share the quotas, as stored by the last leader.
     pub entry_hosts: u32,
-    /// Version of the newest catalog.
+    /// Version of the newest catalog; 0 without one.
     pub catalog_version: u64,
 }
 
-/// Requests by client account.
+/// Number of requests by client account.
 pub type Counts = BTreeMap<String, u64>;
 
 impl EntryRegistry {
-    /// Makes a registry that may let so many units beyond each quota pass.
+    /// Creates a registry; `slack` is by how much each quota may be exceeded.
     #[must_use]
     pub fn new(slack: Slack) -> Self {
         Self {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Takes a beat in a term; gives the entry host's parts once they are known.
+    /// Handles a heartbeat in a term; returns the update for the entry host, `None` until its share of quotas is known.
     pub fn heartbeat(
         &self,
         term: u64,
@@ -77,11 +79,11 @@
     ) -> Option<LeaderUpdate> {
         let mut inner = self.inner.lock();
         if inner.term != term {
-            // Another led in between, and may have given other parts.
-            inner.sharers = None;
+            // Another node led in between and may have given out other shares.
+            inner.allocator = None;
             inner.rollout = Rollout::default();
             inner.term = term;
-            inner.counted = shared.entry_hosts;
+            inner.stored_count = shared.entry_hosts;
         }
         for (window, counts) in beat.began {
             let runs = inner.counts.entry(window).or_default();
@@ -91,13 +93,13 @@
             inner.counts.pop_first();
         }
         inner.loads.insert(from.clone(), (now, beat.load));
-        inner.signs.note(from, beat.signs, now);
-        let sharers = inner
-            .sharers
+        inner.observations.record(from, beat.signs, now);
+        let allocator = inner
+            .allocator
             .get_or_insert_with(|| QuotaAllocator::new(shared.entry_hosts, now));
-        sharers.set_quotas(&shared.quotas, &self.slack, now);
-        let portion = sharers.record_heartbeat(from, now);
-        sharers.collect_overflow(from, beat.run, beat.spare);
+        allocator.set_quotas(&shared.quotas, &self.slack, now);
+        let portion = allocator.record_heartbeat(from, now);
+        allocator.collect_overflow(from, beat.run, beat.spare);
         let portion = portion?;
         let parts = QuotaShare {
             entries: portion.entries,
@@ -105,13 +107,13 @@
         };
         Some(LeaderUpdate {
             parts,
-            list: inner.list.news(&beat.list, beat.max_listed, now),
-            signs: inner.signs.others(from, now),
+            list: inner.list.changes_after(&beat.list, beat.max_listed, now),
+            signs: inner.observations.of_others(from, now),
             version: shared.catalog_version,
         })
     }
 
-    /// Notes the version that an entry host holds; gives what has become worth telling of the rollout.
+    /// Records the catalog version that an entry host holds; returns progress of the rollout that is to be logged.
     pub fn record_version(&self, from: &NodeId, held: u64, newest: u64, now: Tick) -> Option<Progress> {
         let mut inner = self.inner.lock();
         inner.rollout.publish(newest, now);
@@ -120,14 +122,14 @@
         inner.rollout.report(now)
     }
 
-    /// Takes over a list of upstreams that was asked for at a time, in a term.
+    /// Replaces the list of upstreams by one that the leader of a term requested at `asked`.
     pub fn set_list(&self, term: u64, mut list: Vec<Listed>, asked: Tick) {
         let mut inner = self.inner.lock();
         inner.reclaims.apply(&mut list, asked);
         inner.list.set(term, list, asked);
     }
 
-    /// Notes a reclaim that engines told of in a term; the list names their group as leaving at once.
+    /// Records a reclaim that engines reported in a term; the list shows the group as leaving at once.
     pub fn record_reclaim(&self, term: u64, group: ReclaimGroup, ends: Tick, now: Tick) {
         let mut inner = self.inner.lock();
         inner.reclaims.record(group, ends, now);
@@ -138,35 +140,36 @@
         }
     }
 
-    /// Gives the newest list, if it was asked for within a time.
+    /// Returns the newest list if it was requested less than `fresh` ago.
     pub fn list(&self, now: Tick, fresh: Duration) -> Option<Arc<Vec<Listed>>> {
         let inner = self.inner.lock();
         let (list, asked) = inner.list.list()?;
         (now.since(asked) < fresh).then(|| Arc::clone(list))
     }
 
-    /// Gives the number of those who share if it has changed since it was last asked for.
+    /// Returns the number of entry hosts that share quotas if it differs from the one returned or stored last.
     pub fn changed_count(&self, now: Tick) -> Option<u32> {
         let mut inner = self.inner.lock();
-        let count = inner.sharers.as_ref()?.entry_count(now);
-        let changed = count > 0 && count != inner.counted;
+        let count = inner.allocator.as_ref()?.entry_count(now);
+        let changed = count > 0 && count != inner.stored_count;
         if changed {
-            inner.counted = count;
+            inner.stored_count = count;
         }
         changed.then_some(count)
     }
 
-    /// Lends units of an account's quota in a term.
+    /// Lends units of an account's quota beyond the shares; returns whether the quota has room for them and the term is
+    /// current.
     pub fn lend(&self, term: u64, account: &str, units: f64, now: Tick) -> bool {
         let mut inner = self.inner.lock();
         let same = inner.term == term;
-        let sharers = inner.sharers.as_mut().filter(|_| same);
-        sharers.is_some_and(|sharers| sharers.lend(account, units, now))
+        let allocator = inner.allocator.as_mut().filter(|_| same);
+        allocator.is_some_and(|allocator| allocator.lend(account, units, now))
     }
 
-    /// Tells whether entry hosts were there when a window ended, so that its usage can be told.
+    /// Returns whether entry hosts have reported since a window or earlier, so that its counts are complete.
     #[must_use]
-    pub fn knows(&self, window: u64) -> bool {
+    pub fn has_window(&self, window: u64) -> bool {
         let inner = self.inner.lock();
         inner
             .counts
@@ -174,7 +177,7 @@
             .is_some_and(|(first, _)| *first <= window)
     }
 
-    /// Gives the requests that began in a window, over all entry hosts.
+    /// Returns the requests that began in a window, summed over all entry hosts.
     #[must_use]
     pub fn counts(&self, window: u64) -> Counts {
         let inner = self.inner.lock();
@@ -187,7 +190,7 @@
         sum
     }
 
-    /// Gives the load of each service over the entry hosts that beat within a time.
+    /// Returns the load of each service, summed over the entry hosts whose last heartbeat is at most `fresh` old.
     #[must_use]
     pub fn loads(&self, now: Tick, fresh: Duration) -> BTreeMap<String, ServiceLoad> {
         let inner = self.inner.lock();
--- a/crates/state/src/rpc.rs
+++ b/crates/state/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The inner protocol's calls, passed to the thread that owns the state.
+//! Server of the inner protocol: passes calls on to the thread that owns the state.
 
 use std::sync::Arc;
 
@@ -25,18 +25,18 @@
 use crate::peers::PeerBatch;
 use crate::registry::{EntryRegistry, SharedLimits};
 
-/// JSON-RPC code for a node that is stopping.
-const STOPPING: i32 = -32_001;
-/// JSON-RPC code for messages of another version.
-const UNREADABLE: i32 = -32_002;
+/// JSON-RPC error code of a node that is stopping or overloaded.
+const STOPPING_CODE: i32 = -32_001;
+/// JSON-RPC error code for Raft messages that cannot be decoded, such as those of another version.
+const UNREADABLE_CODE: i32 = -32_002;
 
-/// Late entry hosts that a log line names.
-const NAMED: usize = 8;
+/// Most late entry hosts that a log line names.
+const MAX_NAMED_HOSTS: usize = 8;
 
 /// Answers the calls of the inner protocol.
 #[derive(Clone, Debug)]
 pub struct Rpc {
-    me: NodeId,
+    node: NodeId,
     requests: Sender<StateRequest>,
     registry: Arc<EntryRegistry>,
     clock: Clock,
@@ -44,17 +44,17 @@
 }
 
 impl Rpc {
-    /// Makes the server side for a ring.
+    /// Creates the server; calls become requests to the thread that owns the state.
     #[must_use]
     pub const fn new(
-        me: NodeId,
+        node: NodeId,
         requests: Sender<StateRequest>,
         registry: Arc<EntryRegistry>,
         clock: Clock,
         logger: Logger,
     ) -> Self {
         Self {
-            me,
+            node,
             requests,
             registry,
             clock,
@@ -62,11 +62,11 @@
         }
     }
 
-    fn wrap<T>(&self, body: T) -> Envelope<T> {
-        Envelope::new(&self.me, Revision::default(), body)
+    fn envelope<T>(&self, body: T) -> Envelope<T> {
+        Envelope::new(&self.node, Revision::default(), body)
     }
 
-    /// Appends a command; a full ring is a refusal, since the command was not written.
+    /// Appends a command; a full queue answers [`Unavailable::NoQuorum`], since the command was not written.
     async fn command(&self, command: Command) -> RpcResult<Result<Reply, Unavailable>> {
         let (reply, answer) = oneshot::channel();
         if self
@@ -75,20 +75,20 @@
             .is_err()
         {
             return Ok(Err(Unavailable::NoQuorum {
-                reason: "too many requests wait".to_owned(),
+                reason: "too many requests are waiting".to_owned(),
             }));
         }
-        answer.await.map_err(|_closed| stopping())
+        answer.await.map_err(|_closed| stopping_error())
     }
 
-    /// Gives what the log says of shared limits.
-    async fn sharing(&self) -> RpcResult<SharedLimits> {
+    /// Returns the replicated inputs of shared quotas.
+    async fn shared_limits(&self) -> RpcResult<SharedLimits> {
         let read = |reply: oneshot::Sender<SharedLimits>| {
             StateRequest::Read(Box::new(move |applied, _age| {
                 let accounts = applied.catalog().map(|catalog| catalog.accounts.iter());
                 let quotas = accounts.into_iter().flatten();
                 let quotas = quotas.filter_map(|account| Some((account.name.clone(), account.quota?)));
-                // An asker that has gone away needs no answer.
+                // A dropped receiver needs no answer.
                 let _ = reply.send(SharedLimits {
                     quotas: quotas.collect(),
                     entry_hosts: applied.sharers,
@@ -96,17 +96,20 @@
                 });
             }))
         };
-        Ok(self.ask(read).await?.body)
+        Ok(self.request(read).await?.body)
     }
 
-    fn tell_rollout(&self, progress: &Progress) {
+    fn log_rollout(&self, progress: &Progress) {
         match progress {
             Progress::Complete { version, took, hosts } => {
                 info!(self.logger, "configuration in force on all entry hosts"; "version" => version,
                     "took_ms" => took.as_millis() as u64, "hosts" => hosts);
             }
             Progress::Late { version, lag, hosts } => {
-                let named = hosts.iter().take(NAMED).map(|(host, held)| format!("{host}:{held}"));
+                let named = hosts
+                    .iter()
+                    .take(MAX_NAMED_HOSTS)
+                    .map(|(host, held)| format!("{host}:{held}"));
                 let named: Vec<String> = named.collect();
                 warn!(self.logger, "entry hosts lag behind the configuration"; "version" => version,
                     "lag_ms" => lag.as_millis() as u64, "late" => hosts.len(), "held" => named.join(" "));
@@ -114,11 +117,12 @@
         }
     }
 
-    async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> StateRequest) -> RpcResult<Envelope<T>> {
+    /// Sends a request to the thread that owns the state and wraps its answer.
+    async fn request<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> StateRequest) -> RpcResult<Envelope<T>> {
         let (reply, answer) = oneshot::channel();
-        self.requests.try_send(ask(reply)).map_err(|_full| stopping())?;
-        let body = answer.await.map_err(|_closed| stopping())?;
-        Ok(self.wrap(body))
+        self.requests.try_send(ask(reply)).map_err(|_full| stopping_error())?;
+        let body = answer.await.map_err(|_closed| stopping_error())?;
+        Ok(self.envelope(body))
     }
 }
 
@@ -126,10 +130,10 @@
     ($rpc:ident, $command:expr, $kind:ident) => {{
         let body = match $rpc.command($command).await? {
             Ok(Reply::$kind(body)) => body,
-            Ok(_) => return Err(stopping()),
+            Ok(_) => return Err(stopping_error()),
             Err(why) => $kind::Unavailable(why),
         };
-        Ok($rpc.wrap(body))
+        Ok($rpc.envelope(body))
     }};
 }
 
@@ -140,7 +144,7 @@
     }
 
     async fn watch(&self, request: Envelope<Watch>) -> RpcResult<Envelope<Watched>> {
-        self.ask(|reply| StateRequest::Watch(request.body, reply)).await
+        self.request(|reply| StateRequest::Watch(request.body, reply)).await
     }
 
     async fn claim(&self, request: Envelope<Claim>) -> RpcResult<Envelope<Claimed>> {
@@ -156,7 +160,7 @@
     }
 
     async fn status(&self, _request: Envelope<()>) -> RpcResult<Envelope<StateStatus>> {
-        self.ask(StateRequest::Status).await
+        self.request(StateRequest::Status).await
     }
 }
 
@@ -175,51 +179,53 @@
     }
 
     async fn follow(&self, request: Envelope<Follow>) -> RpcResult<Envelope<Followed>> {
-        self.ask(|reply| StateRequest::Follow(request.body, reply)).await
+        self.request(|reply| StateRequest::Follow(request.body, reply)).await
     }
 
     async fn beat(&self, request: Envelope<Heartbeat>) -> RpcResult<Envelope<HeartbeatReply>> {
-        let lead = self.ask(StateRequest::Leadership).await?.body;
-        if lead.since.is_none() {
-            let leader = lead.leader;
-            return Ok(self.wrap(HeartbeatReply::Unavailable(Unavailable::NotLeader { leader })));
+        let leadership = self.request(StateRequest::Leadership).await?.body;
+        if leadership.since.is_none() {
+            let leader = leadership.leader;
+            return Ok(self.envelope(HeartbeatReply::Unavailable(Unavailable::NotLeader { leader })));
         }
-        let sharing = self.sharing().await?;
+        let shared = self.shared_limits().await?;
         let held = request.revision.0;
         let progress = self
             .registry
-            .record_version(&request.from, held, sharing.catalog_version, self.clock.now());
+            .record_version(&request.from, held, shared.catalog_version, self.clock.now());
         if let Some(progress) = progress {
-            self.tell_rollout(&progress);
+            self.log_rollout(&progress);
         }
         let beat = (&request.from, request.body);
-        let parts = self.registry.heartbeat(lead.term, beat, &sharing, self.clock.now());
+        let update = self
+            .registry
+            .heartbeat(leadership.term, beat, &shared, self.clock.now());
         if let Some(count) = self.registry.changed_count(self.clock.now()) {
             let (reply, _) = oneshot::channel();
-            // A count that is not noted now is noted when it next changes; until then the leader's own is used.
+            // A count that is not stored now is stored when it changes next; until then the leader uses its own.
             let _ = self
                 .requests
                 .try_send(StateRequest::Command(Box::new(Command::Sharers(count)), reply));
         }
-        let listening = || Unavailable::NoQuorum {
-            reason: "a new leader listens who shares the limits".to_owned(),
+        let collecting = || Unavailable::NoQuorum {
+            reason: "a new leader is collecting heartbeats of the entry hosts".to_owned(),
         };
-        let body = parts.map_or_else(
-            || HeartbeatReply::Unavailable(listening()),
-            |news| HeartbeatReply::News(Box::new(news)),
+        let body = update.map_or_else(
+            || HeartbeatReply::Unavailable(collecting()),
+            |update| HeartbeatReply::News(Box::new(update)),
         );
-        Ok(self.wrap(body))
+        Ok(self.envelope(body))
     }
 
     async fn borrow_units(&self, request: Envelope<Borrow>) -> RpcResult<Envelope<BorrowReply>> {
-        let lead = self.ask(StateRequest::Leadership).await?.body;
-        if lead.since.is_none() {
-            let leader = lead.leader;
-            return Ok(self.wrap(BorrowReply::Unavailable(Unavailable::NotLeader { leader })));
+        let leadership = self.request(StateRequest::Leadership).await?.body;
+        if leadership.since.is_none() {
+            let leader = leadership.leader;
+            return Ok(self.envelope(BorrowReply::Unavailable(Unavailable::NotLeader { leader })));
         }
         let Borrow { account, units } = request.body;
-        let lent = self.registry.lend(lead.term, &account, units, self.clock.now());
-        Ok(self.wrap(if lent { BorrowReply::Lent } else { BorrowReply::Over }))
+        let lent = self.registry.lend(leadership.term, &account, units, self.clock.now());
+        Ok(self.envelope(if lent { BorrowReply::Lent } else { BorrowReply::Over }))
     }
 }
 
@@ -227,7 +233,11 @@
 impl RaftRpcServer for Rpc {
     async fn deliver(&self, batch: Envelope<Packet>) -> RpcResult<()> {
         let delivery: PeerBatch = postcard::from_bytes(&batch.body.messages).map_err(|error| {
-            ErrorObjectOwned::owned(UNREADABLE, format!("messages of {}: {error}", batch.from), None::<()>)
+            ErrorObjectOwned::owned(
+                UNREADABLE_CODE,
+                format!("messages of {}: {error}", batch.from),
+                None::<()>,
+            )
         })?;
         if self.requests.try_send(StateRequest::Deliver(delivery)).is_err() {
             counter!("gentian_state_messages_dropped_total").increment(1);
@@ -236,6 +246,6 @@
     }
 }
 
-fn stopping() -> ErrorObjectOwned {
-    ErrorObjectOwned::owned(STOPPING, "the node is stopping or overloaded", None::<()>)
+fn stopping_error() -> ErrorObjectOwned {
+    ErrorObjectOwned::owned(STOPPING_CODE, "the node is stopping or overloaded", None::<()>)
 }
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the program.
+//! Settings of `gentian-state`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -69,30 +69,30 @@
 /// Every setting of the program, in the order of the reference page.
 pub static ALL: [&Setting; 7] = [&NODE, &PEERS, &LISTEN, &ADMIN, &DATA, &OPERATOR_KEY, &LOG];
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of this node.
+    /// Name of this node, unique in the group.
     pub node: NodeId,
-    /// Inner addresses of the group.
+    /// Inner addresses of all voters, this node's own included.
     pub peers: Vec<SocketAddr>,
-    /// Address of the inner protocol.
+    /// Address on which the inner protocol is served.
     pub listen: SocketAddr,
-    /// Address of the administration API.
+    /// Address on which the administration API is served.
     pub admin: SocketAddr,
-    /// Folder of log and snapshots.
+    /// Folder of the log and snapshots.
     pub data: PathBuf,
-    /// Hash of the operators' key.
+    /// Hash of the bearer key that may do everything.
     pub operator: KeyHash,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log: Format,
 }
 
 impl Settings {
-    /// Reads and checks every setting; the sheet also renders them.
+    /// Reads and validates every setting; the sheet records their values and origins for printing.
     ///
     /// # Errors
-    /// Returns every setting that is missing or not allowed.
+    /// Returns every setting that is missing or invalid.
     pub fn read(options: &Options, sheet: &mut Sheet) -> Result<Self, Problems> {
         let node = sheet.read::<String>(&NODE, options.node.as_deref()).map(NodeId::from);
         let node = sheet.check(&NODE, node, NodeId::is_valid);
--- a/crates/state/src/uploads.rs
+++ b/crates/state/src/uploads.rs
@@ -1,42 +1,42 @@
-//! Publications that arrive in pieces, each an entry of the log.
+//! Uploads of large publications in pieces, each of them a log entry.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use wire::catalog::{Upload, UploadId};
 
-/// Bytes of unfinished publications that are kept.
+/// Most bytes of unfinished publications that are kept.
 const KEPT_BYTES: u64 = 32 * 1024 * 1024;
-/// Time without a piece after which a publication is given up, in milliseconds of log time.
-const ABANDONED_MS: u64 = 30_000;
+/// Time without a new piece after which an upload is dropped, in milliseconds of log time.
+const ABANDON_AFTER_MS: u64 = 30_000;
 
-/// Publications of which pieces are missing.
+/// Unfinished uploads.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Uploads {
-    open: BTreeMap<UploadId, Open>,
+    open: BTreeMap<UploadId, Unfinished>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Open {
+struct Unfinished {
     bytes: Vec<u8>,
-    /// When the last piece came, in log time.
+    /// Log time at which the last piece arrived.
     at_ms: u64,
 }
 
-/// What a piece has led to.
+/// Result of adding a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Added {
-    /// So many bytes are there.
+pub enum AddedPiece {
+    /// The upload is incomplete; this many bytes have arrived.
     Held(u64),
-    /// All bytes are there.
+    /// The upload is complete; these are its bytes.
     Complete(Vec<u8>),
 }
 
 impl Uploads {
-    /// Adds a piece. One that is there already, or comes before its time, changes nothing.
-    pub fn add(&mut self, piece: &Upload, at_ms: u64) -> Added {
+    /// Adds a piece. A piece that arrived before, or out of order, adds nothing.
+    pub fn add(&mut self, piece: &Upload, at_ms: u64) -> AddedPiece {
         self.open
-            .retain(|id, open| *id == piece.id || open.at_ms.saturating_add(ABANDONED_MS) > at_ms);
+            .retain(|id, open| *id == piece.id || open.at_ms.saturating_add(ABANDON_AFTER_MS) > at_ms);
         let open = self.open.entry(piece.id).or_default();
         open.at_ms = at_ms;
         if open.bytes.len() as u64 == piece.offset {
@@ -44,15 +44,15 @@
         }
         let held = open.bytes.len() as u64;
         if held < piece.id.total {
-            self.make_room(piece.id);
-            return Added::Held(held);
+            self.drop_oldest(piece.id);
+            return AddedPiece::Held(held);
         }
         let whole = self.open.remove(&piece.id);
-        Added::Complete(whole.unwrap_or_default().bytes)
+        AddedPiece::Complete(whole.unwrap_or_default().bytes)
     }
 
-    /// Drops those that have waited longest, but never the one that is being added to.
-    fn make_room(&mut self, added: UploadId) {
+    /// Drops the uploads that have waited longest until [`KEPT_BYTES`] suffice, but never the one that was added to.
+    fn drop_oldest(&mut self, added: UploadId) {
         while self.open.values().map(|open| open.bytes.len() as u64).sum::<u64>() > KEPT_BYTES {
             let others = self.open.iter().filter(|(id, _)| **id != added);
             let Some(oldest) = others.min_by_key(|(_, open)| open.at_ms).map(|(id, _)| *id) else {
