--- a/crates/state/examples/measure/claims.rs
+++ b/crates/state/examples/measure/claims.rs
@@ -1,4 +1,4 @@
-//! Claims a second and their times, at 1, 16 and 128 concurrent callers.
+//! Claims per second and their latency, with 1, 16 and 128 concurrent callers.
 
 use std::path::Path;
 use std::thread;
@@ -11,7 +11,7 @@
 use crate::nodes::Nodes;
 use crate::process::cpu_ms;
 
-const TIME: Duration = Duration::from_secs(5);
+const RUN_TIME: Duration = Duration::from_secs(5);
 
 pub(crate) fn run(program: &Path) {
     let nodes = Nodes::start(program, 3);
@@ -29,7 +29,7 @@
         });
         times.sort_by(f64::total_cmp);
         let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
-        let rate = times.len() as f64 / TIME.as_secs_f64();
+        let rate = times.len() as f64 / RUN_TIME.as_secs_f64();
         let spent = (cpu(&nodes) - before) / times.len() as f64;
         println!(
             "{callers:>10} {rate:>10.0} {:>8.2} {:>8.2} {:>8.2} {spent:>22.3}",
@@ -44,7 +44,7 @@
     let client = StateClient::new(calls, &"measure".into(), &nodes.inner).unwrap();
     let begin = Instant::now();
     let mut times = Vec::new();
-    while begin.elapsed() < TIME {
+    while begin.elapsed() < RUN_TIME {
         let key = format!("deposit-{callers}-{caller}-{}", times.len());
         let claim = Claim {
             group: 0,
--- a/crates/state/examples/measure/force.rs
+++ b/crates/state/examples/measure/force.rs
@@ -1,4 +1,4 @@
-//! Time until a change is in force on every entry host.
+//! Time until a configuration change is in force on every entry host.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,12 +10,12 @@
 
 use crate::nodes::{Nodes, free_ports, wait};
 
-const HOSTS: usize = 8;
+const ENTRY_HOSTS: usize = 8;
 const CHANGES: usize = 200;
 
 pub(crate) fn run(state: &Path, entry: &Path) {
     let nodes = Nodes::start(state, 3);
-    let ops = free_ports(HOSTS);
+    let ops = free_ports(ENTRY_HOSTS);
     let peers: Vec<String> = nodes.inner.iter().map(ToString::to_string).collect();
     let start = |(number, ops): (usize, &SocketAddr)| {
         Command::new(entry)
@@ -27,10 +27,10 @@
             .unwrap()
     };
     let hosts: Vec<Child> = ops.iter().enumerate().map(start).collect();
-    let mut times: Vec<Duration> = (0..CHANGES).map(|number| one(&nodes, &ops, number)).collect();
+    let mut times: Vec<Duration> = (0..CHANGES).map(|number| time_change(&nodes, &ops, number)).collect();
     times.sort();
     println!(
-        "{CHANGES} changes in force on {HOSTS} entry hosts: {:?} at the median, {:?} at most",
+        "{CHANGES} changes in force on {ENTRY_HOSTS} entry hosts: {:?} at the median, {:?} at most",
         times[CHANGES / 2],
         times[CHANGES - 1]
     );
@@ -40,8 +40,8 @@
     }
 }
 
-/// Makes a change and waits until every host's metrics show its revision.
-fn one(nodes: &Nodes, ops: &[SocketAddr], number: usize) -> Duration {
+/// Makes a change and returns the time until every host's metrics show its revision.
+fn time_change(nodes: &Nodes, ops: &[SocketAddr], number: usize) -> Duration {
     let ask = Propose {
         id: format!("force-{number}").as_str().into(),
         base: None,
@@ -53,12 +53,13 @@
         panic!("the change was not accepted");
     };
     for host in ops {
-        wait("the revision", || (shown(*host)? >= revision.0 as f64).then_some(()));
+        wait("the revision", || (scrape(*host)? >= revision.0 as f64).then_some(()));
     }
     begin.elapsed()
 }
 
-fn shown(host: SocketAddr) -> Option<f64> {
+/// Returns the configuration revision in a host's metrics.
+fn scrape(host: SocketAddr) -> Option<f64> {
     let text = ureq::get(format!("http://{host}/metrics"))
         .call()
         .ok()?
--- a/crates/state/examples/measure/learners.rs
+++ b/crates/state/examples/measure/learners.rs
@@ -1,4 +1,4 @@
-//! Idle control traffic and processor time for each entry host that follows the group.
+//! Control traffic and CPU time of the group for each entry host that follows it.
 
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
@@ -14,9 +14,9 @@
 use crate::process::{cpu_ms, memory_mib};
 use crate::relay;
 
-const TIME: Duration = Duration::from_secs(10);
-const COUNTS: [usize; 4] = [3, 8, 16, 32];
-/// A change each 17.28 s is 5,000 a day; this is about that in the measured time.
+const RUN_TIME: Duration = Duration::from_secs(10);
+const HOST_COUNTS: [usize; 4] = [3, 8, 16, 32];
+/// Changes in the measured time; one in 17.28 s would be 5,000 a day.
 const CHANGES: u64 = 1;
 
 pub(crate) fn run(state: &Path, entry: &Path) {
@@ -34,7 +34,7 @@
         "{:>8} {:>14} {:>18} {:>18} {:>12}",
         "learners", "bytes/s each", "CPU ms/s, 3 nodes", "CPU ms/s, a host", "MiB a host"
     );
-    for count in COUNTS {
+    for count in HOST_COUNTS {
         while learners.len() < count {
             learners.push(learner(entry, &relays, learners.len()));
         }
@@ -43,8 +43,8 @@
         let hosts = || learners.iter().map(|child| cpu_ms(child.id())).sum::<f64>();
         let (sent, nodes_before, hosts_before) = (bytes.load(Ordering::Relaxed), state(), hosts());
         (0..CHANGES).for_each(|number| change(&nodes, count, number));
-        thread::sleep(TIME);
-        let seconds = TIME.as_secs_f64();
+        thread::sleep(RUN_TIME);
+        let seconds = RUN_TIME.as_secs_f64();
         let sent = (bytes.load(Ordering::Relaxed) - sent) as f64 / seconds;
         let used = (state() - nodes_before) / seconds;
         let host = (hosts() - hosts_before) / seconds / count as f64;
@@ -93,7 +93,7 @@
     assert!(matches!(answer, Proposed::Accepted(_)), "{answer:?}");
 }
 
-/// Fits a line through the points and gives how steep it is.
+/// Returns the slope of a line fitted through the points.
 fn slope(rows: &[(f64, f64, f64)], of: impl Fn(&(f64, f64, f64)) -> f64) -> f64 {
     let count = rows.len() as f64;
     let mean_x = rows.iter().map(|row| row.0).sum::<f64>() / count;
--- a/crates/state/examples/measure/main.rs
+++ b/crates/state/examples/measure/main.rs
@@ -1,4 +1,4 @@
-//! Measures the replicated state with real processes on one machine: `measure claims|outage|restart|learners|force|size`.
+//! Measures the replicated state with real processes on one host: `measure claims|outage|restart|learners|force|size`.
 
 #[path = "../../tests/nodes/mod.rs"]
 #[expect(dead_code, reason = "the tests use more of it")]
--- a/crates/state/examples/measure/outage.rs
+++ b/crates/state/examples/measure/outage.rs
@@ -1,4 +1,4 @@
-//! Time without a leader after its process was killed.
+//! Time without a leader after the leader's process was killed.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -8,17 +8,17 @@
 
 use crate::nodes::{Nodes, wait};
 
-const TRIES: usize = 20;
+const KILLS: usize = 20;
 
 pub(crate) fn run(program: &Path) {
     let mut nodes = Nodes::start(program, 3);
     let mut times = Vec::new();
-    for number in 0..TRIES {
+    for number in 0..KILLS {
         let leader = nodes.leader();
         (0..3).for_each(|n| nodes.caught_up(n));
         nodes.kill(leader);
         let begin = Instant::now();
-        // A write that a majority has synced is the proof that somebody leads again.
+        // A successful write proves that there is a leader again.
         wait("a write", || write(&nodes, number));
         times.push(begin.elapsed());
         nodes.run(leader);
@@ -27,9 +27,9 @@
     }
     times.sort();
     println!(
-        "{TRIES} kills of the leader: without one for {:?} at the median, {:?} at most",
-        times[TRIES / 2],
-        times[TRIES - 1]
+        "{KILLS} kills of the leader: without one for {:?} at the median, {:?} at most",
+        times[KILLS / 2],
+        times[KILLS - 1]
     );
 }
 
--- a/crates/state/examples/measure/relay.rs
+++ b/crates/state/examples/measure/relay.rs
@@ -1,4 +1,4 @@
-//! A relay that counts the bytes which pass it.
+//! A TCP relay that counts the bytes passing through it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-/// Starts a relay and gives its address.
+/// Starts a relay and returns its address.
 pub(crate) fn start(to: SocketAddr, count: &Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -16,14 +16,14 @@
             let Ok(far) = TcpStream::connect(to) else {
                 continue;
             };
-            pass(near.try_clone().unwrap(), far.try_clone().unwrap(), Arc::clone(&count));
-            pass(far, near, Arc::clone(&count));
+            forward(near.try_clone().unwrap(), far.try_clone().unwrap(), Arc::clone(&count));
+            forward(far, near, Arc::clone(&count));
         }
     });
     address
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, count: Arc<AtomicU64>) {
+fn forward(mut from: TcpStream, mut to: TcpStream, count: Arc<AtomicU64>) {
     from.set_nodelay(true).unwrap();
     thread::spawn(move || {
         let mut bytes = vec![0; 65_536];
@@ -33,7 +33,7 @@
         {
             count.fetch_add(length as u64, Ordering::Relaxed);
         }
-        // The other side may have hung up before.
+        // The peer may have closed the connection already.
         let _ = to.shutdown(Shutdown::Both);
     });
 }
--- a/crates/state/examples/measure/restart.rs
+++ b/crates/state/examples/measure/restart.rs
@@ -1,4 +1,4 @@
-//! Restart of a node that missed entries: time until it has caught up, and bytes that it is sent.
+//! Restart of a node that missed log entries: time until it has caught up, and bytes that it receives.
 
 use std::fs;
 use std::path::Path;
@@ -25,13 +25,13 @@
         nodes.caught_up(away);
         nodes.kill(away);
         write(&nodes, missed);
-        let before = received(&nodes);
+        let before = sent_bytes(&nodes);
         nodes.run(away);
         let begin = Instant::now();
         nodes.caught_up(away);
         let caught_up = begin.elapsed();
-        let moved = received(&nodes) - before;
-        let disk = size(&nodes.data(away));
+        let moved = sent_bytes(&nodes) - before;
+        let disk = folder_bytes(&nodes.data(away));
         nodes.kill(away);
         nodes.run(away);
         let begin = Instant::now();
@@ -45,7 +45,7 @@
     }
 }
 
-/// Writes entries of about the size of a claim that leave little state: renewals of a few leases.
+/// Writes log entries of about the size of a claim that add little state: renewals of a few leases.
 fn write(nodes: &Nodes, count: usize) {
     let calls = RpcRuntime::start(4, Duration::from_secs(5)).unwrap();
     thread::scope(|scope| {
@@ -66,8 +66,8 @@
     });
 }
 
-/// Gives the bytes that the nodes have sent to each other so far.
-fn received(nodes: &Nodes) -> f64 {
+/// Returns the bytes that the nodes have sent to each other so far.
+fn sent_bytes(nodes: &Nodes) -> f64 {
     let scrape = |n: usize| {
         let text = ureq::get(format!("http://{}/metrics", nodes.admin[n]))
             .call()
@@ -84,7 +84,7 @@
     (0..3).filter_map(scrape).sum()
 }
 
-fn size(folder: &Path) -> u64 {
+fn folder_bytes(folder: &Path) -> u64 {
     fs::read_dir(folder)
         .unwrap()
         .flatten()
--- a/crates/state/examples/measure/size.rs
+++ b/crates/state/examples/measure/size.rs
@@ -1,4 +1,4 @@
-//! What a kept claim costs: memory, bytes of a snapshot, and the time for which encoding it stops the leader.
+//! Cost of a stored claim: memory, bytes in a snapshot, and the time for which encoding the snapshot blocks the leader.
 
 use std::time::Instant;
 
@@ -17,7 +17,7 @@
     let mut number = 0;
     for count in [10_000, 100_000, 1_000_000] {
         while number < count {
-            add(&mut applied, number);
+            add_claim(&mut applied, number);
             number += 1;
         }
         let memory = (memory_mib(std::process::id()) - before) * 1_048_576.0 / f64::from(count);
@@ -38,7 +38,7 @@
 }
 
 /// Adds a claim with the outcome of a small booking.
-fn add(applied: &mut AppliedState, number: i32) {
+fn add_claim(applied: &mut AppliedState, number: i32) {
     let key = format!("deposit-{number:08}");
     let request = format!("entry-1-19ac4b2f1e0-{number}");
     let claim = Claim {
--- a/crates/state/tests/agreement.rs
+++ b/crates/state/tests/agreement.rs
@@ -1,19 +1,20 @@
-//! Whatever the network, the clocks and the disks do: one leader a term and a moment, nothing agreed is lost or changed.
+//! Raft safety under network, clock and disk faults: one leader per term and at a time, and no committed record is lost
+//! or changed.
 
 mod group;
 
-use group::{Group, Rough};
+use group::{Group, History};
 use quickcheck::{Gen, QuickCheck};
 
 const SEED: u64 = 20_261_202;
 
-fn check(histories: u64, seed: u64, rough: Rough) {
-    let history = move |seed: u64| {
-        println!("history {seed} of {rough:?}");
-        let mut group = Group::new(seed, rough.hosts);
-        group.live(rough);
+fn check_histories(histories: u64, seed: u64, history: History) {
+    let holds = move |seed: u64| {
+        println!("history {seed} of {history:?}");
+        let mut group = Group::new(seed, history.hosts);
+        group.run_history(history);
         println!(
-            "agreed {} wiped {} repaired {} removed {} terms {}",
+            "committed {} wiped {} repaired {} removed {} terms {}",
             group.count(),
             group.wiped,
             group.repaired,
@@ -25,10 +26,10 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, seed))
         .tests(histories)
-        .quickcheck(Histories(history));
+        .quickcheck(Histories(holds));
 }
 
-/// A property over seeds that isn't shrunk: a smaller seed is no simpler history.
+/// A property over seeds that is not shrunk, since a smaller seed is no simpler history.
 struct Histories<F>(F);
 
 impl<F: Fn(u64) -> bool + 'static> quickcheck::Testable for Histories<F> {
@@ -38,14 +39,15 @@
     }
 }
 
-/// Messages are lost, doubled, delayed and crossed, processes die before their writes are synced, are frozen and wake up
-/// late, links work in one direction only and clocks run at different rates. A user would notice a deposit that is gone.
+/// Guards against committed records that are lost, such as a deposit. Messages are dropped, duplicated, delayed and
+/// reordered, processes die before their writes are synced or are paused, links fail in one direction, and clocks run
+/// at different rates.
 #[test]
 fn three_nodes() {
-    check(
+    check_histories(
         150,
         SEED,
-        Rough {
+        History {
             hosts: 3,
             steps: 2_000,
             lose_disks: false,
@@ -54,13 +56,13 @@
     );
 }
 
-/// The same with five nodes, of which two may be away at any time.
+/// The same faults with five nodes, of which two may be down at any time.
 #[test]
 fn five_nodes() {
-    check(
+    check_histories(
         60,
         SEED + 1,
-        Rough {
+        History {
             hosts: 5,
             steps: 2_000,
             lose_disks: false,
@@ -69,14 +71,14 @@
     );
 }
 
-/// Besides all that, disks are lost one after the other, each as soon as the one before is repaired. A node that came
-/// back blank and voted as if it remembered would let a deposit vanish that a majority had written.
+/// Disks are lost as well, each as soon as the previous one was replaced. A node that came back blank and voted under
+/// its old id would let a record vanish that a majority had written.
 #[test]
 fn lost_disks() {
-    check(
+    check_histories(
         150,
         SEED + 2,
-        Rough {
+        History {
             hosts: 3,
             steps: 3_000,
             lose_disks: true,
@@ -85,15 +87,15 @@
     );
 }
 
-/// Members that seem gone are removed without a successor, and join again with an old log, while disks are lost too. If a
-/// removed node still counted, or one that joins again voted before it has caught up, two majorities could decide
-/// differently, and a configuration that was acknowledged would be gone.
+/// Members are removed without a replacement and join again with an old log, while disks are lost too. If a removed
+/// node still counted, or one that joins again voted before it has caught up, two majorities could decide differently
+/// and lose an acknowledged record.
 #[test]
 fn members_come_and_go() {
-    check(
+    check_histories(
         150,
         SEED + 5,
-        Rough {
+        History {
             hosts: 5,
             steps: 3_000,
             lose_disks: true,
@@ -102,55 +104,53 @@
     );
 }
 
-/// One disk is lost and repaired, and in the same moment the host that leads loses its own.
+/// One disk is lost and replaced, and right after that the leader loses its disk. Nothing committed may be lost.
 #[test]
-fn second_loss() {
-    let histories = |seed: u64| {
+fn second_disk_lost() {
+    let holds = |seed: u64| {
         let mut group = Group::new(seed, 3);
         group.run(150);
         let first = group.follower();
         group.wipe(first);
-        while !group.whole() {
+        while !group.is_repaired() {
             group.repair();
             group.run(1);
         }
-        let agreed = group.count();
+        let committed = group.count();
         let second = group.leader().unwrap_or(first);
         group.wipe(second);
-        group.settle();
-        group.count() > agreed && group.wiped == 2 && group.repaired >= 2
+        group.recover();
+        group.count() > committed && group.wiped == 2 && group.repaired >= 2
     };
     let random = Gen::from_size_and_seed(100, SEED + 3);
-    QuickCheck::new()
-        .rng(random)
-        .tests(1000)
-        .quickcheck(Histories(histories));
+    QuickCheck::new().rng(random).tests(1000).quickcheck(Histories(holds));
 }
 
-/// The leader's process is stopped for seconds while others elect a new one. On waking up it still believes that it
-/// leads; it must notice by its own clock before it does anything.
+/// The leader's process is paused for seconds while others elect a new one. When it resumes it still considers itself
+/// the leader, and must notice by its own clock before it does anything.
 #[test]
-fn late_waking() {
+fn paused_leader() {
     let mut group = Group::new(SEED, 3);
     group.run(150);
     for _ in 0..10 {
         if let Some(leader) = group.leader() {
-            group.freeze(leader, 2_000);
+            group.pause(leader, 2_000);
         }
         group.run(200);
     }
-    group.settle();
+    group.recover();
 }
 
-/// The leader hears its followers but they no longer hear it. They must be able to elect another one, after it stopped.
+/// The followers no longer receive messages of the leader, which still receives theirs. They must be able to elect
+/// another leader once it has stepped down.
 #[test]
-fn one_way() {
+fn one_way_link() {
     let mut group = Group::new(SEED + 4, 3);
     group.run(150);
-    let leader = group.leader().expect("a calm group has a leader");
-    (0..3).for_each(|n| group.cut(leader, n));
+    let leader = group.leader().expect("a group without faults has a leader");
+    (0..3).for_each(|n| group.cut_link(leader, n));
     group.run(250);
     assert_ne!(group.leader(), Some(leader));
     assert!(group.leader().is_some());
-    group.settle();
+    group.recover();
 }
--- a/crates/state/tests/claims_once.rs
+++ b/crates/state/tests/claims_once.rs
@@ -1,4 +1,4 @@
-//! A claimed call is granted once, and its outcome answers every resend.
+//! A claim of a call is granted once, and its outcome answers every retry.
 
 use quickcheck::{Gen, QuickCheck};
 use state::applied::{AppliedState, CLAIM_RETENTION_MS, Command, LogEntry, Reply};
@@ -35,8 +35,9 @@
     }
 }
 
+/// A caller retries a deposit, with the same body or another one. Granting the second claim would book it twice.
 #[test]
-fn resend_answered() {
+fn retry_answered() {
     let mut applied = AppliedState::default();
     let answer = Outcome::Answered {
         status: 201,
@@ -56,8 +57,9 @@
     assert_eq!(applied.apply(&claim("r3", "other")), Reply::Claimed(Claimed::Mismatch));
 }
 
+/// A holder gives its claim back without having sent the call. If the key stayed taken, the call could never be run.
 #[test]
-fn free_again() {
+fn returned_claim() {
     let mut applied = AppliedState::default();
     applied.apply(&claim("r1", "d"));
     assert_eq!(
@@ -78,8 +80,9 @@
     }
 }
 
-/// The host that holds a claim is frozen or dead. After its time the caller's next try is told that the end is unknown;
-/// if the key were granted again, the frozen host could wake up and send as well, and the customer would pay twice.
+/// The entry host that holds a claim is paused or dead. After its hold time the caller's next try must learn that the
+/// outcome is unknown: if the key were granted again, the paused host could resume and send the call too, and the
+/// customer would pay twice.
 #[test]
 fn overdue_holder() {
     let mut applied = AppliedState::default();
@@ -87,15 +90,16 @@
     assert_eq!(claimed(&mut applied, 1_001, "r2"), Claimed::Running("r1".into()));
     assert_eq!(claimed(&mut applied, 1_002, "r2"), Claimed::Done(Outcome::Unknown));
     assert_eq!(claimed(&mut applied, 1_003, "r1"), Claimed::Done(Outcome::Unknown));
-    // Giving it back is too late now: the caller of the second request was told that it may have run.
+    // Giving the claim back is too late now: the caller of the second request was told that the call may have run.
     applied.apply(&at(1_004, settle("r1", Outcome::NotRun)));
     assert_eq!(claimed(&mut applied, 1_005, "r3"), Claimed::Done(Outcome::Unknown));
 }
 
-/// A host gives up on a claim whose answer it never got, and its question arrives only afterwards. If that were granted,
-/// the key would be held by nobody, and the caller, who was told that nothing was run, could never run it.
+/// An entry host gives back a claim that it never got an answer to, and the claim itself arrives only afterwards. If it
+/// were granted, nobody would hold the key, and the caller, who was told that nothing was run, could never run the
+/// call.
 #[test]
-fn late_question() {
+fn late_claim() {
     let mut applied = AppliedState::default();
     applied.apply(&at(1, settle("r1", Outcome::NotRun)));
     assert_eq!(claimed(&mut applied, 2, "r1"), Claimed::Done(Outcome::NotRun));
@@ -103,8 +107,10 @@
     assert_eq!(claimed(&mut applied, 4, "r1"), Claimed::Running("r2".into()));
 }
 
+/// The outcome of a call is unknown until the service reports the answer. If a later report were refused, retries would
+/// never get the answer.
 #[test]
-fn told_by_service() {
+fn reported_later() {
     let mut applied = AppliedState::default();
     let answer = Outcome::Answered {
         status: 200,
@@ -124,8 +130,10 @@
     assert_eq!(claimed(&mut applied, 4, "r3"), Claimed::Done(answer));
 }
 
+/// Claims are kept for the retention time. Dropped earlier, a retry would run the call again; kept forever, they would
+/// fill the memory.
 #[test]
-fn kept_for_retention() {
+fn retention_time() {
     let mut applied = AppliedState::default();
     claimed(&mut applied, 1, "r1");
     assert_eq!(
@@ -136,8 +144,8 @@
     assert_eq!(applied.claim_count(), 1);
 }
 
-/// Several requests under one key claim, send, give back and settle in any order, with copies of old questions in
-/// between. However it goes, two requests never both send.
+/// Several requests under one key claim, send and give back in any order, with copies of old claims in between. Two
+/// requests must never both send the call.
 #[test]
 fn one_sender() {
     fn property(steps: Vec<(u8, u8, u8)>) -> bool {
@@ -152,7 +160,7 @@
             match what % 4 {
                 0 | 1 => {
                     let answer = claimed(&mut applied, now, &request);
-                    // A holder that has given its claim back or has sent takes no further grant for its own.
+                    // A claim is granted once, or again to the request that holds it.
                     granted[who] |= answer == Claimed::Granted;
                 }
                 2 if granted[who] && !sent.contains(&who) => sent.push(who),
--- a/crates/state/tests/first_orders.rs
+++ b/crates/state/tests/first_orders.rs
@@ -1,4 +1,4 @@
-//! Capacity before the first requests: sized by what operators have started, once all of it is listed.
+//! Capacity before the first requests: sized by the upstreams that operators started, once all of them are listed.
 
 use std::sync::Arc;
 use std::thread;
@@ -15,19 +15,19 @@
 use wire::catalog::Publish;
 
 const TERM: u64 = 3;
-/// Longest wait for orders; only a guard against hanging.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for orders, so that the test cannot hang.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Notes orders.
+/// A platform that records orders.
 #[derive(Clone, Default)]
-struct Notes(Arc<Mutex<Vec<CapacityOrder>>>);
+struct RecordedOrders(Arc<Mutex<Vec<CapacityOrder>>>);
 
-impl PlatformApi for Notes {
-    fn report(&self, _seat: &DutyHolder<'_>, _usage: &WindowUsage) -> Result<(), PlatformError> {
+impl PlatformApi for RecordedOrders {
+    fn report(&self, _holder: &DutyHolder<'_>, _usage: &WindowUsage) -> Result<(), PlatformError> {
         Ok(())
     }
 
-    fn order(&self, _seat: &DutyHolder<'_>, order: &CapacityOrder) -> Result<(), PlatformError> {
+    fn order(&self, _holder: &DutyHolder<'_>, order: &CapacityOrder) -> Result<(), PlatformError> {
         self.0.lock().push(order.clone());
         Ok(())
     }
@@ -49,8 +49,8 @@
     (0..count).map(one).collect()
 }
 
-/// Makes a state whose catalog has one service in two data centres.
-fn applied() -> AppliedState {
+/// Returns a state whose catalog has one service in two data centres.
+fn state_with_service() -> AppliedState {
     let zones = ["a", "b"].map(|zone| (Zone::from(zone), 1.0));
     let service = Service {
         name: ServiceName::from("m"),
@@ -78,15 +78,15 @@
     applied
 }
 
-/// Answers what the duties ask, as the leader.
-fn lead(clock: &Clock) -> crossbeam_channel::Sender<StateRequest> {
-    let (asks, questions) = request_channel();
+/// Answers requests of the duties as a leader.
+fn answer_as_leader(clock: &Clock) -> crossbeam_channel::Sender<StateRequest> {
+    let (requests, queue) = request_channel();
     let since = clock.now();
     thread::spawn(move || {
-        let applied = applied();
-        for ask in questions {
-            match ask {
-                // An asker that has gone away needs no answer.
+        let applied = state_with_service();
+        for request in queue {
+            match request {
+                // A dropped receiver needs no answer.
                 StateRequest::Leadership(reply) => drop(reply.send(Leadership {
                     term: TERM,
                     since: Some(since),
@@ -97,41 +97,42 @@
             }
         }
     });
-    asks
+    requests
 }
 
-/// All upstreams start together with the system, and the first list names only the quickest of them. If capacity were ordered
-/// by that list, most of the fleet would be taken away before the first requests, and these would wait until it is back.
+/// All upstreams start together with the system, and the first list names only those that started fastest. Capacity
+/// ordered by that list would stop most of the fleet before the first requests, which would have to wait until it is
+/// back.
 #[test]
 fn growing_list() {
     let clock = Clock::start();
     let registry = Arc::new(EntryRegistry::default());
-    let notes = Notes::default();
-    let parts = (lead(&clock), Arc::clone(&registry), clock.clone());
+    let recorded = RecordedOrders::default();
+    let parts = (answer_as_leader(&clock), Arc::clone(&registry), clock.clone());
     let timing = DutyTiming {
         holder_lease: Duration::from_secs(3),
         usage_window: Duration::from_secs(5),
     };
     let logger = Logger::root(Discard, o!());
-    let duties = LeaderDuties::new(NodeId::from("s1"), parts, timing, Box::new(notes.clone()), logger);
+    let duties = LeaderDuties::new(NodeId::from("s1"), parts, timing, Box::new(recorded.clone()), logger);
     duties.start().unwrap();
     let begun = Instant::now();
-    while notes.0.lock().is_empty() {
-        assert!(begun.elapsed() < PATIENCE, "nothing is ordered");
-        // Some more are listed at each read, until there are forty.
+    while recorded.0.lock().is_empty() {
+        assert!(begun.elapsed() < WAIT_LIMIT, "nothing is ordered");
+        // Each read lists some more upstreams, until there are forty.
         let listed = (begun.elapsed().as_millis() / 100) as usize;
         registry.set_list(TERM, upstreams(listed.min(40)), clock.now());
         thread::sleep(Duration::from_millis(50));
     }
-    // All orders of one plan leave together.
+    // All orders of one plan are placed together.
     thread::sleep(Duration::from_millis(200));
-    let orders = notes.0.lock().clone();
+    let orders = recorded.0.lock().clone();
     let reclaimable: u32 = orders
         .iter()
         .filter(|order| order.reclaimable)
         .map(|order| order.count)
         .sum();
-    // Half of the forty are taken to be needed, and twice that is ordered.
+    // Half of the forty are assumed to be needed, and twice that number is ordered.
     assert_eq!(reclaimable, 40, "{orders:?}");
     let kept: Vec<u32> = orders
         .iter()
--- a/crates/state/tests/group/mod.rs
+++ b/crates/state/tests/group/mod.rs
@@ -1,4 +1,4 @@
-//! A group of nodes in memory, with a network and disks that fail.
+//! A simulated group of Raft nodes, with a network and disks that fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,10 +13,10 @@
 };
 
 const STEP_MS: u64 = 20;
-/// Length of the times with and without writes.
-const QUIET_MS: u64 = 3_000;
+/// Length of the alternating phases with and without writes.
+const PHASE_MS: u64 = 3_000;
 
-/// What a disk keeps when its process dies.
+/// What a disk holds when its process dies.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     id: MemberId,
@@ -29,16 +29,16 @@
 struct Host {
     disk: Disk,
     node: Option<Node>,
-    /// Local milliseconds for each real one.
+    /// Local milliseconds per simulated one.
     rate: f64,
     started: u64,
-    frozen_until: u64,
-    chain: u64,
+    paused_until: u64,
+    hash: u64,
 }
 
-/// How rough a history is.
+/// Size and faults of a simulated history.
 #[derive(Clone, Copy, Debug)]
-pub struct Rough {
+pub struct History {
     pub hosts: usize,
     pub steps: usize,
     pub lose_disks: bool,
@@ -46,21 +46,21 @@
     pub resize: bool,
 }
 
-/// The group with everything that was ever agreed in it.
+/// The group, with every record that was ever committed in it.
 #[derive(Debug)]
 pub struct Group {
     random: ChaCha8Rng,
     now: u64,
     hosts: Vec<Host>,
-    wires: Vec<(u64, Message)>,
-    cuts: BTreeSet<(usize, usize)>,
-    calm: bool,
+    in_flight: Vec<(u64, Message)>,
+    cut_links: BTreeSet<(usize, usize)>,
+    faultless: bool,
     next_id: u64,
     leaders: BTreeMap<Term, MemberId>,
     /// What the leader of a term had committed when it was first seen to lead.
-    began: BTreeMap<Term, Index>,
-    agreed: BTreeMap<Index, (Record, u64)>,
-    first: Members,
+    start_commit: BTreeMap<Term, Index>,
+    committed: BTreeMap<Index, (Record, u64)>,
+    first_members: Members,
     pub wiped: usize,
     pub repaired: usize,
     pub removed: usize,
@@ -94,8 +94,8 @@
             node: None,
             rate: random.random_range(0.92..1.08),
             started: 0,
-            frozen_until: 0,
-            chain: 0,
+            paused_until: 0,
+            hash: 0,
         };
         let hosts: Vec<Host> = (0..hosts).map(host).collect();
         let next_id = hosts.len() as u64 + 1;
@@ -103,14 +103,14 @@
             random,
             now: 0,
             hosts,
-            wires: Vec::new(),
-            cuts: BTreeSet::new(),
-            calm: true,
+            in_flight: Vec::new(),
+            cut_links: BTreeSet::new(),
+            faultless: true,
             next_id,
             leaders: BTreeMap::new(),
-            began: BTreeMap::new(),
-            agreed: BTreeMap::new(),
-            first: members,
+            start_commit: BTreeMap::new(),
+            committed: BTreeMap::new(),
+            first_members: members,
             wiped: 0,
             repaired: 0,
             removed: 0,
@@ -119,43 +119,43 @@
         group
     }
 
-    /// Lives through a history of faults, then a calm time in which everything must work again.
-    pub fn live(&mut self, rough: Rough) {
-        self.calm = false;
-        for _ in 0..rough.steps {
-            self.fault(rough);
+    /// Runs a history of faults, then a phase without faults in which everything must work again.
+    pub fn run_history(&mut self, history: History) {
+        self.faultless = false;
+        for _ in 0..history.steps {
+            self.fault(history);
             self.step();
         }
-        self.settle();
+        self.recover();
     }
 
-    /// Heals everything and checks that the group goes on with nothing lost.
-    pub fn settle(&mut self) {
-        self.calm = true;
-        self.cuts.clear();
+    /// Ends all faults and checks that the group makes progress with nothing lost.
+    pub fn recover(&mut self) {
+        self.faultless = true;
+        self.cut_links.clear();
         for n in 0..self.hosts.len() {
-            self.hosts[n].frozen_until = 0;
+            self.hosts[n].paused_until = 0;
             if self.hosts[n].node.is_none() {
                 self.start(n);
             }
         }
-        let before = self.agreed.keys().last().copied().unwrap_or_default();
+        let before = self.committed.keys().last().copied().unwrap_or_default();
         for _ in 0..1_000 {
             self.repair();
             self.propose();
             self.step();
-            let level = self
+            let caught_up = self
                 .hosts
                 .iter()
                 .all(|host| host.node.as_ref().unwrap().committed().0 > before.0 + 5);
-            if level && self.whole() {
+            if caught_up && self.is_repaired() {
                 return;
             }
         }
         panic!("the group did not go on after {before}: {:?}", self.hosts);
     }
 
-    /// Runs without new faults.
+    /// Runs a number of steps without new faults.
     pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.propose();
@@ -163,12 +163,12 @@
         }
     }
 
-    /// Gives the place of the host that leads now.
+    /// Returns the position of the host that leads now.
     pub fn leader(&self) -> Option<usize> {
         (0..self.hosts.len()).find(|n| self.leads(*n))
     }
 
-    /// Loses a host's disk; it comes back blank.
+    /// Replaces a host's disk by a blank one.
     pub fn wipe(&mut self, n: usize) {
         let id = MemberId(self.next_id);
         self.next_id += 1;
@@ -177,27 +177,27 @@
         self.start(n);
     }
 
-    /// Tells whether the agreed members all vote and none is lost.
-    pub fn whole(&self) -> bool {
+    /// Returns whether the committed members are all voters and are exactly the hosts' current disks.
+    pub fn is_repaired(&self) -> bool {
         let ids: BTreeSet<MemberId> = self.hosts.iter().map(|host| host.disk.id).collect();
         let newest = self
-            .agreed
+            .committed
             .values()
             .rev()
             .find_map(|(record, _)| match &record.payload {
                 Payload::Members(members) => Some(members),
                 _ => None,
             });
-        let members = newest.unwrap_or(&self.first);
+        let members = newest.unwrap_or(&self.first_members);
         members.voters().collect::<BTreeSet<_>>() == ids && members.len() == ids.len()
     }
 
-    /// Asks the leader to put blank hosts in the place of the lost ones, and to let removed ones join again.
+    /// Asks the leader to replace a lost member by a blank host, or to add a removed member again.
     pub fn repair(&mut self) {
         let Some(leader) = self.leader() else {
             return;
         };
-        let now = self.local(leader);
+        let now = self.local_time(leader);
         let ids: Vec<MemberId> = self.hosts.iter().map(|host| host.disk.id).collect();
         let node = self.hosts[leader].node.as_mut().unwrap();
         let members = node.members().clone();
@@ -208,74 +208,75 @@
         };
         let begun = match lost {
             Some((old, member)) => node.replace(*old, *new, member.clone(), now),
-            // Nobody is lost: a member that was removed is there again, with what it had on its disk.
-            None => node.add(*new, self.first.0.values().next().unwrap().clone(), now),
+            // No member is lost: a removed one joins again, with the content of its disk.
+            None => node.add(*new, self.first_members.0.values().next().unwrap().clone(), now),
         };
         self.repaired += usize::from(begun.is_ok());
     }
 
-    /// Has the leader remove a member that it takes for gone, as long as three others vote.
-    pub fn shrink(&mut self) {
+    /// Makes the leader remove a member, if there are at least three other voters.
+    pub fn remove_member(&mut self) {
         let Some(leader) = self.leader() else {
             return;
         };
-        let now = self.local(leader);
+        let now = self.local_time(leader);
         let own = self.hosts[leader].disk.id;
         let node = self.hosts[leader].node.as_mut().unwrap();
         let others: Vec<MemberId> = node.members().voters().filter(|id| *id != own).collect();
         if others.len() >= 3
-            && let Some(gone) = others.choose(&mut self.random)
-            && node.remove(*gone, now).is_ok()
+            && let Some(removed_id) = others.choose(&mut self.random)
+            && node.remove(*removed_id, now).is_ok()
         {
             self.removed += 1;
         }
     }
 
-    /// Freezes a host; it wakes late and goes on as if nothing had been.
-    pub fn freeze(&mut self, n: usize, ms: u64) {
-        self.hosts[n].frozen_until = self.now + ms;
+    /// Pauses a host for a time, after which it continues as if none had passed.
+    pub fn pause(&mut self, n: usize, ms: u64) {
+        self.hosts[n].paused_until = self.now + ms;
     }
 
-    /// Cuts messages from one host to another.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    /// Drops all messages from one host to another from now on.
+    pub fn cut_link(&mut self, from: usize, to: usize) {
+        self.cut_links.insert((from, to));
     }
 
-    /// Gives how many records were agreed on.
+    /// Returns the number of committed records.
     pub fn count(&self) -> usize {
-        self.agreed.len()
+        self.committed.len()
     }
 
-    /// Gives in how many terms somebody led.
+    /// Returns the number of terms that had a leader.
     pub fn terms(&self) -> usize {
         self.leaders.len()
     }
 
-    fn fault(&mut self, rough: Rough) {
+    /// Causes a random fault, repair or write.
+    fn fault(&mut self, history: History) {
         let n = self.random.random_range(0..self.hosts.len());
         let other = self.random.random_range(0..self.hosts.len());
         match self.random.random_range(0..1_000) {
             0..=4 => self.hosts[n].node = None,
             5..=34 if self.hosts[n].node.is_none() => self.start(n),
-            35..=38 => self.freeze(n, 3_000),
-            39..=44 => self.cut(n, other),
-            45..=59 => self.cuts.clear(),
-            60..=64 if rough.lose_disks && self.whole() => self.wipe(n),
+            35..=38 => self.pause(n, 3_000),
+            39..=44 => self.cut_link(n, other),
+            45..=59 => self.cut_links.clear(),
+            60..=64 if history.lose_disks && self.is_repaired() => self.wipe(n),
             65..=165 => self.repair(),
-            166..=170 if rough.resize => self.shrink(),
-            // Where nothing is written for a while, a node that missed a heartbeat is as good a candidate as any.
-            _ if (self.now / QUIET_MS).is_multiple_of(2) => self.propose(),
+            166..=170 if history.resize => self.remove_member(),
+            // In a phase without writes, a node that missed a heartbeat has the same log as the others and may win.
+            _ if (self.now / PHASE_MS).is_multiple_of(2) => self.propose(),
             _ => {}
         }
     }
 
     fn propose(&mut self) {
         let n = self.random.random_range(0..self.hosts.len());
-        let now = self.local(n);
+        let now = self.local_time(n);
         let commands = (0..self.random.random_range(1..4)).map(|_| self.random.random::<[u8; 8]>().to_vec());
         let commands = commands.collect();
-        if let Some(node) = self.awake(n) {
-            // A node that doesn't lead refuses, which is all that is wanted of it.
+        if let Some(node) = self.running(n) {
+            // A node that does not lead refuses the commands.
             let _ = node.propose(commands, now);
         }
     }
@@ -283,15 +284,15 @@
     fn step(&mut self) {
         self.now += STEP_MS;
         for n in 0..self.hosts.len() {
-            let now = self.local(n);
-            if let Some(node) = self.awake(n) {
+            let now = self.local_time(n);
+            if let Some(node) = self.running(n) {
                 node.tick(now);
-                self.work(n);
+                self.carry_out(n);
             }
         }
         let now = self.now;
         let mut due: Vec<Message> = self
-            .wires
+            .in_flight
             .extract_if(.., |(at, _)| *at <= now)
             .map(|(_, message)| message)
             .collect();
@@ -303,31 +304,31 @@
     }
 
     fn deliver(&mut self, message: Message) {
-        let Some(n) = self.place(message.to) else {
+        let Some(n) = self.position(message.to) else {
             return;
         };
-        let now = self.local(n);
-        if let Some(node) = self.awake(n) {
+        let now = self.local_time(n);
+        if let Some(node) = self.running(n) {
             node.receive(message, now);
-            self.work(n);
+            self.carry_out(n);
         }
     }
 
-    /// Carries out what a node wants, unless it dies before the sync.
-    fn work(&mut self, n: usize) {
-        let now = self.local(n);
+    /// Carries out the writes and messages of a node, which may die before the sync.
+    fn carry_out(&mut self, n: usize) {
+        let now = self.local_time(n);
         let ready = self.hosts[n].node.as_mut().unwrap().ready(now);
         ready.before_sync.iter().for_each(|message| self.send(n, message));
-        if !self.calm && ready.writes() && self.random.random_range(0..1_000) == 0 {
+        if !self.faultless && ready.writes() && self.random.random_range(0..1_000) == 0 {
             self.hosts[n].node = None;
             return;
         }
         let host = &mut self.hosts[n];
-        host.disk.keep(&ready);
+        host.disk.write(&ready);
         if let Some(snapshot) = &ready.snapshot {
-            host.chain = u64::from_le_bytes(snapshot.data[..].try_into().unwrap());
-            let agreed = self.agreed.get(&snapshot.at.index).map_or(0, |(_, chain)| *chain);
-            assert_eq!(host.chain, agreed, "the snapshot differs at {}", snapshot.at);
+            host.hash = u64::from_le_bytes(snapshot.data[..].try_into().unwrap());
+            let committed = self.committed.get(&snapshot.at.index).map_or(0, |(_, hash)| *hash);
+            assert_eq!(host.hash, committed, "the snapshot differs at {}", snapshot.at);
         }
         host.node.as_mut().unwrap().on_synced(ready.log_end, now);
         ready.after_sync.iter().for_each(|message| self.send(n, message));
@@ -339,41 +340,42 @@
         let node = host.node.as_mut().unwrap();
         let records = node.take_committed();
         for record in &records {
-            host.chain = link(host.chain, record);
+            host.hash = extend_hash(host.hash, record);
             let known = self
-                .agreed
+                .committed
                 .entry(record.at.index)
-                .or_insert_with(|| (record.clone(), host.chain));
+                .or_insert_with(|| (record.clone(), host.hash));
             assert_eq!(
                 known,
-                &(record.clone(), host.chain),
+                &(record.clone(), host.hash),
                 "a committed record changed at {}",
                 record.at
             );
         }
         if !records.is_empty() && self.random.random_range(0..20) == 0 {
-            let snapshot = node.compact(host.chain.to_le_bytes().to_vec()).clone();
-            host.disk.cover(&snapshot);
+            let snapshot = node.compact(host.hash.to_le_bytes().to_vec()).clone();
+            host.disk.set_snapshot(&snapshot);
         }
     }
 
     fn send(&mut self, from: usize, message: &Message) {
-        let Some(to) = self.place(message.to) else {
+        let Some(to) = self.position(message.to) else {
             return;
         };
-        if self.cuts.contains(&(from, to)) || (!self.calm && self.random.random_range(0..20) == 0) {
+        if self.cut_links.contains(&(from, to)) || (!self.faultless && self.random.random_range(0..20) == 0) {
             return;
         }
         let copies = if self.random.random_range(0..20) == 0 { 2 } else { 1 };
         for _ in 0..copies {
             let delay = match self.random.random_range(0..50) {
-                0 if !self.calm => self.random.random_range(0..3_000),
+                0 if !self.faultless => self.random.random_range(0..3_000),
                 _ => self.random.random_range(0..30),
             };
-            self.wires.push((self.now + delay, message.clone()));
+            self.in_flight.push((self.now + delay, message.clone()));
         }
     }
 
+    /// Checks that no term has two leaders, no two nodes lead now, and each commit goes through a record of its term.
     fn check_leaders(&mut self) {
         let mut leading = Vec::new();
         for n in 0..self.hosts.len() {
@@ -383,10 +385,14 @@
             if node.role() == "leader" {
                 let first = *self.leaders.entry(node.term()).or_insert(node.id());
                 assert_eq!(first, node.id(), "two leaders in term {}", node.term());
-                let began = *self.began.entry(node.term()).or_insert_with(|| node.committed());
-                // A majority that holds a record of an older term may still be overruled by a leader that does not have it;
-                // only a record of the own term settles what stands before it.
-                if let Some((record, _)) = self.agreed.get(&node.committed()).filter(|_| node.committed() > began) {
+                let start_commit = *self.start_commit.entry(node.term()).or_insert_with(|| node.committed());
+                // A record of an older term on a majority may still be replaced by a leader that lacks it; only a
+                // record of the leader's own term commits the records before it.
+                if let Some((record, _)) = self
+                    .committed
+                    .get(&node.committed())
+                    .filter(|_| node.committed() > start_commit)
+                {
                     assert_eq!(
                         record.at.term,
                         node.term(),
@@ -394,8 +400,8 @@
                     );
                 }
             }
-            // A frozen one is asked as well: it answers as it would on waking up.
-            if node.leads(self.local(n)) {
+            // Paused nodes are checked as well: they answer as they would when they resume.
+            if node.leads(self.local_time(n)) {
                 leading.push(n);
             }
         }
@@ -406,7 +412,7 @@
         let seed = self.random.random();
         let host = &mut self.hosts[n];
         let disk = host.disk.clone();
-        host.chain = disk.snapshot.data[..].try_into().map_or(0, u64::from_le_bytes);
+        host.hash = disk.snapshot.data[..].try_into().map_or(0, u64::from_le_bytes);
         host.started = self.now;
         let restored = Restored {
             id: disk.id,
@@ -419,24 +425,25 @@
 
     fn leads(&self, n: usize) -> bool {
         let host = &self.hosts[n];
-        host.frozen_until <= self.now && host.node.as_ref().is_some_and(|node| node.leads(self.local(n)))
+        host.paused_until <= self.now && host.node.as_ref().is_some_and(|node| node.leads(self.local_time(n)))
     }
 
-    fn local(&self, n: usize) -> Tick {
+    fn local_time(&self, n: usize) -> Tick {
         let host = &self.hosts[n];
         Tick(Duration::from_millis(self.now - host.started).mul_f64(host.rate))
     }
 
-    fn awake(&mut self, n: usize) -> Option<&mut Node> {
+    /// Returns a host's node if it runs and is not paused.
+    fn running(&mut self, n: usize) -> Option<&mut Node> {
         let host = &mut self.hosts[n];
-        host.node.as_mut().filter(|_| host.frozen_until <= self.now)
+        host.node.as_mut().filter(|_| host.paused_until <= self.now)
     }
 
-    fn place(&self, id: MemberId) -> Option<usize> {
+    fn position(&self, id: MemberId) -> Option<usize> {
         self.hosts.iter().position(|host| host.disk.id == id)
     }
 
-    /// Picks one of the hosts that don't lead.
+    /// Returns a random host that does not lead.
     pub fn follower(&mut self) -> usize {
         let others: Vec<usize> = (0..self.hosts.len()).filter(|n| !self.leads(*n)).collect();
         *others.choose(&mut self.random).unwrap()
@@ -444,9 +451,9 @@
 }
 
 impl Disk {
-    fn keep(&mut self, ready: &Ready) {
+    fn write(&mut self, ready: &Ready) {
         if let Some(snapshot) = &ready.snapshot {
-            self.cover(snapshot);
+            self.set_snapshot(snapshot);
         }
         self.hard = ready.hard_state.unwrap_or(self.hard);
         for record in &ready.records {
@@ -455,19 +462,19 @@
         }
     }
 
-    fn cover(&mut self, snapshot: &Snapshot) {
+    fn set_snapshot(&mut self, snapshot: &Snapshot) {
         self.records.retain(|record| record.at.index > snapshot.at.index);
         self.snapshot = snapshot.clone();
     }
 }
 
-/// Folds a record into a number that depends on all records before it.
-fn link(chain: u64, record: &Record) -> u64 {
+/// Extends a hash of all records so far by one record.
+fn extend_hash(hash: u64, record: &Record) -> u64 {
     let bytes = match &record.payload {
         Payload::Command(bytes) => bytes.to_vec(),
         Payload::Empty => vec![0],
         Payload::Members(members) => vec![members.len() as u8],
     };
-    let fold = |chain: u64, byte: &u8| (chain ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-    bytes.iter().fold(chain.rotate_left(7) ^ record.at.term.0, fold)
+    let fold = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+    bytes.iter().fold(hash.rotate_left(7) ^ record.at.term.0, fold)
 }
--- a/crates/state/tests/lease_tokens.rs
+++ b/crates/state/tests/lease_tokens.rs
@@ -1,4 +1,4 @@
-//! A lease has one holder at a time, and the token of a later holder is always greater.
+//! A lease has one holder at a time, and every later holder gets a greater fencing token.
 
 use quickcheck::{Gen, QuickCheck};
 use state::applied::{AppliedState, Command, LogEntry, Reply};
@@ -6,7 +6,7 @@
 
 const TTL_MS: u64 = 1_000;
 
-fn ask(applied: &mut AppliedState, at_ms: u64, holder: &str, ttl_ms: u64) -> Leased {
+fn lease(applied: &mut AppliedState, at_ms: u64, holder: &str, ttl_ms: u64) -> Leased {
     let lease = Lease {
         name: "capacity".to_owned(),
         holder: holder.into(),
@@ -23,18 +23,25 @@
     }
 }
 
+/// A holder renews its lease and releases it. If a renewal changed the token, engines would refuse the holder's older
+/// orders; if a later holder got the same token, they could not tell the two apart.
 #[test]
 fn renewed_token() {
     let mut applied = AppliedState::default();
-    let first = ask(&mut applied, 1, "a", TTL_MS);
-    assert_eq!(ask(&mut applied, 900, "a", TTL_MS), first);
-    assert_eq!(ask(&mut applied, 1_800, "b", TTL_MS), Leased::Taken { by: "a".into() });
-    assert_eq!(ask(&mut applied, 1_801, "a", 0), Leased::Released);
-    assert!(matches!(ask(&mut applied, 1_802, "b", TTL_MS), Leased::Held { token } if Leased::Held { token } != first));
+    let first = lease(&mut applied, 1, "a", TTL_MS);
+    assert_eq!(lease(&mut applied, 900, "a", TTL_MS), first);
+    assert_eq!(
+        lease(&mut applied, 1_800, "b", TTL_MS),
+        Leased::Taken { by: "a".into() }
+    );
+    assert_eq!(lease(&mut applied, 1_801, "a", 0), Leased::Released);
+    assert!(
+        matches!(lease(&mut applied, 1_802, "b", TTL_MS), Leased::Held { token } if Leased::Held { token } != first)
+    );
 }
 
-/// Controllers are frozen, wake up and ask again at any time. An engine that remembers the greatest token it has seen
-/// must be able to tell an old holder from the new one, and no two may hold the lease at the same log time.
+/// Controllers are paused, resume and ask again at any time. An engine that remembers the greatest token it has seen
+/// must be able to tell an old holder from the new one, and no two holders may have the lease at the same log time.
 #[test]
 fn growing_tokens() {
     fn property(asks: Vec<(u8, u16, bool)>) -> bool {
@@ -47,7 +54,7 @@
             now += u64::from(wait % 700);
             let ttl = if release { 0 } else { TTL_MS };
             let other = held.filter(|(by, until)| *by != holder && *until > now);
-            match ask(&mut applied, now, &format!("holder-{holder}"), ttl) {
+            match lease(&mut applied, now, &format!("holder-{holder}"), ttl) {
                 Leased::Held { token } => {
                     let same = held.is_some_and(|(by, until)| by == holder && until > now);
                     if other.is_some() || token < newest || (!same && token == newest) {
--- a/crates/state/tests/log_recovery.rs
+++ b/crates/state/tests/log_recovery.rs
@@ -1,4 +1,4 @@
-//! A node that died in the middle of a write starts again; one whose disk was damaged or ran full says so.
+//! Recovery of the data folder: torn writes are removed, damage and a full disk are reported.
 
 use std::fs::{self, OpenOptions};
 use std::io;
@@ -9,7 +9,7 @@
 use state::disk::{DiskError, Folder, Limits, Space, check_folder};
 use state::raft::{HardState, Index, Payload, Position, Ready, Record, Snapshot, Term};
 
-const SMALL: Limits = Limits {
+const SMALL_LIMITS: Limits = Limits {
     segment_bytes: 200,
     snapshot_bytes: 400,
 };
@@ -44,44 +44,44 @@
     }
 }
 
-/// Writes three syncs of records and gives the only segment.
-fn written(folder: &Path) -> PathBuf {
-    let (mut open, _) = Folder::open(folder, Limits::default()).unwrap();
+/// Writes records with three syncs and returns the path of the only segment.
+fn write_log(folder: &Path) -> PathBuf {
+    let (mut log, _) = Folder::open(folder, Limits::default()).unwrap();
     for range in [1..=2, 3..=4, 5..=6] {
-        open.write(&records(1, range)).unwrap();
+        log.write(&records(1, range)).unwrap();
     }
     folder.join("log-0000000000000001")
 }
 
-fn flip(file: &Path, from_end: usize) {
+fn flip_bit(file: &Path, from_end: usize) {
     let mut bytes = fs::read(file).unwrap();
     let at = bytes.len() - from_end;
     bytes[at] ^= 1;
     fs::write(file, bytes).unwrap();
 }
 
-/// Power is lost while the last records are on their way to the disk. Nobody was told of them, so they are cut off.
+/// Power fails while the last records are being written. They were not acknowledged, so the next start removes them.
 #[test]
 fn torn_tail() {
     let folder = tempfile::tempdir().unwrap();
-    let segment = written(folder.path());
+    let segment = write_log(folder.path());
     let file = OpenOptions::new().write(true).open(&segment).unwrap();
     file.set_len(file.metadata().unwrap().len() - 3).unwrap();
     assert!(check_folder(folder.path()).unwrap().torn_bytes > 0);
-    let (mut open, restored) = Folder::open(folder.path(), Limits::default()).unwrap();
+    let (mut log, restored) = Folder::open(folder.path(), Limits::default()).unwrap();
     assert_eq!(restored.records.last(), Some(&record(1, 4)));
-    open.write(&records(2, 5..=5)).unwrap();
-    drop(open);
+    log.write(&records(2, 5..=5)).unwrap();
+    drop(log);
     assert_eq!(check_folder(folder.path()).unwrap().log_end, record(2, 5).at);
 }
 
-/// A disk flips a bit in the middle of the log. What stands behind it was acknowledged, so starting without it would lose
-/// what operators and callers were promised; the node says where the damage is and stops.
+/// A bit flips in the middle of the log. The records after it were acknowledged, and a start without them would lose
+/// them; the node must refuse to start and report where the damage is.
 #[test]
 fn damaged_middle() {
     let folder = tempfile::tempdir().unwrap();
-    let segment = written(folder.path());
-    flip(&segment, 60);
+    let segment = write_log(folder.path());
+    flip_bit(&segment, 60);
     let error = Folder::open(folder.path(), Limits::default()).unwrap_err();
     let DiskError::Damaged { file, offset } = &error else {
         panic!("{error}");
@@ -91,11 +91,12 @@
     assert_eq!(check_folder(folder.path()).unwrap_err().to_string(), error.to_string());
 }
 
-/// A length in the middle of the log is damaged and points far behind the end. It must not be taken for a torn tail.
+/// A frame length in the middle of the log is damaged and points far past the end. It must not be taken for a torn
+/// tail.
 #[test]
 fn damaged_length() {
     let folder = tempfile::tempdir().unwrap();
-    let segment = written(folder.path());
+    let segment = write_log(folder.path());
     let mut bytes = fs::read(&segment).unwrap();
     bytes[10] = 0x7f;
     fs::write(&segment, bytes).unwrap();
@@ -105,13 +106,14 @@
     ));
 }
 
-/// A snapshot or the end of an older segment is damaged. Both were whole when they got their names.
+/// The end of an older segment or a snapshot is damaged, or a segment is missing. Both files were complete when they
+/// were created, so this is damage, not a torn write.
 #[test]
-fn damaged_old() {
+fn damaged_complete_file() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
-    (1..=20).for_each(|index| open.write(&records(1, index..=index)).unwrap());
-    drop(open);
+    let (mut log, _) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
+    (1..=20).for_each(|index| log.write(&records(1, index..=index)).unwrap());
+    drop(log);
     let first = folder.path().join("log-0000000000000001");
     let whole = fs::read(&first).unwrap();
     fs::write(&first, &whole[..whole.len() - 1]).unwrap();
@@ -122,18 +124,18 @@
         Err(DiskError::Gap { after: Index(0), .. })
     ));
     fs::write(&first, &whole).unwrap();
-    let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
-    open.save_snapshot(&snapshot(1, 20)).unwrap();
-    drop(open);
-    flip(&folder.path().join("snapshot-0000000000000020"), 2);
+    let (mut log, _) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
+    log.save_snapshot(&snapshot(1, 20)).unwrap();
+    drop(log);
+    flip_bit(&folder.path().join("snapshot-0000000000000020"), 2);
     assert!(matches!(check_folder(folder.path()), Err(DiskError::Damaged { .. })));
 }
 
-/// A file of a later version of the program is refused by name instead of being read wrongly.
+/// A file of another format version must be refused instead of being misread.
 #[test]
 fn other_version() {
     let folder = tempfile::tempdir().unwrap();
-    let segment = written(folder.path());
+    let segment = write_log(folder.path());
     let mut bytes = fs::read(&segment).unwrap();
     bytes[7] = 9;
     fs::write(&segment, bytes).unwrap();
@@ -143,69 +145,71 @@
     ));
 }
 
-/// A follower's tail is replaced by the new leader's records; after a restart only the new ones may be there.
+/// A new leader replaces the end of a follower's log. After a restart only the new records may be there.
 #[test]
 fn replaced_tail() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
-    open.write(&records(1, 1..=9)).unwrap();
+    let (mut log, _) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
+    log.write(&records(1, 1..=9)).unwrap();
     let hard = HardState {
         term: Term(2),
         vote: None,
     };
-    open.write(&Ready {
+    log.write(&Ready {
         hard_state: Some(hard),
         ..records(2, 5..=6)
     })
     .unwrap();
-    drop(open);
-    let (_, restored) = Folder::open(folder.path(), SMALL).unwrap();
+    drop(log);
+    let (_, restored) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
     assert_eq!(restored.hard_state, hard);
     assert_eq!(restored.records.len(), 6);
     assert_eq!(restored.records.last(), Some(&record(2, 6)));
 }
 
-/// The log grows for as long as the group lives; what a snapshot covers is removed, so a start reads little.
+/// The log grows as long as the group runs. Segments that a snapshot covers must be removed, so that a start reads
+/// little.
 #[test]
-fn bounded_restart() {
+fn covered_segments() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
+    let (mut log, _) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
     let hard = HardState {
         term: Term(1),
         vote: None,
     };
-    open.write(&Ready {
+    log.write(&Ready {
         hard_state: Some(hard),
         ..Ready::default()
     })
     .unwrap();
     for index in 1..=500 {
-        open.write(&records(1, index..=index)).unwrap();
-        if open.wants_snapshot() {
-            open.save_snapshot(&snapshot(1, index)).unwrap();
+        log.write(&records(1, index..=index)).unwrap();
+        if log.wants_snapshot() {
+            log.save_snapshot(&snapshot(1, index)).unwrap();
         }
     }
-    drop(open);
+    drop(log);
     let report = check_folder(folder.path()).unwrap();
     assert!(report.segments <= 5 && report.records <= 20, "{report:?}");
     assert_eq!((report.log_end, report.hard_state), (record(1, 500).at, hard));
 }
 
-/// A second process is started on the same folder by mistake. Two writers would ruin the log, so it is refused.
+/// A second process is started on the same folder by mistake. Two writers would corrupt the log, so it must be refused.
 #[test]
 fn folder_taken() {
     let folder = tempfile::tempdir().unwrap();
-    let _open = Folder::open(folder.path(), SMALL).unwrap();
+    let _log = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
     assert!(matches!(
-        Folder::open(folder.path(), SMALL),
+        Folder::open(folder.path(), SMALL_LIMITS),
         Err(DiskError::InUse { .. })
     ));
 }
 
+/// Disk space with this many bytes left.
 #[derive(Debug)]
-struct Room(Arc<AtomicUsize>);
+struct SpaceLeft(Arc<AtomicUsize>);
 
-impl Space for Room {
+impl Space for SpaceLeft {
     fn reserve(&self, bytes: usize) -> io::Result<()> {
         let taken = self
             .0
@@ -214,41 +218,46 @@
     }
 }
 
-/// The disk runs full. The write is refused as a whole, and once there is room the same write succeeds.
+/// The disk is full. A write must fail as a whole, and the same write must succeed once there is space.
 #[test]
 fn full_disk() {
     let folder = tempfile::tempdir().unwrap();
-    let room = Arc::new(AtomicUsize::new(100));
-    let (mut open, _) = Folder::open_with(folder.path(), SMALL, Arc::new(Room(Arc::clone(&room)))).unwrap();
-    open.write(&records(1, 1..=2)).unwrap();
+    let space_left = Arc::new(AtomicUsize::new(100));
+    let (mut log, _) = Folder::open_with(
+        folder.path(),
+        SMALL_LIMITS,
+        Arc::new(SpaceLeft(Arc::clone(&space_left))),
+    )
+    .unwrap();
+    log.write(&records(1, 1..=2)).unwrap();
     let more = records(1, 3..=9);
-    assert!(open.write(&more).unwrap_err().is_full());
-    assert!(open.write(&more).unwrap_err().is_full());
-    room.store(10_000, Ordering::Relaxed);
-    open.write(&more).unwrap();
-    drop(open);
-    let (_, restored) = Folder::open(folder.path(), SMALL).unwrap();
+    assert!(log.write(&more).unwrap_err().is_full());
+    assert!(log.write(&more).unwrap_err().is_full());
+    space_left.store(10_000, Ordering::Relaxed);
+    log.write(&more).unwrap();
+    drop(log);
+    let (_, restored) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
     assert_eq!(restored.records.len(), 9);
 }
 
-/// A snapshot is written while the log goes on, and the process dies right after it is there. What came in meanwhile must
-/// be found behind it.
+/// A snapshot is written while the log grows, and the process dies right after it. The records appended meanwhile must
+/// be found after the snapshot.
 #[test]
-fn snapshot_meanwhile() {
+fn concurrent_snapshot() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut open, _) = Folder::open(folder.path(), SMALL).unwrap();
-    (1..=30).for_each(|index| open.write(&records(1, index..=index)).unwrap());
-    open.start_snapshot(snapshot(1, 20)).unwrap();
+    let (mut log, _) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
+    (1..=30).for_each(|index| log.write(&records(1, index..=index)).unwrap());
+    log.start_snapshot(snapshot(1, 20)).unwrap();
     for index in 31..=60 {
-        open.write(&records(1, index..=index)).unwrap();
-        open.finish_snapshot().unwrap();
+        log.write(&records(1, index..=index)).unwrap();
+        log.finish_snapshot().unwrap();
     }
     while !folder.path().join("snapshot-0000000000000020").exists() {
         std::thread::yield_now();
     }
-    open.finish_snapshot().unwrap();
-    drop(open);
-    let (_, restored) = Folder::open(folder.path(), SMALL).unwrap();
+    log.finish_snapshot().unwrap();
+    drop(log);
+    let (_, restored) = Folder::open(folder.path(), SMALL_LIMITS).unwrap();
     assert_eq!(restored.snapshot.at, record(1, 20).at);
     assert_eq!(restored.records.len(), 40);
 }
--- a/crates/state/tests/nodes/mod.rs
+++ b/crates/state/tests/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! A group of state processes on loopback.
+//! A group of `gentian-state` processes on loopback.
 
 use std::fs::{self, File};
 use std::net::{SocketAddr, TcpListener};
@@ -13,12 +13,12 @@
 
 /// Bearer key of the group.
 pub const KEY: &str = "test-operator-key-0001";
-/// Longest wait for anything; only a guard against hanging.
-const PATIENCE: Duration = Duration::from_mins(1);
-/// Wait from which a test says what it waited for.
-const SLOW: Duration = Duration::from_secs(5);
+/// Longest wait for any condition, so that a test cannot hang.
+const WAIT_LIMIT: Duration = Duration::from_mins(1);
+/// Duration from which a wait is printed.
+const SLOW_WAIT: Duration = Duration::from_secs(5);
 
-/// The processes; they are killed when this goes away.
+/// The processes of the group, which are killed on drop.
 #[derive(Debug)]
 pub struct Nodes {
     pub folder: TempDir,
@@ -76,7 +76,7 @@
         self.children[n] = Some(child);
     }
 
-    /// Kills a process without notice.
+    /// Kills a process with SIGKILL.
     pub fn kill(&mut self, n: usize) {
         if let Some(mut child) = self.children[n].take() {
             child.kill().unwrap();
@@ -84,28 +84,28 @@
         }
     }
 
-    /// Removes everything that a killed process had on its disk.
+    /// Removes the data folder of a killed process.
     pub fn wipe(&self, n: usize) {
         fs::remove_dir_all(self.data(n)).unwrap();
     }
 
-    /// Gives the data folder of a node.
+    /// Returns the data folder of a node.
     pub fn data(&self, n: usize) -> PathBuf {
         self.folder.path().join(format!("data-{n}"))
     }
 
-    /// Gives the process number of a node.
+    /// Returns the process id of a node; `None` if it does not run.
     pub fn pid(&self, n: usize) -> Option<u32> {
         self.children[n].as_ref().map(Child::id)
     }
 
-    /// Gives the status of a node that runs.
+    /// Returns the status of a node; `None` if it does not run or answer.
     pub fn status(&self, n: usize) -> Option<StateStatus> {
         self.children[n].as_ref()?;
         self.client.status(n).ok()
     }
 
-    /// Waits for a leader and gives its place.
+    /// Waits for a leader and returns its position.
     pub fn leader(&self) -> usize {
         wait("a leader", || {
             let leads = |n: &usize| self.status(*n).is_some_and(|status| status.role == "leader");
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Waits until a node has everything that is committed by now.
+    /// Waits until a node has all entries that are committed now.
     pub fn caught_up(&self, n: usize) {
         let goal = wait("the newest index", || self.status(self.leader())).committed;
         wait("a node to catch up", || {
@@ -128,22 +128,22 @@
     }
 }
 
-/// Asks until there is an answer.
+/// Polls until there is a result; `what` names it in messages.
 pub fn wait<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
     let begin = Instant::now();
     loop {
         if let Some(answer) = ask() {
-            if begin.elapsed() > SLOW {
+            if begin.elapsed() > SLOW_WAIT {
                 println!("{what} took {:?}", begin.elapsed());
             }
             return answer;
         }
-        assert!(begin.elapsed() < PATIENCE, "waited too long for {what}");
+        assert!(begin.elapsed() < WAIT_LIMIT, "waited too long for {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Finds ports that nobody listens on.
+/// Returns addresses on loopback with free ports.
 pub fn free_ports(count: usize) -> Vec<SocketAddr> {
     let listeners: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     listeners
--- a/crates/state/tests/operator_races.rs
+++ b/crates/state/tests/operator_races.rs
@@ -1,4 +1,4 @@
-//! Operators who race each other, and operators who resend.
+//! Concurrent and repeated configuration changes by operators.
 
 use std::collections::BTreeMap;
 
@@ -59,10 +59,10 @@
     }
 }
 
-/// Two operators read a contract at the same revision and both change it. If the second overwrote the first without a
-/// word, the first would believe in a share that is not in force.
+/// Two operators read a contract at the same revision and both change it. If the second change silently overwrote the
+/// first, the first operator would believe in a share that is not in force.
 #[test]
-fn one_wins() {
+fn first_change_wins() {
     let mut applied = AppliedState::default();
     let first = propose(&mut applied, "a", None, contract("mwangaza", 1));
     assert_eq!(first, Proposed::Accepted(Revision(1)));
@@ -75,10 +75,10 @@
     assert_eq!(elsewhere, Proposed::Accepted(Revision(3)));
 }
 
-/// The answer to an accepted change is lost and the operator sends it again, after another one has changed the same
-/// contract. The resend must get the first answer and must not bring the older contract back.
+/// The answer to an accepted change is lost, and the operator retries after another one has changed the same contract.
+/// The retry must get the first answer and must not restore the older contract.
 #[test]
-fn resend_after_change() {
+fn retry_after_change() {
     let mut applied = AppliedState::default();
     let first = propose(&mut applied, "a", Some(0), contract("mwangaza", 1));
     propose(&mut applied, "b", Some(1), contract("mwangaza", 2));
@@ -88,10 +88,10 @@
     assert_eq!(applied.config.revision, Revision(2));
 }
 
-/// Many operators change two contracts from whatever revision they last saw and resend at random. What is in force must
-/// be what the accepted changes say in their order, each id counted once, and none made from an older state of its item.
+/// Many operators change two contracts, based on any revision that they saw, and retry at random. The state must be
+/// that of the accepted changes in their order, each id applied once, and none based on an older state of its item.
 #[test]
-fn many_races() {
+fn concurrent_changes() {
     fn holds(steps: Vec<(u8, bool, u8)>) -> bool {
         let mut applied = AppliedState::default();
         let mut answers = BTreeMap::new();
--- a/crates/state/tests/publication_pieces.rs
+++ b/crates/state/tests/publication_pieces.rs
@@ -1,4 +1,4 @@
-//! Publications that are too large for one entry of the log.
+//! Publications that are too large for one log entry.
 
 use contract::Catalog;
 use quickcheck::quickcheck;
@@ -15,11 +15,11 @@
     }
 }
 
-fn piece(ask: &Publish, offset: usize, most: usize) -> Upload {
-    let bytes = postcard::to_stdvec(ask).unwrap();
+fn piece(publish: &Publish, offset: usize, most: usize) -> Upload {
+    let bytes = postcard::to_stdvec(publish).unwrap();
     Upload {
         id: UploadId {
-            version: ask.catalog.version,
+            version: publish.catalog.version,
             digest: crc32fast::hash(&bytes),
             total: bytes.len() as u64,
         },
@@ -40,10 +40,14 @@
     }
 }
 
-/// Sends the next piece of a publication; gives what was published.
-fn step(applied: &mut AppliedState, (ask, held): (&Publish, &mut usize), most: usize) -> Option<Published> {
-    match apply(applied, piece(ask, *held, most), 0) {
-        Uploaded::Held(bytes) => *held = bytes as usize,
+/// Applies the next piece of a publication; returns the answer of the last one.
+fn apply_next(
+    applied: &mut AppliedState,
+    (publish, uploaded): (&Publish, &mut usize),
+    most: usize,
+) -> Option<Published> {
+    match apply(applied, piece(publish, *uploaded, most), 0) {
+        Uploaded::Held(bytes) => *uploaded = bytes as usize,
         Uploaded::Published(published) => return Some(published),
         other => panic!("{other:?}"),
     }
@@ -51,30 +55,30 @@
 }
 
 quickcheck! {
-    /// Guards against a document that is put together of two, or from a piece that came twice, when two operators publish at
-    /// once and pieces are sent again.
-    fn whole_and_own(steps: Vec<u8>, lengths: (u8, u8)) -> bool {
-        let asks = [publication(2, lengths.0), publication(3, lengths.1)];
-        let mut held = [0; 2];
+    /// Guards against a document that is assembled from pieces of two, or with a piece twice, when two operators
+    /// publish at the same time and pieces are repeated.
+    fn interleaved_uploads(steps: Vec<u8>, lengths: (u8, u8)) -> bool {
+        let publications = [publication(2, lengths.0), publication(3, lengths.1)];
+        let mut uploaded = [0; 2];
         let mut done = [false; 2];
         let mut applied = AppliedState::default();
         let rest = (0..=255).chain(0..=255);
-        for step_at in steps.into_iter().chain(rest) {
-            let which = usize::from(step_at & 1);
-            if step_at % 5 == 0 {
-                // An old piece arrives again.
-                apply(&mut applied, piece(&asks[which], 0, 3), 0);
+        for choice in steps.into_iter().chain(rest) {
+            let which = usize::from(choice & 1);
+            if choice % 5 == 0 {
+                // An earlier piece arrives again.
+                apply(&mut applied, piece(&publications[which], 0, 3), 0);
             } else if !done[which] {
-                done[which] = step(&mut applied, (&asks[which], &mut held[which]), 7).is_some();
+                done[which] = apply_next(&mut applied, (&publications[which], &mut uploaded[which]), 7).is_some();
             }
         }
-        done == [true; 2] && applied.published.is_some_and(|newest| *newest == asks[1])
+        done == [true; 2] && applied.published.is_some_and(|newest| *newest == publications[1])
     }
 }
 
-/// Guards against memory that is kept for a publication whose operator has given up.
+/// Guards against memory that is kept for a publication that its operator abandoned.
 #[test]
-fn abandoned() {
+fn abandoned_upload() {
     let mut applied = AppliedState::default();
     apply(&mut applied, piece(&publication(2, 90), 0, 10), 0);
     apply(&mut applied, piece(&publication(3, 90), 0, 10), 60_000);
--- a/crates/state/tests/real_processes.rs
+++ b/crates/state/tests/real_processes.rs
@@ -1,4 +1,4 @@
-//! Three real processes under a stream of claims and changes, killed without notice one after the other.
+//! Real state processes under a stream of claims and changes, killed one after the other.
 
 #[expect(dead_code, reason = "the measuring example uses more of it")]
 mod nodes;
@@ -17,15 +17,15 @@
 use wire::state::{Claim, Claimed, Outcome, Propose, Proposed, Settle, Settled};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gentian-state");
-/// Pause that lets some work through between two faults.
-const PAUSE: Duration = Duration::from_millis(300);
-/// Changes that all callers together make: as many as the history keeps, so that each of them can be looked for in it.
-const MOST_CHANGES: usize = KEPT_AUDITS;
+/// Pause between two faults, in which some work completes.
+const FAULT_PAUSE: Duration = Duration::from_millis(300);
+/// Changes that all callers together make: as many as the audit trail keeps, so that it still contains each of them.
+const MAX_CHANGES: usize = KEPT_AUDITS;
 
-/// What a caller was told.
+/// Answers that a caller received.
 #[derive(Debug, Default)]
-struct Told {
-    /// Keys of claims that were granted and whose outcome was stored.
+struct Answers {
+    /// Keys of granted claims whose outcome was stored.
     settled: Vec<String>,
     /// Accepted changes with their revisions.
     accepted: BTreeMap<ChangeId, Revision>,
@@ -42,7 +42,7 @@
     }
 }
 
-fn answer(key: &str) -> Outcome {
+fn outcome(key: &str) -> Outcome {
     Outcome::Answered {
         status: 201,
         media: "text/plain".to_owned(),
@@ -50,10 +50,10 @@
     }
 }
 
-/// Claims and settles, and changes the configuration as long as `changes` are left, until told to stop; asks again after
-/// every lost answer.
-fn work(client: &StateClient, caller: usize, changes: &AtomicUsize, stop: &AtomicBool) -> Told {
-    let mut told = Told::default();
+/// Claims and settles calls until `stop` is set, and changes the configuration until [`MAX_CHANGES`] is reached;
+/// retries after every lost answer.
+fn run_caller(client: &StateClient, caller: usize, changes: &AtomicUsize, stop: &AtomicBool) -> Answers {
+    let mut answers = Answers::default();
     for number in 0.. {
         if stop.load(Ordering::Relaxed) {
             break;
@@ -68,13 +68,13 @@
             customer: "customer".into(),
             key: key.clone(),
             request: asked.request.clone(),
-            outcome: answer(&key),
+            outcome: outcome(&key),
         };
         wait("an outcome", || {
             (client.settle(Revision(1), &settle).ok()? == Settled::Stored).then_some(())
         });
-        told.settled.push(key);
-        if changes.fetch_add(1, Ordering::Relaxed) >= MOST_CHANGES {
+        answers.settled.push(key);
+        if changes.fetch_add(1, Ordering::Relaxed) >= MAX_CHANGES {
             continue;
         }
         let id = ChangeId::from(format!("change-{caller}-{number}"));
@@ -89,9 +89,9 @@
             Proposed::Accepted(revision) => Some(revision),
             _ => None,
         });
-        told.accepted.insert(id, revision);
+        answers.accepted.insert(id, revision);
     }
-    told
+    answers
 }
 
 fn get(nodes: &Nodes, n: usize, path: &str) -> Value {
@@ -100,7 +100,7 @@
     answer.body_mut().read_json().unwrap()
 }
 
-/// Puts the blank disk of a node in the place of the one that it lost.
+/// Replaces a node's member by its new, blank disk and waits until that is a voter.
 fn replace(nodes: &Nodes, n: usize) {
     let body = json!({"old": format!("state-{n}")}).to_string();
     wait("the replacement to begin", || {
@@ -116,20 +116,20 @@
     });
 }
 
-/// Checks that everything that callers were told is still true.
-fn check(nodes: &Nodes, told: &[Told]) {
-    for key in told.iter().flat_map(|told| &told.settled) {
+/// Checks that every answer that callers received still holds.
+fn check_answers(nodes: &Nodes, answers: &[Answers]) {
+    for key in answers.iter().flat_map(|answers| &answers.settled) {
         let asked = claim(key, "somebody else");
-        // A leader that has just lost its lead decides nothing and says so; whoever decides must know the answer.
+        // A leader that has just stepped down answers `Unavailable`; any other answer must be the stored outcome.
         let again = wait("a decision", || match nodes.client.claim(Revision(1), &asked).ok()? {
             Claimed::Unavailable(_) => None,
             decided => Some(decided),
         });
-        assert_eq!(again, Claimed::Done(answer(key)), "{key}");
+        assert_eq!(again, Claimed::Done(outcome(key)), "{key}");
     }
     let history = get(nodes, nodes.leader(), "/v1/history");
     let rows = history["item"].as_array().unwrap();
-    let accepted: Vec<_> = told.iter().flat_map(|told| &told.accepted).collect();
+    let accepted: Vec<_> = answers.iter().flat_map(|answers| &answers.accepted).collect();
     for (id, revision) in &accepted {
         let times = rows.iter().filter(|row| row["id"] == id.as_str()).count();
         assert_eq!(times, 1, "{id} is in the history {times} times");
@@ -139,31 +139,31 @@
             "{id}"
         );
     }
-    let settled: usize = told.iter().map(|told| told.settled.len()).sum();
+    let settled: usize = answers.iter().map(|answers| answers.settled.len()).sum();
     println!("{settled} claims and {} changes are all there", accepted.len());
     assert!(settled > 0 && !accepted.is_empty());
 }
 
 /// The leader is killed, then a follower; then a disk is lost and replaced, and right after that a second one. Callers
-/// and operators ask again under the same ids meanwhile. Nothing that they were told may be gone or there twice.
+/// and operators retry under the same ids meanwhile. Nothing that was acknowledged may be lost or applied twice.
 #[test]
 fn kills_and_wipes() {
     let mut nodes = Nodes::start(Path::new(PROGRAM), 3);
     let calls = RpcRuntime::start(2, Duration::from_secs(2)).unwrap();
     let client = StateClient::new(&calls, &"callers".into(), &nodes.inner).unwrap();
     let (changes, stop) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let told: Vec<Told> = thread::scope(|scope| {
+    let answers: Vec<Answers> = thread::scope(|scope| {
         let (client, changes, stop) = (&client, &changes, &stop);
         let callers: Vec<_> = (0..4)
-            .map(|caller| scope.spawn(move || work(client, caller, changes, stop)))
+            .map(|caller| scope.spawn(move || run_caller(client, caller, changes, stop)))
             .collect();
         for round in 0..2 {
             let leader = nodes.leader();
             for n in [leader, (leader + 1 + round) % 3] {
-                thread::sleep(PAUSE);
+                thread::sleep(FAULT_PAUSE);
                 nodes.kill(n);
                 nodes.leader();
-                thread::sleep(PAUSE);
+                thread::sleep(FAULT_PAUSE);
                 nodes.run(n);
                 nodes.caught_up(n);
             }
@@ -176,29 +176,29 @@
             nodes.leader();
             replace(&nodes, n);
         }
-        thread::sleep(PAUSE);
+        thread::sleep(FAULT_PAUSE);
         stop.store(true, Ordering::Relaxed);
         callers.into_iter().map(|caller| caller.join().unwrap()).collect()
     });
-    check(&nodes, &told);
+    check_answers(&nodes, &answers);
     (0..3).for_each(|n| nodes.kill(n));
     for n in 0..3 {
         assert!(state::disk::check_folder(&nodes.data(n)).unwrap().log_end.index.0 > 0);
     }
     (0..3).for_each(|n| nodes.run(n));
     nodes.leader();
-    check(&nodes, &told);
+    check_answers(&nodes, &answers);
 }
 
-/// Two of three nodes are gone. The third says that nothing was written, so that callers know that nothing was run, and
-/// still answers what it knows.
+/// Two of three nodes are down. The third must answer that nothing was written, so that callers know that nothing was
+/// run, and must still serve the configuration that it has.
 #[test]
-fn no_majority() {
+fn lost_majority() {
     let mut nodes = Nodes::start(Path::new(PROGRAM), 3);
-    let left = nodes.leader();
-    (0..3).filter(|n| *n != left).for_each(|n| nodes.kill(n));
+    let remaining = nodes.leader();
+    (0..3).filter(|n| *n != remaining).for_each(|n| nodes.kill(n));
     let calls = RpcRuntime::start(1, Duration::from_secs(2)).unwrap();
-    let client = StateClient::new(&calls, &"caller".into(), &nodes.inner[left..=left]).unwrap();
+    let client = StateClient::new(&calls, &"caller".into(), &nodes.inner[remaining..=remaining]).unwrap();
     let refused = wait("a refusal", || {
         match client.claim(Revision(1), &claim("key", "request")).ok()? {
             Claimed::Unavailable(why) => matches!(why, wire::state::Unavailable::NoQuorum { .. }).then_some(why),
@@ -206,8 +206,8 @@
         }
     });
     println!("{refused}");
-    assert!(get(&nodes, left, "/v1/contracts")["age_ms"].is_u64());
-    let first = (left + 1) % 3;
+    assert!(get(&nodes, remaining, "/v1/contracts")["age_ms"].is_u64());
+    let first = (remaining + 1) % 3;
     nodes.run(first);
     nodes.leader();
     let asked = claim("key", "request");
@@ -216,7 +216,8 @@
     });
 }
 
-/// An operator with a role may do what it covers and nothing else; whoever shows no key or a wrong one is refused.
+/// An operator may do what the operator's role covers and nothing else; a request with a missing or wrong key is
+/// refused.
 #[test]
 fn operator_roles() {
     let nodes = Nodes::start(Path::new(PROGRAM), 1);
--- a/crates/state/tests/shared_news.rs
+++ b/crates/state/tests/shared_news.rs
@@ -1,4 +1,4 @@
-//! What entry hosts learn from the leader about upstreams: the list, and what the others have seen.
+//! What entry hosts learn from the leader about upstreams: the list, and observations of other entry hosts.
 
 use std::time::Duration;
 
@@ -24,17 +24,17 @@
     }
 }
 
-fn beat(registry: &EntryRegistry, from: &str, beat: Heartbeat, now_ms: u64) -> LeaderUpdate {
-    let sharing = SharedLimits {
+fn heartbeat(registry: &EntryRegistry, from: &str, beat: Heartbeat, now_ms: u64) -> LeaderUpdate {
+    let shared = SharedLimits {
         entry_hosts: 2,
         ..SharedLimits::default()
     };
     let from = NodeId::from(from);
-    let news = registry.heartbeat(TERM, (&from, beat), &sharing, Tick::from_millis(now_ms));
-    news.expect("the number of sharers was left by the leader before")
+    let news = registry.heartbeat(TERM, (&from, beat), &shared, Tick::from_millis(now_ms));
+    news.expect("the number of entry hosts was stored by the former leader")
 }
 
-fn seen(id: &str, load: Option<(u32, u32, u32)>, backlog_ms: u32) -> Heartbeat {
+fn observed(id: &str, load: Option<(u32, u32, u32)>, backlog_ms: u32) -> Heartbeat {
     Heartbeat {
         signs: vec![UpstreamObservation {
             id: id.to_owned(),
@@ -46,21 +46,21 @@
     }
 }
 
-/// One entry host sends a prompt that takes an upstream 800 ms to read. Another would send its own callers behind it, as it
-/// sees no more than its own requests; it is told what is left of the 800 ms.
+/// One entry host sends a prompt that an upstream takes 800 ms to process. Another one, which knows only its own
+/// requests, would queue its callers behind it; it must learn what is left of the 800 ms.
 #[test]
-fn others_backlog() {
+fn backlog_of_others() {
     let registry = EntryRegistry::default();
-    beat(&registry, "e1", seen("u", None, 800), 1_000);
-    let news = beat(&registry, "e2", Heartbeat::default(), 1_300);
+    heartbeat(&registry, "e1", observed("u", None, 800), 1_000);
+    let news = heartbeat(&registry, "e2", Heartbeat::default(), 1_300);
     assert_eq!((news.signs[0].id.as_str(), news.signs[0].backlog_ms), ("u", 500));
-    let own = beat(&registry, "e1", Heartbeat::default(), 1_300);
+    let own = heartbeat(&registry, "e1", Heartbeat::default(), 1_300);
     assert!(
         own.signs.is_empty(),
-        "its own prompts come back to nobody: {:?}",
+        "its own prompts are not reported back: {:?}",
         own.signs
     );
-    assert!(beat(&registry, "e2", Heartbeat::default(), 1_900).signs.is_empty());
+    assert!(heartbeat(&registry, "e2", Heartbeat::default(), 1_900).signs.is_empty());
 }
 
 fn overdue(id: &str, overdue_ms: u32) -> Heartbeat {
@@ -75,31 +75,32 @@
     }
 }
 
-/// An upstream has fallen silent, or reads a prompt that nobody knows of. The requests of two entry hosts wait there longer than
-/// was predicted. Every other one would find out by itself, with a request of its own that is late; it is told by how much they
-/// wait, and not the sum, since all of them wait in one queue.
+/// An upstream has stalled, or processes a prompt that nobody reported, and the requests of two entry hosts wait longer
+/// than predicted. Without the report every other entry host would find out by a late request of its own. It must learn
+/// the longer of the two waits, not their sum, since all requests wait in one queue.
 #[test]
-fn overdue_told() {
+fn overdue_reported() {
     let registry = EntryRegistry::default();
-    beat(&registry, "e1", overdue("u", 700), 1_000);
-    beat(&registry, "e2", overdue("u", 900), 1_100);
-    let news = beat(&registry, "e3", Heartbeat::default(), 1_200);
+    heartbeat(&registry, "e1", overdue("u", 700), 1_000);
+    heartbeat(&registry, "e2", overdue("u", 900), 1_100);
+    let news = heartbeat(&registry, "e3", Heartbeat::default(), 1_200);
     assert_eq!((news.signs[0].backlog_ms, news.signs[0].overdue_ms), (0, 800));
-    assert!(beat(&registry, "e3", Heartbeat::default(), 2_100).signs.is_empty());
+    assert!(heartbeat(&registry, "e3", Heartbeat::default(), 2_100).signs.is_empty());
 }
 
-/// Two entry hosts saw an upstream's load at different times. The newest sight counts, whichever came last.
+/// Two entry hosts observed an upstream's load at different times. The newest observation counts, not the one that was
+/// reported last.
 #[test]
 fn newest_load() {
     let registry = EntryRegistry::default();
-    beat(&registry, "e1", seen("u", Some((9, 1, 50)), 0), 1_000);
-    beat(&registry, "e2", seen("u", Some((2, 0, 400)), 0), 1_010);
-    let news = beat(&registry, "e3", Heartbeat::default(), 1_100);
+    heartbeat(&registry, "e1", observed("u", Some((9, 1, 50)), 0), 1_000);
+    heartbeat(&registry, "e2", observed("u", Some((2, 0, 400)), 0), 1_010);
+    let news = heartbeat(&registry, "e3", Heartbeat::default(), 1_100);
     assert_eq!(news.signs[0].load, Some((9, 1, 150)));
-    assert!(beat(&registry, "e3", Heartbeat::default(), 5_000).signs.is_empty());
+    assert!(heartbeat(&registry, "e3", Heartbeat::default(), 5_000).signs.is_empty());
 }
 
-/// A large deployment has thousands of upstreams. An answer names only the busiest, so that beats stay small.
+/// A large deployment has thousands of upstreams. An answer names only the busiest, so that heartbeats stay small.
 #[test]
 fn busiest_first() {
     let registry = EntryRegistry::default();
@@ -113,45 +114,47 @@
         signs: signs.collect(),
         ..Heartbeat::default()
     };
-    beat(&registry, "e1", all, 1_000);
-    let told = beat(&registry, "e2", Heartbeat::default(), 1_100).signs;
-    assert_eq!((told.len(), told[0].id.as_str()), (64, "u499"));
+    heartbeat(&registry, "e1", all, 1_000);
+    let observations = heartbeat(&registry, "e2", Heartbeat::default(), 1_100).signs;
+    assert_eq!((observations.len(), observations[0].id.as_str()), (64, "u499"));
 }
 
-/// The list is read every second, and how long upstreams are cold changes each time. Only what matters is sent again.
+/// The list is read every second, and the remaining warm-up times change each time. Only relevant changes are sent
+/// again.
 #[test]
-fn list_when_changed() {
+fn list_changes_only() {
     let registry = EntryRegistry::default();
     registry.set_list(TERM, vec![listed("u", false, 900)], Tick::from_millis(1_000));
-    let first = beat(&registry, "e1", Heartbeat::default(), 1_100).list;
+    let first = heartbeat(&registry, "e1", Heartbeat::default(), 1_100).list;
     assert_eq!((first.age_ms, first.whole, first.put.len()), (Some(100), true, 1));
     let known = || Heartbeat {
         list: first.mark.clone(),
         ..Heartbeat::default()
     };
     registry.set_list(TERM, vec![listed("u", false, 0)], Tick::from_millis(2_000));
-    let same = beat(&registry, "e1", known(), 2_100).list;
+    let same = heartbeat(&registry, "e1", known(), 2_100).list;
     assert_eq!((&same.mark, same.put.len(), same.complete), (&first.mark, 0, true));
     registry.set_list(TERM, vec![listed("u", true, 0)], Tick::from_millis(3_000));
-    let leaving = beat(&registry, "e1", known(), 3_100).list;
+    let leaving = heartbeat(&registry, "e1", known(), 3_100).list;
     assert!(leaving.mark > first.mark && leaving.put[0].leaving && !leaving.whole);
 }
 
-/// Another leader reads the list anew and counts from the beginning. Its numbers must not meet those of the leader before, or
-/// entry hosts would keep the old list as if it were this one.
+/// A new leader reads the list and numbers its changes from the beginning. Its numbers must not overlap with those of
+/// the former leader, or entry hosts would keep the old list as if it were the new one.
 #[test]
-fn numbers_of_leaders() {
+fn leader_change_numbers() {
     let (old, new) = (EntryRegistry::default(), EntryRegistry::default());
     old.set_list(TERM, vec![listed("u", false, 0)], Tick::from_millis(1_000));
     new.set_list(TERM + 1, vec![listed("v", false, 0)], Tick::from_millis(1_000));
-    let number = |registry: &EntryRegistry| beat(registry, "e1", Heartbeat::default(), 1_100).list.mark;
+    let number = |registry: &EntryRegistry| heartbeat(registry, "e1", Heartbeat::default(), 1_100).list.mark;
     assert!(number(&new) > number(&old));
 }
 
-/// A data centre is reclaimed with a notice of 1.1 s. Its engines say so at once, the list 0.8 s later, when callers' streams
-/// can no longer be moved. Entry hosts hear of it with the next beat, and the lagging list does not take it back.
+/// The upstreams of a data centre are reclaimed with a notice of 1.1 s. Engines report it at once, the list 0.8 s
+/// later, which is too late to migrate streams. Entry hosts must learn it with the next heartbeat, and the lagging list
+/// must not undo it.
 #[test]
-fn engines_tell_first() {
+fn early_reclaim_notice() {
     let registry = EntryRegistry::default();
     let spot = |id: &str, zone: &str, leaving| Listed {
         zone: Zone::from(zone),
@@ -160,7 +163,7 @@
     };
     let ready = || vec![spot("u", "z", false), spot("v", "y", false), listed("w", false, 0)];
     let leaving = |now_ms| -> Vec<String> {
-        let list = beat(&registry, "e1", Heartbeat::default(), now_ms).list.put;
+        let list = heartbeat(&registry, "e1", Heartbeat::default(), now_ms).list.put;
         let leaving = list.into_iter().filter(|one| one.leaving && one.left.is_some());
         leaving.map(|one| one.id).collect()
     };
@@ -170,7 +173,7 @@
     assert_eq!(leaving(1_310), ["u"]);
     registry.set_list(TERM, ready(), Tick::from_millis(1_500));
     assert_eq!(leaving(1_510), ["u"]);
-    // What the list still shows as ready long afterwards is ready: the engines told of something else.
+    // An upstream that the list still shows as ready long afterwards is ready: the engines reported something else.
     registry.set_list(TERM, ready(), Tick::from_millis(3_500));
     assert_eq!(leaving(3_510), [""; 0]);
 }
