--- a/crates/state/src/admin/mod.rs
+++ b/crates/state/src/admin/mod.rs
@@ -59,10 +59,7 @@
         if !caller.may(needed) {
             return problem(
                 403,
-                &format!(
-                    "operator {} lacks the role {needed}, which this request needs",
-                    caller.name
-                ),
+                &format!("operator {} may not do this, it needs the role {needed}", caller.name),
             );
         }
         self.route(request, &parts, &caller)
@@ -183,7 +180,7 @@
         let base = match request.get_param("base").map(|text| text.parse().map(Revision)) {
             None => None,
             Some(Ok(base)) => Some(base),
-            Some(Err(_)) => return problem(400, "query parameter base is not a revision number"),
+            Some(Err(_)) => return problem(400, "base is not a revision"),
         };
         let operator = caller.name.clone();
         self.submit(Command::Propose(Propose {
@@ -225,7 +222,7 @@
         .data()
         .map(|data| data.take(MAX_BODY_BYTES).read_to_string(&mut text));
     if !matches!(read, Some(Ok(_))) {
-        return Err(problem(400, "the body cannot be read as UTF-8 text"));
+        return Err(problem(400, "the body can't be read as text"));
     }
     serde_json::from_str(&text).map_err(|error| problem(400, &error.to_string()))
 }
@@ -235,5 +232,5 @@
         .header("Change-Id")
         .map(ChangeId::from)
         .filter(ChangeId::is_valid);
-    id.ok_or_else(|| problem(400, "header Change-Id must be a name of letters, digits and -_.:/"))
+    id.ok_or_else(|| problem(400, "header Change-Id is needed: a name of letters, digits and -_.:/"))
 }
--- a/crates/state/src/program.rs
+++ b/crates/state/src/program.rs
@@ -302,12 +302,10 @@
             .is_err()
         {
             return Err(Unavailable::NoQuorum {
-                reason: "too many requests are waiting".to_owned(),
+                reason: "too many requests wait".to_owned(),
             });
         }
-        answer
-            .blocking_recv()
-            .map_err(|_stopped| undecided("the node is stopping"))?
+        answer.blocking_recv().map_err(|_stopped| undecided("the node stops"))?
     }
 
     /// Makes a call at the leader.
--- a/crates/state/src/raft/change.rs
+++ b/crates/state/src/raft/change.rs
@@ -19,13 +19,13 @@
     #[display("not the leader")]
     NotLeading,
     /// Another change is not committed yet, or the leader has not committed a record of its own term.
-    #[display("another membership change is not finished")]
+    #[display("another change of the members is not finished")]
     InProgress,
     /// The member to remove or replace does not exist.
     #[display("no such member")]
     NoSuchMember,
     /// The node to add is already a member.
-    #[display("already a member")]
+    #[display("a member already")]
     AlreadyMember,
 }
 
--- a/crates/state/src/rpc.rs
+++ b/crates/state/src/rpc.rs
@@ -75,7 +75,7 @@
             .is_err()
         {
             return Ok(Err(Unavailable::NoQuorum {
-                reason: "too many requests are waiting".to_owned(),
+                reason: "too many requests wait".to_owned(),
             }));
         }
         answer.await.map_err(|_closed| stopping_error())
@@ -208,7 +208,7 @@
                 .try_send(StateRequest::Command(Box::new(Command::Sharers(count)), reply));
         }
         let collecting = || Unavailable::NoQuorum {
-            reason: "a new leader is collecting heartbeats of the entry hosts".to_owned(),
+            reason: "a new leader listens who shares the limits".to_owned(),
         };
         let body = update.map_or_else(
             || HeartbeatReply::Unavailable(collecting()),
