--- a/crates/state/src/admin/members.rs
+++ b/crates/state/src/admin/members.rs
@@ -1,4 +1,4 @@
-//! Members of the group and the replacement of lost disks.
+//! Listing the members of the group, and replacing a member whose disk is lost.
 
 use contract::NodeId;
 use rouille::{Request, Response};
@@ -6,53 +6,55 @@
 use serde_json::json;
 use tokio::sync::oneshot;
 
-use super::{Admin, answer, body, problem};
-use crate::core::{Ask, MemberList, Replace, ReplaceError};
+use super::{Admin, answer, json_body, problem};
+use crate::core::{MemberList, ReplaceError, ReplaceMember, StateRequest};
 use crate::raft::ChangeError;
 use wire::state::Unavailable;
 
-/// Body of a replacement.
+/// Body of a replacement request.
 #[derive(Debug, Deserialize)]
-struct Asked {
-    /// The member whose disk is lost.
+struct ReplaceBody {
+    /// Name of the member whose disk is lost.
     old: NodeId,
-    /// The node that takes its place; the same name when it is left out.
+    /// Name of the node that replaces it; the same name if absent.
     new: Option<NodeId>,
 }
 
 impl Admin {
     pub(super) fn members(&self) -> Response {
         let (reply, answer) = oneshot::channel();
-        let sent = self.ring.try_send(Ask::Members(reply));
+        let sent = self.requests.try_send(StateRequest::Members(reply));
         match sent.ok().and_then(|()| answer.blocking_recv().ok()) {
-            // A blank disk knows nobody; the operator would take the empty list for the group.
+            // A node with a blank disk knows no members; the operator would take the empty list for the group's.
             Some(list) if list.members.is_empty() => problem(503, "this node's disk is blank, ask another node"),
-            Some(list) => Response::json(&render(&list)),
+            Some(list) => Response::json(&members_json(&list)),
             None => problem(503, "the node is stopping or overloaded"),
         }
     }
 
     pub(super) fn replace(&self, request: &Request) -> Response {
-        let asked: Asked = match body(request) {
+        let asked: ReplaceBody = match json_body(request) {
             Ok(asked) => asked,
             Err(refusal) => return refusal,
         };
         let new = asked.new.unwrap_or_else(|| asked.old.clone());
         let (reply, answer) = oneshot::channel();
-        let sent = self.ring.try_send(Ask::Replace(Replace { old: asked.old, new }, reply));
+        let sent = self
+            .requests
+            .try_send(StateRequest::Replace(ReplaceMember { old: asked.old, new }, reply));
         match sent.ok().and_then(|()| answer.blocking_recv().ok()) {
             Some(Ok(replaced)) => Response::json(&json!({"replacing": replaced})),
             Some(Err(ReplaceError::Change(ChangeError::NotLeading))) => {
                 answer::unavailable(&Unavailable::NotLeader { leader: None })
             }
-            Some(Err(error @ ReplaceError::Change(ChangeError::Busy))) => problem(503, &error.to_string()),
+            Some(Err(error @ ReplaceError::Change(ChangeError::InProgress))) => problem(503, &error.to_string()),
             Some(Err(error)) => problem(422, &error.to_string()),
             None => problem(503, "the node is stopping or overloaded"),
         }
     }
 }
 
-fn render(list: &MemberList) -> serde_json::Value {
+fn members_json(list: &MemberList) -> serde_json::Value {
     let members: Vec<_> = list
         .members
         .0
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -1,4 +1,4 @@
-//! `gentian-state`: the replicated state of gentianspring.
+//! `gentian-state`: a node of gentianspring's replicated state.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 use slog::{Logger, info};
 use state::admin::Admin;
 use state::cli::Options;
-use state::core::{Ask, MembershipMode, NodeConfig};
+use state::core::{MembershipMode, NodeConfig, StateRequest};
 use state::program::StateNode;
 use state::settings::Settings;
 use telemetry::scrape::MetricsExporter;
 use telemetry::{ended, log};
 
-/// Threads of the administration API.
+/// Threads of the administration API, each for one request at a time.
 const ADMIN_THREADS: usize = 8;
 
 fn main() -> ExitCode {
@@ -45,24 +45,24 @@
         peers: settings.peers.clone(),
         membership: MembershipMode::Manual,
     };
-    let program = StateNode::start(me, &settings.data, Slack::default(), logger, &stop)?;
-    let admin = start_admin(settings, program.requests.clone(), scrape)?;
+    let node = StateNode::start(me, &settings.data, Slack::default(), logger, &stop)?;
+    let admin = start_admin(settings, node.requests.clone(), scrape)?;
     info!(logger, "serving"; "inner" => %settings.listen, "admin" => %admin.server_addr());
     while !stop.load(Ordering::Relaxed) {
         admin.poll_timeout(Duration::from_millis(50));
     }
     info!(logger, "stopping");
-    let stopped = program.stop(&settings.data);
+    let stopped = node.stop(&settings.data);
     log::finish();
     stopped
 }
 
 fn start_admin(
     settings: &Settings,
-    ring: Sender<Ask>,
+    requests: Sender<StateRequest>,
     scrape: MetricsExporter,
 ) -> anyhow::Result<rouille::Server<impl Fn(&rouille::Request) -> rouille::Response + Send + Sync + 'static>> {
-    let admin = Admin::new(ring, settings.operator.clone(), scrape);
+    let admin = Admin::new(requests, settings.operator.clone(), scrape);
     let server = rouille::Server::new(settings.admin, move |request| admin.answer(request))
         .map_err(|error| anyhow::anyhow!("listen on {}: {error}", settings.admin))?;
     Ok(server.pool_size(ADMIN_THREADS))
