--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -1,4 +1,5 @@
-//! Customers' limits: what they ask for here, and the part of their limits that this host may admit.
+//! Customers' rate and concurrency limits: measures the demand at this host and admits requests up to this host's part
+//! of each limit, plus what peers lend it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,12 +10,12 @@
 use wire::digest::{self, Demand};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Shortest time after which a caller over the limit of running requests is asked to come back.
+/// Shortest retry-after for a caller that is over its concurrency limit.
 const SHORTEST: Duration = Duration::from_millis(100);
-/// Hundredths of requests, in which digests count them.
+/// Digests carry request rates in hundredths of a request per second.
 const HUNDREDTHS: f64 = 100.0;
 
-/// All customers' limits at this host.
+/// The limits of all customers at this host.
 #[derive(Debug)]
 pub(super) struct Customers {
     hosts: u32,
@@ -23,7 +24,7 @@
     keys: HashMap<u32, CustomerId>,
 }
 
-/// One customer's limits at this host.
+/// One customer's limits, demand and running requests at this host.
 #[derive(Debug)]
 struct Meter {
     limits: Limits,
@@ -32,7 +33,7 @@
     tokens: Bucket,
     asked: DemandMeter,
     work: DemandMeter,
-    /// Requests a second that found the limit of running ones used up.
+    /// Requests a second that were rejected because the concurrency limit was used up.
     turned: DemandMeter,
     running: u32,
 }
@@ -49,7 +50,10 @@
 }
 
 impl Customers {
-    /// Takes a request from a customer's limits, or gives the time after which it is worth asking again.
+    /// Charges a request to a customer's limits.
+    ///
+    /// # Errors
+    /// Returns the time after which a retry is worthwhile if a limit is used up.
     pub(super) fn take(
         &mut self,
         contract: &Contract,
@@ -69,7 +73,7 @@
         meter.take(owned_part(&contract.limits, hosts, rank), tokens, next_place, now)
     }
 
-    /// Gives back what a request took that was not run.
+    /// Refunds the charge of a request that was not run.
     pub(super) fn give_back(&mut self, customer: &CustomerId, tokens: f64) {
         if let Some(meter) = self.meters.get_mut(customer) {
             meter.running = meter.running.saturating_sub(1);
@@ -78,23 +82,24 @@
         }
     }
 
-    /// Gives back tokens that were not used, or takes those that were used beyond.
+    /// Refunds tokens that were charged but not used; a negative amount charges tokens that were used beyond the
+    /// estimate.
     pub(super) fn correct(&mut self, customer: &CustomerId, tokens: f64) {
         if let Some(meter) = self.meters.get_mut(customer) {
             meter.tokens.correct(tokens);
         }
     }
 
-    /// Notes that a request ended.
+    /// Releases the concurrency slot of a request that ended.
     pub(super) fn ended(&mut self, customer: &CustomerId) {
         if let Some(meter) = self.meters.get_mut(customer) {
             meter.running = meter.running.saturating_sub(1);
         }
     }
 
-    /// Takes over contracts and the place of this host among all.
+    /// Applies the contracts of a configuration and the position of this host among all entry hosts.
     ///
-    /// Customers that have no callers here are known too: their part can be lent.
+    /// Customers without callers at this host are tracked too, because their part of the limits can be lent to peers.
     pub(super) fn refresh(&mut self, config: &Config, hosts: u32, rank: u32, now: Tick) {
         (self.hosts, self.rank) = (hosts, rank);
         for contract in config.contracts.values() {
@@ -109,7 +114,7 @@
         self.keys.retain(|_, customer| meters.contains_key(customer));
     }
 
-    /// Gives what a peer is told, and lends it what it lacks and this host doesn't need.
+    /// Returns the demand rows for a peer and lends the peer what it lacks and this host does not need.
     pub(super) fn tell(&mut self, peer: u32, now: Tick) -> Vec<Demand> {
         let (hosts, rank) = (self.hosts, self.rank);
         let rows = self.keys.iter().filter_map(|(key, customer)| {
@@ -133,7 +138,10 @@
         rows.collect()
     }
 
-    /// Takes in what a peer tells; returns whether it lacks something that this host could lend.
+    /// Records a peer's demand and its loans to this host. `asked` is the time at which this host sent the demand that
+    /// the loans answer; without it the loans don't count.
+    ///
+    /// Returns whether the peer lacks something that this host could lend.
     pub(super) fn hear(&mut self, peer: u32, rows: &[Demand], asked: Option<Tick>, now: Tick) -> bool {
         let mut lacks = false;
         for row in rows {
@@ -181,7 +189,7 @@
         let usable = self.share.usable(part, now);
         self.requests.set_rate(usable.requests, now);
         self.tokens.set_rate(usable.tokens, now);
-        // Waiting requests count as running: they will be soon.
+        // Requests that wait for a slot count as running, because they will run soon.
         if f64::from(self.running) + 1.0 > usable.running {
             self.turned.add(1.0, now);
             return Err(next_place.max(SHORTEST));
@@ -204,7 +212,7 @@
     }
 }
 
-/// Gives the key by which digests name a customer.
+/// Returns the 32-bit hash by which digests identify a customer.
 fn customer_key(customer: &CustomerId) -> u32 {
     xxh3_64(customer.as_str().as_bytes()) as u32
 }
@@ -217,7 +225,7 @@
     }
 }
 
-/// Rounds what is lent down, so that the borrower never uses more than the lender counts.
+/// Rounds loans down, so that the borrower never uses more than the lender deducts.
 fn rounded_down(amounts: LimitAmounts) -> digest::Amounts {
     digest::Amounts {
         requests: (amounts.requests * HUNDREDTHS).floor() as u32,
@@ -226,7 +234,7 @@
     }
 }
 
-/// Reads amounts of a digest.
+/// Converts amounts from the units of a digest.
 fn read(amounts: &digest::Amounts) -> LimitAmounts {
     LimitAmounts {
         requests: f64::from(amounts.requests) / HUNDREDTHS,
--- a/crates/entry/src/admission/mod.rs
+++ b/crates/entry/src/admission/mod.rs
@@ -1,8 +1,8 @@
-//! Admission: every request passes here before anything is sent for it.
+//! Admission control: every request passes here before it is sent to an upstream.
 //!
-//! A request is counted against its customer's limits first; then it waits in the lane of the model or service that it
-//! asks for until a slot of an upstream is free. Each waiting thread has a channel of its own, so that a free slot wakes
-//! the one whose turn it is and not all of them.
+//! A request is first charged to its customer's limits. Then it waits in the queue of its model or service until an
+//! upstream slot is free. Each waiting thread has a channel of its own, so that a free slot wakes only the thread whose
+//! turn it is.
 
 mod limits;
 mod queues;
@@ -25,29 +25,29 @@
 use limits::Customers;
 use queues::Queues;
 
-/// Why a request was not admitted, and when it's worth asking again.
+/// A rejected request: the reason and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The customer's limit is used up; otherwise the system is short of capacity.
+    /// Whether a limit of the customer is used up; otherwise upstream capacity is short.
     pub limited: bool,
-    /// Time after which it is worth asking again.
+    /// Time after which a retry is worthwhile.
     pub retry_after: Duration,
 }
 
-/// The work that a request asks for.
+/// What admission has to know of a request.
 #[derive(Clone, Debug)]
 pub struct Work {
-    /// The model or service that it asks for.
+    /// The requested model or service.
     pub target: Target,
-    /// Expected tokens, prompt and answer together.
+    /// Expected tokens of prompt and answer together; 1 for a service.
     pub tokens: f64,
-    /// Latest start with which it can still be on time; for services, the latest end.
+    /// Latest start that still meets the latency target; for services, the latest end.
     pub latest: Tick,
-    /// Order of shedding.
+    /// Shedding priority of the request's class: higher values are shed first.
     pub shed: u8,
 }
 
-/// Admits requests up to what upstreams can take.
+/// Admits requests up to the customers' limits and the capacity of the upstreams.
 #[derive(Debug)]
 pub struct Admission {
     clock: Clock,
@@ -61,14 +61,14 @@
     next: u64,
 }
 
-/// What a waiting request is told.
+/// What a waiting thread receives on its channel.
 #[derive(Clone, Copy, Debug)]
 enum Verdict {
     Granted,
     Shed(Rejection),
 }
 
-/// The right to run one request; it ends when dropped.
+/// The right to run one request; dropping it frees the slot.
 #[derive(Debug)]
 pub struct Permit<'a> {
     admission: &'a Admission,
@@ -79,7 +79,7 @@
 }
 
 impl Admission {
-    /// Makes the admission of an entry host that runs and lets wait so many requests at most.
+    /// Creates the admission control of an entry host with at most `running` admitted and `waiting` queued requests.
     #[must_use]
     pub fn new(clock: Clock, running: usize, waiting: usize) -> Self {
         let inner = Inner {
@@ -93,10 +93,11 @@
         }
     }
 
-    /// Waits until the request may run.
+    /// Blocks until the request may run.
     ///
     /// # Errors
-    /// Refuses what is over the customer's limits, at once what is predicted to be late, and what a full queue sheds.
+    /// Fails if the request is over the customer's limits, if it is predicted to miss its target, or if a full queue
+    /// sheds it.
     pub fn enter(&self, contract: &Contract, work: &Work) -> Result<Permit<'_>, Refusal> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
@@ -111,7 +112,7 @@
         match offered {
             Ok(Some((victim, sender, turned))) => {
                 inner.customers.give_back(&victim.customer, victim.tokens);
-                // The victim's thread may have timed out by itself at the same moment.
+                // The shed request's thread may have timed out at the same moment.
                 let _ = sender.send(Verdict::Shed(turned));
             }
             Ok(None) => {}
@@ -135,7 +136,7 @@
                     inner.customers.give_back(&ticket.customer, ticket.tokens);
                     Ok(Verdict::Shed(turned))
                 }
-                // It was granted or shed between the end of the wait and the lock.
+                // It was admitted or shed between the timeout and the lock, so its verdict is in the channel.
                 None => receiver.recv(),
             }
         });
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Sets what upstreams can take, by what they serve.
+    /// Sets the number of slots of each model and service.
     pub fn resize(&self, sizes: &[Size]) {
         let mut inner = self.inner.lock();
         inner.queues.resize(sizes);
@@ -160,26 +161,26 @@
         inner.queues.show();
     }
 
-    /// Takes over the contracts of a view and the place of this host among all entry hosts.
+    /// Applies the contracts of a configuration view, the number of entry hosts and the rank of this host among them.
     pub fn refresh(&self, view: &View, hosts: u32, rank: u32) {
         let now = self.clock.now();
         self.inner.lock().customers.refresh(&view.config, hosts, rank, now);
     }
 
-    /// Gives what this host tells a peer of every customer that is active here or lent to the peer.
+    /// Returns the demand rows for a peer: one for each customer that is active here or lent to the peer.
     #[must_use]
     pub fn tell(&self, peer: u32, now: Tick) -> Vec<Demand> {
         self.inner.lock().customers.tell(peer, now)
     }
 
-    /// Takes in what a peer tells; the time is that at which the demand was sent which its loans answer.
+    /// Records a peer's demand and loans; `asked` is the time at which this host sent the demand that the loans answer.
     ///
     /// Returns whether the peer lacks something that this host could lend.
     pub fn hear(&self, peer: u32, rows: &[Demand], asked: Option<Tick>, now: Tick) -> bool {
         self.inner.lock().customers.hear(peer, rows, asked, now)
     }
 
-    /// Tells whether any request runs or waits.
+    /// Returns whether any request is running or waiting.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.inner.lock().queues.is_busy()
@@ -201,14 +202,14 @@
 
     fn grant(&mut self) {
         while let Some(sender) = self.queues.grant() {
-            // The thread takes its verdict even if it has just timed out.
+            // A thread that has just timed out still receives the verdict.
             let _ = sender.send(Verdict::Granted);
         }
     }
 }
 
 impl Permit<'_> {
-    /// Notes how many tokens were used in the end, in place of those that were expected.
+    /// Replaces the expected number of tokens by the number that was used.
     pub fn used(&mut self, tokens: f64) {
         let tokens = tokens.max(1.0);
         let mut inner = self.admission.inner.lock();
--- a/crates/entry/src/admission/queues.rs
+++ b/crates/entry/src/admission/queues.rs
@@ -1,4 +1,5 @@
-//! The lanes of an entry host, one for each model and service, and the room that they share.
+//! The queues of an entry host, one for each model and service, within host-wide bounds on running and waiting
+//! requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 
 use crate::fleet::Size;
 
-/// Lanes with the waiting threads' handles.
+/// The queue of each target and the handles of the waiting threads, by ticket id.
 #[derive(Debug)]
 pub(super) struct Queues<W> {
     running: usize,
@@ -21,7 +22,7 @@
     waiters: HashMap<u64, W>,
 }
 
-/// A request that had to make room, with its thread's handle and what it is told.
+/// A queued request that was shed for another one: its ticket, its thread's handle and the answer for it.
 pub(super) type Victim<W> = (Ticket, W, Rejection);
 
 impl<W> Queues<W> {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Queues a request.
+    /// Queues a request, and returns the request that was shed to make room for it, if any.
     pub(super) fn offer(
         &mut self,
         target: &Target,
@@ -60,7 +61,8 @@
         Ok(victim.and_then(|(turned, ticket)| Some((ticket.clone(), self.waiters.remove(&ticket.id)?, turned))))
     }
 
-    /// Takes out a request that waited until it was late; gives what it is told, or nothing if its turn has come.
+    /// Removes a request that waited until it was too late. Returns the answer for it, or `None` if it was admitted or
+    /// shed meanwhile.
     pub(super) fn leave(&mut self, target: &Target, ticket: &Ticket, now: Tick) -> Option<Rejection> {
         let lane = self.lanes.get_mut(target)?;
         let ticket = lane.remove(ticket)?;
@@ -68,7 +70,7 @@
         Some(lane.reject(RefusalReason::TooLate, ticket.tokens, Duration::ZERO, now))
     }
 
-    /// Lets the next request run and gives its thread's handle.
+    /// Admits the next request, if there is room, and returns the handle of its thread.
     pub(super) fn grant(&mut self) -> Option<W> {
         let room = SharedPlaces::new(self.running, self.lanes.len());
         let used: Vec<usize> = self.lanes.values().map(AdmissionQueue::running).collect();
@@ -84,7 +86,7 @@
         self.lane(target).finished(tokens, held);
     }
 
-    /// Gives the time in which a slot for a target comes free on average.
+    /// Returns the mean time until a slot of a target becomes free.
     pub(super) fn next_place(&self, target: &Target) -> Duration {
         self.lanes
             .get(target)
@@ -92,7 +94,8 @@
             .unwrap_or_default()
     }
 
-    /// Sets what upstreams can take; lanes that nothing serves any more take nothing, and go once they are empty.
+    /// Sets the number of slots of each target. A target that no upstream serves any more gets none, and its queue is
+    /// removed once it is empty.
     pub(super) fn resize(&mut self, sizes: &[Size]) {
         for lane in self.lanes.values_mut() {
             lane.resize(0);
@@ -110,7 +113,7 @@
         self.lanes.values().any(|lane| lane.running() + lane.waiting() > 0)
     }
 
-    /// Sets the gauges.
+    /// Updates the gauges.
     pub(super) fn show(&self) {
         for (target, lane) in &self.lanes {
             let target = target.to_string();
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Finds a lane; one that was not sized yet takes what the whole host does.
+    /// Returns the queue of a target; until its size is set, a new one is bounded by the limits of the whole host.
     fn lane(&mut self, target: &Target) -> &mut AdmissionQueue {
         let whole = matches!(target, Target::Service(_));
         let (running, waiting) = (self.running, self.waiting);
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,6 +1,7 @@
-//! The life of one call to a service: claimed, then sent.
+//! One call to a service as a type-state: claimed, then sent.
 //!
-//! Sending consumes the claimed attempt, so that a call that must run at most once can't be sent twice.
+//! Sending consumes the claimed attempt, so that the type system prevents sending a call twice that must run at most
+//! once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,11 +10,11 @@
 use upstream::{Fate, UpstreamError};
 use wire::state::Outcome;
 
-/// The call may be sent.
+/// State of an attempt that may be sent.
 #[derive(Debug)]
 pub struct Claimed;
 
-/// The call was sent, or it is certain that it wasn't.
+/// State of an attempt after sending, with the response or the error.
 #[derive(Debug)]
 pub struct Sent {
     result: Result<ServiceAnswer, UpstreamError>,
@@ -27,13 +28,13 @@
 }
 
 impl Attempt<Claimed> {
-    /// Begins an attempt at an upstream.
+    /// Creates an attempt at the upstream at `peer`.
     #[must_use]
     pub const fn new(peer: SocketAddr) -> Self {
         Self { peer, stage: Claimed }
     }
 
-    /// Sends the call.
+    /// Sends the call and waits for the response.
     #[must_use]
     pub fn send(self, client: &ServiceClient, call: &ServiceCall<'_>, timeout: Duration) -> Attempt<Sent> {
         let result = client.send(self.peer, call, timeout);
@@ -45,25 +46,25 @@
 }
 
 impl Attempt<Sent> {
-    /// Tells whether the call truly was not run, so that another upstream may take it.
+    /// Returns whether the call certainly was not run, so that another upstream may run it.
     #[must_use]
     pub fn not_run(&self) -> bool {
         matches!(&self.stage.result, Err(error) if error.fate == Fate::NotRun)
     }
 
-    /// Gives the status that the service answered with.
+    /// Returns the status of the response, if there is one.
     #[must_use]
     pub fn status(&self) -> Option<u16> {
         self.stage.result.as_ref().ok().map(|answer| answer.status)
     }
 
-    /// Gives why there is no answer, if there is none.
+    /// Returns the error, if there is no response.
     #[must_use]
     pub fn error(&self) -> Option<&UpstreamError> {
         self.stage.result.as_ref().err()
     }
 
-    /// Gives what is to be recorded of the call.
+    /// Returns the outcome to record for the call.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match &self.stage.result {
@@ -77,10 +78,10 @@
         }
     }
 
-    /// Gives the answer.
+    /// Returns the response.
     ///
     /// # Errors
-    /// Returns why there is none.
+    /// Returns the error if there is none.
     pub fn into_answer(self) -> Result<ServiceAnswer, UpstreamError> {
         self.stage.result
     }
--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -1,4 +1,4 @@
-//! The duty that remembers what another entry host counted for the burn report.
+//! Backs up what another entry host counted for the burn report (the use of customers' error budgets).
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -14,21 +14,21 @@
 
 use crate::Entry;
 
-/// Pause between two questions; at most what was counted since the last one is lost with a host.
+/// Interval of the backups; the loss of a host loses at most the counts since the last one.
 const EVERY: Duration = Duration::from_secs(30);
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Gives what this process counted and what it remembers of others.
+/// Returns the counts of this process and the counts that it keeps for others.
 #[must_use]
 pub fn parts(entry: &Entry) -> Vec<Part> {
     let own = entry.burn.node_counts(&entry.settings.node, wall_ms() / 1_000);
     std::iter::once(own).chain(entry.burn.peer_counts()).collect()
 }
 
-/// Asks the next entry host again and again until told to stop.
+/// Fetches the counts of the next entry host periodically until the process stops.
 ///
-/// An entry host has no disk. Without this, a restart would set the customer's budget back to full, and an operator would
-/// take a bad day for a good one.
+/// Entry hosts have no disk. Without this copy, a restart would reset the used part of the customers' error budgets,
+/// and a bad day would look like a good one to an operator.
 pub fn remember(entry: &Entry, calls: &RpcRuntime, own: SocketAddr) {
     let Some(peer) = next(&entry.settings.peers, own) else {
         return;
@@ -44,7 +44,8 @@
     }
 }
 
-/// Gives the peer after an address in the order of addresses, so that every host is remembered by exactly one.
+/// Returns the peer that follows an address in the order of addresses, so that exactly one host keeps the counts of
+/// each.
 #[must_use]
 pub fn next(peers: &[SocketAddr], own: SocketAddr) -> Option<SocketAddr> {
     let after = peers.iter().filter(|peer| **peer > own).min();
@@ -52,7 +53,7 @@
     after.or_else(first).copied()
 }
 
-/// Hands what this process counted to the next entry host, so that a planned stop loses nothing.
+/// Sends the counts of this process to the next entry host, so that a planned stop loses nothing.
 pub fn hand_over(entry: &Entry, calls: &RpcRuntime, own: SocketAddr) {
     let Some(peer) = next(&entry.settings.peers, own) else {
         return;
@@ -69,7 +70,8 @@
     }
 }
 
-/// Takes over what a stopping process counted; anything else is left out and counted.
+/// Stores the counts that a stopping process sent. Null means that nothing was sent; values that can't be parsed are
+/// dropped and counted in a metric.
 pub fn take(entry: &Entry, handed: Value) {
     if handed.is_null() {
         return;
@@ -86,7 +88,7 @@
     let answer = client.ok().and_then(|client| calls.wait(client.burn(message)).ok());
     let parts = answer.and_then(|answer| {
         let parts: Vec<Part> = serde_json::from_value(answer.body).ok()?;
-        // What the peer remembers of others is remembered there; only its own counts are kept here.
+        // The counts that the peer keeps for others have their copy there already.
         Some(parts.into_iter().filter(|part| part.node == answer.from).collect())
     });
     match parts {
--- a/crates/entry/src/callers/ask.rs
+++ b/crates/entry/src/callers/ask.rs
@@ -1,4 +1,4 @@
-//! A chat completion as a caller asks for it, checked whole before anything is spent on it.
+//! Parses and validates the body of a chat completion request, before anything is spent on it.
 
 use derive_more::{Display, Error};
 use serde::Deserialize;
@@ -6,14 +6,14 @@
 use serde_json::{Map, Value};
 use upstream::engine::{ChatRequest, Message};
 
-/// Most tokens of one answer.
+/// Most tokens that a caller may request for one answer.
 pub(crate) const MAX_TOKENS: u64 = 32_768;
-/// Tokens of an answer whose caller names no bound.
+/// Token limit of an answer if the caller sets none.
 const DEFAULT_TOKENS: u64 = 1_024;
-/// Most messages of one conversation.
+/// Most messages in one request.
 const MAX_MESSAGES: usize = 1_024;
-/// Fields that would change the order in which engines serve requests, or how an answer is resumed. They follow from
-/// the contract and the system alone, so a caller's are dropped.
+/// Fields that the system sets itself and drops from callers' bodies: they would change the order in which engines
+/// serve requests, or how an answer is resumed.
 const OURS: [&str; 5] = [
     "priority",
     "continue_final_message",
@@ -21,7 +21,7 @@
     "stream_options",
     "kv_transfer_params",
 ];
-/// Fields whose answers would not be plain text from one choice.
+/// Fields that are rejected, because the answer would not be the plain text of one choice.
 const UNSUPPORTED: [&str; 8] = [
     "tools",
     "tool_choice",
@@ -33,37 +33,37 @@
     "modalities",
 ];
 
-/// A checked request.
+/// A validated chat completion request.
 #[derive(Clone, Debug)]
 pub(crate) struct Ask {
-    /// The request as it goes to engines.
+    /// The request to send to engines.
     pub(crate) chat: ChatRequest,
-    /// Expected length of the prompt, in tokens.
+    /// Estimated length of the prompt, in tokens.
     pub(crate) prompt_tokens: u64,
 }
 
-/// Why a body is no request for a chat completion.
+/// Why a body is not a valid chat completion request.
 #[derive(Debug, Display, Error)]
 pub(crate) enum BadAsk {
-    /// It isn't a JSON object.
+    /// The body is not a JSON object.
     #[display("the body is no chat completion request: {_0}")]
     Json(serde_json::Error),
-    /// A field is of a wrong type.
+    /// A field has the wrong type.
     #[display("{field}: {source}")]
     Type {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why its value could not be deserialized.
         source: serde_json::Error,
     },
-    /// A field has a value that isn't allowed.
+    /// A field has a value that is not allowed.
     #[display("{field}: {value} is not allowed, expected {allowed}")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// The value, as text.
         value: String,
-        /// What would have been accepted.
+        /// A description of the accepted values.
         allowed: String,
     },
 }
@@ -87,10 +87,10 @@
 }
 
 impl Ask {
-    /// Reads and checks a caller's body.
+    /// Parses and validates a caller's body.
     ///
     /// # Errors
-    /// Names the first field that is missing, of a wrong type or out of range.
+    /// Returns the first field that is missing, has the wrong type or is out of range.
     pub(crate) fn read(bytes: &[u8]) -> Result<Self, BadAsk> {
         let mut body: Map<String, Value> = serde_json::from_slice(bytes).map_err(BadAsk::Json)?;
         let model: String = take(&mut body, "model")?.unwrap_or_default();
@@ -135,7 +135,7 @@
     }
 }
 
-/// Takes a field out; `null` counts as absent.
+/// Removes a field from the body and deserializes it; `null` counts as absent.
 fn take<T: DeserializeOwned>(body: &mut Map<String, Value>, field: &'static str) -> Result<Option<T>, BadAsk> {
     let value = body.remove(field).unwrap_or(Value::Null);
     serde_json::from_value(value).map_err(|source| BadAsk::Type { field, source })
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions, streamed and whole.
+//! Serves chat completion requests, streamed or as one response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -75,7 +75,7 @@
     Ok(answered)
 }
 
-/// Finds the class of a request.
+/// Returns the contract's class of a request; `None` if none matches.
 pub(super) fn class<'a>(contract: &'a Contract, ask: &Ask) -> Option<&'a Class> {
     contract.class_of(&contract::Request {
         service: None,
@@ -131,13 +131,14 @@
     }
 }
 
-/// Closes the journal; an answer that a peer took over at the last moment ends there.
+/// Records the end of the answer in the burn report and the journal. If a peer took the answer over in the last moment,
+/// it counts as moved.
 fn close(run: &Run<'_>, ended: Ended) -> Ended {
     let end = match &ended {
         Ended::Whole(_) => Some(RequestEnd::Completed),
         Ended::CallerGone => Some(RequestEnd::CallerGone),
         Ended::Failed(problem) => problem.burns(),
-        // The peer that goes on with the answer has no arrival to measure from.
+        // The answer ends at a peer, which does not know when the request arrived.
         Ended::Moved => None,
     };
     if let Some(end) = end {
@@ -165,7 +166,7 @@
     Reply::new(200, "application/json", body.to_string().into_bytes()).with(REQUEST_ID_HEADER, run.id.as_str())
 }
 
-/// Tells a caller whose answer goes on at a peer where to get it.
+/// Builds the response that tells a caller where to fetch an answer that a peer continues.
 fn moved(run: &Run<'_>) -> Reply {
     let resume = resume(run.id, 0);
     let body = json!({"id": run.id, "moved": {"resume": resume}});
--- a/crates/entry/src/callers/http/connection.rs
+++ b/crates/entry/src/callers/http/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller.
+//! Reads requests from one connection of a caller.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -11,48 +11,48 @@
 
 /// Longest time that one read blocks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes that are asked for at once.
+/// Buffer size of one read, in bytes.
 const PIECE: usize = 8 * 1024;
-/// Unread bytes of a refused body that are taken in, so that the refusal is not lost with the connection.
+/// Most bytes of a refused body that are read and discarded before the connection is closed.
 const LINGER_BYTES: usize = 256 * 1024;
-/// Longest time for that.
+/// Longest time for which a refused body is read and discarded.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 
-/// A connection with what was read from it and not used yet.
+/// A connection with a buffer of bytes that were read and not used yet.
 #[derive(Debug)]
 pub(in crate::callers) struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// Why no whole request came.
+/// Why no complete request was received.
 #[derive(Debug, Display, Error, From)]
 pub(in crate::callers) enum Broken {
-    /// The caller closed the connection or sent nothing for long.
+    /// The caller closed the connection or was idle for too long.
     #[display("the connection ended")]
     Ended,
-    /// The caller sends too slowly.
+    /// The request did not arrive within the time limit.
     #[display("the request did not arrive within {} s", _0.as_secs())]
     #[from(skip)]
     Slow(#[error(not(source))] Duration),
-    /// The head is longer than allowed.
+    /// The head is longer than [`MAX_HEAD_BYTES`].
     #[display("the head is longer than {MAX_HEAD} bytes")]
     LongHead,
-    /// The body is longer than allowed.
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[display("the body is longer than {MAX_BODY} bytes")]
     LongBody,
-    /// The head is no head of a request.
+    /// The head is not a valid HTTP request.
     Head(BadHead),
-    /// The body ends early or its chunks are wrong.
+    /// The body ends early or its chunked encoding is invalid.
     #[display("the body can't be read: {_0}")]
     Body(io::Error),
 }
 
 impl Connection {
-    /// Takes over a connection that was accepted.
+    /// Wraps an accepted connection.
     ///
     /// # Errors
-    /// Fails when the operating system refuses an option.
+    /// Fails if a socket option can't be set.
     pub(in crate::callers) fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(CHECK_INTERVAL))?;
@@ -63,10 +63,10 @@
         })
     }
 
-    /// Waits for the head of the next request.
+    /// Reads the head of the next request.
     ///
     /// # Errors
-    /// Fails when the caller leaves, sends too slowly or sends no head.
+    /// Fails if the caller closes the connection, sends too slowly or sends an invalid head.
     pub(in crate::callers) fn head(&mut self) -> Result<Head, Broken> {
         if self.buffer.is_empty() {
             self.first_bytes()?;
@@ -94,8 +94,8 @@
 
     /// Waits for the first bytes of a request.
     ///
-    /// Idle connections are many, so their threads sleep through; waking each of them a few times a second would cost
-    /// more than the requests that come.
+    /// Most connections are idle, so their threads block for the whole idle time; waking each of them several times a
+    /// second would cost more than the requests.
     fn first_bytes(&mut self) -> Result<(), Broken> {
         let read = self
             .stream
@@ -111,7 +111,7 @@
     /// Reads the body that belongs to a head.
     ///
     /// # Errors
-    /// Fails when it is too long, comes too slowly or not whole.
+    /// Fails if the body is too long, arrives too slowly or ends early.
     pub(in crate::callers) fn body(&mut self, head: &Head) -> Result<Vec<u8>, Broken> {
         if matches!(head.length, Length::Bytes(length) if length > MAX_BODY) {
             return Err(Broken::LongBody);
@@ -143,14 +143,14 @@
         }
     }
 
-    /// Gives the writing side.
+    /// Returns the socket for writing responses.
     pub(in crate::callers) const fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Ends a connection on which a body was left unread.
+    /// Closes a connection on which part of a body was not read.
     ///
-    /// Closing at once would reset the connection, and the caller would lose the refusal together with it.
+    /// Closing it with unread data would reset the connection, and the caller could lose the response.
     pub(in crate::callers) fn linger(self) {
         if self.stream.shutdown(std::net::Shutdown::Write).is_err() {
             return;
@@ -170,20 +170,21 @@
     }
 }
 
-/// Watches whether a caller is still there.
+/// A second handle of a connection that detects whether the caller has closed it.
 #[derive(Debug)]
 pub(in crate::callers) struct PeerDemand(TcpStream);
 
 impl PeerDemand {
-    /// Watches the caller of a connection.
+    /// Creates the handle for a connection.
     ///
     /// # Errors
-    /// Fails when the operating system gives no second handle.
+    /// Fails if the socket can't be duplicated.
     pub(in crate::callers) fn of(connection: &Connection) -> io::Result<Self> {
         connection.stream.try_clone().map(Self)
     }
 
-    /// Tells whether the caller closed its side; only the thread that serves the connection may ask.
+    /// Returns whether the caller closed its side. Only the thread that serves the connection may call this, because it
+    /// switches the socket's blocking mode for a moment.
     pub(in crate::callers) fn is_gone(&self) -> bool {
         if self.0.set_nonblocking(true).is_err() {
             return true;
@@ -197,7 +198,7 @@
     }
 }
 
-/// The rest of a request, to be read until a point in time.
+/// Reads the rest of a request, first from the buffer, until a deadline.
 struct Source<'a> {
     stream: &'a TcpStream,
     buffer: &'a mut Vec<u8>,
--- a/crates/entry/src/callers/http/head.rs
+++ b/crates/entry/src/callers/http/head.rs
@@ -1,4 +1,4 @@
-//! The head of a request.
+//! Parses the head of a request.
 
 use derive_more::{Display, Error};
 
@@ -7,51 +7,51 @@
 /// Method, target and headers of a request.
 #[derive(Clone, Debug)]
 pub(in crate::callers) struct Head {
-    /// Method in capitals.
+    /// Method, as sent.
     pub(in crate::callers) method: String,
     /// Path with query.
     pub(in crate::callers) target: String,
-    /// Headers in order.
+    /// Header names and values in the order sent.
     pub(in crate::callers) headers: Vec<(String, String)>,
-    /// How long the body is.
+    /// Length of the body.
     pub(in crate::callers) length: Length,
-    /// Whether the caller understands chunks.
+    /// Whether the caller supports chunked responses (HTTP/1.1).
     pub(in crate::callers) chunks: bool,
-    /// Whether the connection takes another request afterwards.
+    /// Whether the connection stays open for another request.
     pub(in crate::callers) keep: bool,
 }
 
-/// How the length of a body is given.
+/// How the length of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::callers) enum Length {
-    /// In bytes; zero when there is none.
+    /// By a number of bytes; zero without a body.
     Bytes(u64),
-    /// By its last chunk.
+    /// By the chunked transfer encoding.
     Chunked,
 }
 
-/// A head that is no head of a request.
+/// Why a head is not a valid HTTP request.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub(in crate::callers) enum BadHead {
-    /// It has more headers than allowed.
+    /// It has more than [`MAX_HEADERS`] headers.
     #[display("more than {MAX_HEADERS} headers")]
     TooMany,
-    /// It isn't HTTP.
+    /// It does not parse as HTTP/1.x.
     #[display("not an HTTP/1.1 request")]
     Syntax,
-    /// A header holds bytes that aren't text.
+    /// A header value is not UTF-8.
     #[display("a header is not text")]
     Text,
-    /// The length of the body is given twice, or not as a number.
+    /// The length of the body is missing a single clear value.
     #[display("the length of the body is not clear")]
     Length,
 }
 
 impl Head {
-    /// Reads a head, if it is whole, and gives its length in bytes.
+    /// Parses a head and returns it with its length in bytes; `None` if it is not complete yet.
     ///
     /// # Errors
-    /// Fails when the bytes can't become the head of a request.
+    /// Fails if the bytes can't be the beginning of a valid request.
     pub(in crate::callers) fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, BadHead> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -80,28 +80,28 @@
         Ok(Some((head, length)))
     }
 
-    /// Finds a header.
+    /// Returns the first value of a header; the name is case-insensitive.
     pub(in crate::callers) fn header(&self, name: &str) -> Option<&str> {
         find(&self.headers, name)
     }
 
-    /// Gives the path without query.
+    /// Returns the path without the query.
     pub(in crate::callers) fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Gives the query without its question mark.
+    /// Returns the query without the question mark; empty if there is none.
     pub(in crate::callers) fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |(_, query)| query)
     }
 
-    /// Gives the bearer key.
+    /// Returns the bearer key of the `Authorization` header.
     pub(in crate::callers) fn bearer(&self) -> Option<&str> {
         let (scheme, key) = self.header("Authorization")?.split_once(' ')?;
         scheme.eq_ignore_ascii_case("Bearer").then_some(key.trim())
     }
 
-    /// Tells whether the caller sends the body only after it was asked to.
+    /// Returns whether the caller waits for `100 Continue` before it sends the body.
     pub(in crate::callers) fn expects_continue(&self) -> bool {
         self.header("Expect")
             .is_some_and(|value| value.eq_ignore_ascii_case("100-continue"))
@@ -113,10 +113,10 @@
     found.map(|(_, value)| value.as_str())
 }
 
-/// Finds out how long the body is.
+/// Determines the length of the body from the headers.
 ///
-/// Two lengths in one head are read one way by a proxy and another way by us, and what one takes for a body the other
-/// takes for the next caller's request. So anything but a single clear length is refused.
+/// If a head gives two lengths, a proxy and this server may disagree where the body ends, and a caller could smuggle a
+/// request into another caller's connection. So anything but a single valid length is rejected.
 fn body_length(headers: &[(String, String)]) -> Result<Length, BadHead> {
     let all = |name: &'static str| {
         headers
--- a/crates/entry/src/callers/http/mod.rs
+++ b/crates/entry/src/callers/http/mod.rs
@@ -1,7 +1,7 @@
-//! The callers' side of HTTP/1.1: connections with bounds on every part that a caller sends.
+//! An HTTP/1.1 server connection with limits on the time and size of every part of a request.
 //!
-//! The parser and the chunk decoder are libraries; the limits on time and size are here, since a server that waits
-//! without bound for the rest of a request is held up by anybody who sends slowly.
+//! Parsing and chunk decoding are done by libraries. The limits are set here, because a server that waits for the rest
+//! of a request without bound can be blocked by any slow sender.
 
 mod connection;
 mod head;
@@ -21,9 +21,9 @@
 pub(super) const MAX_BODY: u64 = 4 * 1024 * 1024;
 /// Longest time from the first byte of a head to its last.
 pub(super) const HEAD_TIME: Duration = Duration::from_secs(5);
-/// Longest time for a body.
+/// Longest time for receiving a body.
 pub(super) const BODY_TIME: Duration = Duration::from_secs(10);
-/// Longest time that a connection may wait for its next request.
+/// Longest time that a connection may be idle before its next request.
 pub(super) const IDLE_TIME: Duration = Duration::from_mins(1);
-/// Longest time in which a caller must take what is sent to it.
+/// Timeout of one write to a caller.
 pub(super) const SEND_TIME: Duration = Duration::from_secs(10);
--- a/crates/entry/src/callers/http/reply.rs
+++ b/crates/entry/src/callers/http/reply.rs
@@ -1,4 +1,4 @@
-//! What goes back to a caller.
+//! HTTP responses to callers.
 
 use std::borrow::Cow;
 use std::fmt::Write as _;
@@ -7,7 +7,7 @@
 
 use super::Head;
 
-/// A whole answer.
+/// A response that is sent at once.
 #[derive(Clone, Debug)]
 pub(in crate::callers) struct Reply {
     status: u16,
@@ -15,7 +15,7 @@
     body: Vec<u8>,
 }
 
-/// An answer that is sent piece by piece.
+/// A response whose body is sent in pieces.
 #[derive(Debug)]
 pub(in crate::callers) struct Chunks<'a> {
     stream: &'a TcpStream,
@@ -24,7 +24,7 @@
 }
 
 impl Reply {
-    /// Makes an answer.
+    /// Creates a response with a body of media type `media`.
     pub(in crate::callers) fn new(status: u16, media: &str, body: Vec<u8>) -> Self {
         let reply = Self {
             status,
@@ -34,7 +34,7 @@
         reply.with("Content-Type", media)
     }
 
-    /// Adds a header; one that could break the framing is left out.
+    /// Adds a header; a value with control characters is left out, because it could break the framing.
     pub(in crate::callers) fn with(mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) -> Self {
         let value = value.into();
         if !value.bytes().any(|byte| byte.is_ascii_control()) {
@@ -43,10 +43,10 @@
         self
     }
 
-    /// Sends the answer with one write.
+    /// Sends the response with a single write.
     ///
     /// # Errors
-    /// Fails when the caller has gone away or doesn't take it.
+    /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn send(&self, mut stream: &TcpStream, head: Option<&Head>, keep: bool) -> io::Result<()> {
         let mut bytes = start(self.status, &self.headers, keep);
         let empty = matches!(self.status, 100..200 | 204 | 304);
@@ -62,10 +62,10 @@
 }
 
 impl<'a> Chunks<'a> {
-    /// Sends the head of an answer whose pieces follow.
+    /// Sends the head; the pieces of the body follow.
     ///
     /// # Errors
-    /// Fails when the caller has gone away.
+    /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn begin(
         mut stream: &'a TcpStream,
         head: &Head,
@@ -87,10 +87,10 @@
         })
     }
 
-    /// Sends a piece at once, with one write.
+    /// Sends a piece with a single write, as one chunk if the caller supports it.
     ///
     /// # Errors
-    /// Fails when the caller has gone away or doesn't take it.
+    /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn piece(&mut self, bytes: &[u8]) -> io::Result<()> {
         if !self.framed {
             return self.stream.write_all(bytes);
@@ -102,10 +102,10 @@
         self.stream.write_all(&self.frame)
     }
 
-    /// Ends the answer.
+    /// Ends the body.
     ///
     /// # Errors
-    /// Fails when the caller has gone away.
+    /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn end(mut self) -> io::Result<()> {
         if self.framed {
             self.stream.write_all(b"0\r\n\r\n")
@@ -118,7 +118,7 @@
 fn start(status: u16, headers: &[(Cow<'static, str>, String)], keep: bool) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in headers {
-        // Writing to a string cannot fail.
+        // Writing to a string never fails.
         let _ = write!(text, "{name}: {value}\r\n");
     }
     if !keep {
@@ -147,7 +147,7 @@
         502 => "Bad Gateway",
         503 => "Service Unavailable",
         504 => "Gateway Timeout",
-        // The reason is for people; any text will do.
+        // The reason phrase has no meaning to clients.
         _ => "Status",
     }
 }
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: one thread accepts, and each connection has a thread of its own, up to a bound.
+//! The HTTP server for callers: one thread accepts connections, and each connection has its own thread, up to a bound.
 
 mod ask;
 mod chat;
@@ -28,18 +28,18 @@
 pub use run::adopt;
 pub use shared::Shared;
 
-/// Stack of a connection's thread, in bytes.
+/// Stack size of a connection's thread, in bytes.
 const STACK: usize = 512 * 1024;
-/// Longest time until the acceptor looks at its flag again.
+/// Longest time between two checks of the stop flag.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after which a thread without a connection ends.
+/// Time after which a thread without a connection exits.
 const IDLE: Duration = Duration::from_secs(10);
-/// Connections that may wait to be accepted.
+/// Length of the kernel's queue of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
-/// Silence after which the operating system asks whether a caller's host is still there.
+/// Idle time before, and interval between, TCP keep-alive probes.
 const PROBE: Duration = Duration::from_secs(10);
 
-/// A request whose head was read.
+/// A request whose head was read, with its connection.
 #[derive(Debug)]
 struct Caller<'a> {
     connection: &'a mut Connection,
@@ -48,12 +48,12 @@
     keep: bool,
 }
 
-/// How a request was answered.
+/// The response to a request.
 #[derive(Debug)]
 enum Answered {
-    /// By an answer that is still to be sent.
+    /// A response that is still to be sent.
     Reply(Reply),
-    /// By a stream; tells whether its end was sent.
+    /// A response that was streamed; `true` if its end was sent.
     Streamed(bool),
 }
 
@@ -63,39 +63,39 @@
     }
 }
 
-/// A connection on its way to a thread, with its place in the count.
+/// An accepted connection and the guard that counts it.
 type Passed = (TcpStream, Counted);
 
-/// Listens for callers.
+/// Opens the listening socket for callers.
 ///
 /// # Errors
-/// Fails when the address can't be listened on.
+/// Fails if the address can't be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    // The standard library keeps 128 connections waiting; of more that come at once the rest would try again only
-    // after a second, and those callers would have waited a second for nothing.
+    // The standard library uses a backlog of 128. In a larger burst the kernel drops the rest, and those callers retry
+    // the handshake only after a second.
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// Accepts connections until told to stop.
+/// Accepts connections until the process stops.
 ///
 /// # Errors
-/// Fails when the listener can't be prepared.
+/// Fails if a socket option can't be set.
 pub fn accept(entry: &Arc<Entry>, listener: &TcpListener) -> std::io::Result<()> {
-    // Connections inherit these options.
+    // Accepted connections inherit these options.
     let socket = SockRef::from(listener);
     socket.set_read_timeout(Some(CHECK_INTERVAL))?;
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(PROBE).with_interval(PROBE))?;
-    // A ring without places: a connection goes to a thread that waits for one, or to a new thread.
+    // A channel without capacity: a connection goes to a thread that is already waiting, or else to a new thread.
     let (ring, idle) = bounded(0);
     while !entry.stop.load(Ordering::Relaxed) {
         match listener.accept() {
             Ok((stream, _)) => open(entry, stream, &ring, &idle),
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
-            // One connection that broke early, or a shortage of descriptors, must not end the acceptor.
+            // A connection that was reset before the accept, or a lack of file descriptors, must not end the loop.
             Err(_) => {
                 counter!("gentian_accept_errors_total").increment(1);
                 std::thread::sleep(CHECK_INTERVAL);
@@ -127,11 +127,11 @@
     }
 }
 
-/// Refuses a connection without a thread of its own.
+/// Refuses a connection on the accepting thread.
 fn turn_away(stream: &TcpStream) {
     counter!("gentian_refused_total", "cause" => "connections").increment(1);
     let problem = Problem::overloaded(Duration::from_secs(1));
-    // The answer fits the empty send buffer of a new connection, so this never blocks the acceptor.
+    // The response fits the empty send buffer of a new connection, so this never blocks.
     let _ = problem.reply().send(stream, None, false);
 }
 
@@ -145,7 +145,7 @@
             Err(broken) => {
                 if let Some(problem) = problem::of_broken(&broken) {
                     counter!("gentian_refused_total", "cause" => "malformed").increment(1);
-                    // A caller that has gone away needs no answer.
+                    // A failure means that the caller is gone.
                     let _ = problem.reply().send(connection.stream(), None, false);
                     connection.linger();
                 }
@@ -203,12 +203,12 @@
 }
 
 impl Caller<'_> {
-    /// Reads the body, once the caller is known.
+    /// Reads the body; called only after the caller was authenticated.
     fn body(&mut self, entry: &Entry) -> Result<Vec<u8>, Problem> {
         if self.is_read {
             return Ok(Vec::new());
         }
-        // Slow senders fill these places and no others, so that calls without a body go on.
+        // Slow senders can take only these slots, so that requests without a body are still served.
         let _reader = entry
             .callers
             .reader(entry.settings.connections / 2)
--- a/crates/entry/src/callers/problem.rs
+++ b/crates/entry/src/callers/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures as problem bodies (RFC 9457).
+//! Error responses as problem details (RFC 9457).
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use super::http::{Broken, Reply};
 use crate::admission::Refusal;
 
-/// Header that tells whether a refused request was run.
+/// Response header that says whether a refused request was run.
 const OUTCOME_HEADER: &str = "Gentian-Outcome";
 
-/// Whether a refused request was run.
+/// Whether a refused or failed request was run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(super) enum Run {
-    /// It truly was not run.
+    /// It certainly was not run.
     #[display("not-run")]
     Not,
     /// It may have run.
@@ -24,7 +24,7 @@
     Unknown,
 }
 
-/// A refusal or failure as the caller sees it.
+/// An error response.
 #[derive(Clone, Debug)]
 pub(super) struct Problem {
     status: u16,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Tells what it is for the burn report; what is wrong with the request itself counts for nothing.
+    /// Returns how the burn report counts the error; errors of the caller itself are not counted.
     pub(super) const fn burns(&self) -> Option<RequestEnd> {
         match self.status {
             429 => Some(RequestEnd::Limited),
@@ -141,13 +141,13 @@
             .after(Duration::from_secs(1))
     }
 
-    /// Gives the body.
+    /// Returns the problem details object.
     pub(super) fn body(&self) -> serde_json::Value {
         json!({"type": format!("/problems/{}", self.kind), "title": self.kind, "status": self.status,
             "detail": self.detail, "outcome": self.run.to_string()})
     }
 
-    /// Gives the answer that carries it.
+    /// Returns the HTTP response.
     pub(super) fn reply(&self) -> Reply {
         let body = self.body().to_string().into_bytes();
         let mut reply =
@@ -175,7 +175,7 @@
     }
 }
 
-/// Counts a refusal for the burn report and gives it back.
+/// Counts an error in the burn report and returns it.
 pub(super) fn counted(problem: Problem, meter: &RequestMeter<'_>, now: Tick) -> Problem {
     if let Some(end) = problem.burns() {
         meter.finish(end, now);
@@ -183,7 +183,7 @@
     problem
 }
 
-/// Gives the refusal of a request that did not come whole, if anybody is left to read it.
+/// Returns the response to a request that could not be read completely; `None` if the caller is gone.
 pub(super) fn of_broken(broken: &Broken) -> Option<Problem> {
     match broken {
         Broken::Ended => None,
--- a/crates/entry/src/callers/requests.rs
+++ b/crates/entry/src/callers/requests.rs
@@ -1,4 +1,5 @@
-//! Answers by request id, for callers that lost their connection; any entry host of the data centre gives them.
+//! Serves answers by request id to callers that lost their connection. Any entry host of the data centre can serve
+//! them.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use crate::Entry;
 use crate::journal::{self, Part};
 
-/// Callers for whom peers are asked at the same time.
+/// Most concurrent lookups of requests at the peers.
 const MAX_ASKERS: usize = 16;
 
 pub(super) fn answer(entry: &Entry, caller: &mut Caller<'_>, id: &str) -> Answered {
@@ -31,7 +32,7 @@
     let id = RequestId::from(id);
     let from = offset(caller.head.query())?;
     let owner = journal::owner(&contract.customer, account);
-    // Whether somebody else has a request of that name is nobody's business, so both look the same.
+    // An account must not learn whether another account has a request of that id, so both cases give the same response.
     let part = match local(entry, &id, &owner, from) {
         Some(part) => Some(part),
         None => at_peers(entry, &id, &owner, from)?,
@@ -65,7 +66,7 @@
     if !id.is_valid() {
         return Ok(None);
     }
-    // Every peer may have to be asked, so a caller that guesses ids must not keep all of them busy.
+    // A lookup may ask every peer, so callers that guess ids must not keep them all busy.
     let _asking = entry
         .callers
         .ask(MAX_ASKERS)
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -1,7 +1,7 @@
-//! One admitted chat completion: sent to engines until one of them ends the answer.
+//! Runs one admitted chat completion: sends it to engines until one of them completes the answer.
 //!
-//! An engine that dies or freezes in the middle is left, and the answer goes on at another one from the tokens that
-//! were made already, so that the caller gets one whole answer.
+//! If an engine fails or stalls in the middle, the answer continues at another engine from the tokens generated so far,
+//! so that the caller gets one complete answer.
 
 mod adopted;
 mod search;
@@ -33,19 +33,19 @@
 pub use adopted::adopt;
 pub(super) use search::Search;
 
-/// Longest wait for a connection to an engine.
+/// Timeout of connecting to an engine.
 const CONNECT: Duration = Duration::from_secs(1);
-/// Longest time that the library may spend on one answer; the watch ends it long before.
+/// Timeout of the HTTP client for one answer; the watch always ends it earlier.
 const FOREVER: Duration = Duration::from_hours(72);
-/// Statuses by which an engine says that the request itself is wrong, so that no other engine would take it either.
+/// Statuses with which an engine rejects the request itself; every other engine would reject it too.
 const REFUSALS: [u16; 3] = [400, 413, 422];
 
-/// Where tokens go as they come.
+/// Receives the tokens of an answer as they arrive.
 pub(super) trait Sink {
     fn token(&mut self, token: &str) -> io::Result<()>;
 }
 
-/// Tokens only go into the journal.
+/// Discards tokens; the answer is only journaled.
 pub(super) struct Nowhere;
 
 impl Sink for Nowhere {
@@ -54,7 +54,7 @@
     }
 }
 
-/// How an answer ended.
+/// How the answer to a request ended.
 pub(super) enum Ended {
     Whole(Usage),
     CallerGone,
@@ -62,7 +62,7 @@
     Failed(Problem),
 }
 
-/// How an attempt ended.
+/// How one attempt at an engine ended.
 enum Tried {
     Ended(Ended),
     NotRun,
@@ -70,7 +70,7 @@
     Moved(Move),
 }
 
-/// One attempt: what is sent, and what the fleet is told of it.
+/// One attempt: the request sent, and what is measured of it.
 struct Trip<'a> {
     visit: Visit<'a>,
     chat: ChatRequest,
@@ -79,7 +79,7 @@
     usage: Option<Usage>,
 }
 
-/// One admitted request.
+/// An admitted request and the state that its attempts share.
 pub(super) struct Run<'a> {
     pub(super) entry: &'a Entry,
     pub(super) id: &'a RequestId,
@@ -91,7 +91,7 @@
 }
 
 impl Run<'_> {
-    /// Sends the request to engines until one of them ends the answer.
+    /// Runs attempts until the answer is complete or given up.
     pub(super) fn drive(&self, search: &mut Search, sink: &mut dyn Sink) -> Ended {
         loop {
             if self.journal.len() as u64 >= self.ask.chat.max_tokens {
@@ -106,7 +106,7 @@
                 if search.may_refuse() {
                     return Ended::Failed(Problem::overloaded(Duration::from_secs(1)));
                 }
-                // Every engine was tried or is barred for now; the answer goes on with the first that comes back.
+                // Every engine was tried or is barred now; the answer continues at the first that becomes available.
                 search.pause();
                 continue;
             };
@@ -138,11 +138,11 @@
         }
     }
 
-    /// Tells whether another attempt may be made.
+    /// Returns whether another attempt may be made; may pause before it.
     ///
-    /// A customer whose engine died must not be cut off because many others were on it too, so the first attempts to
-    /// resume an answer are not paid from the budget. Everything else is, or retries would double the load just when
-    /// engines fail for being overloaded.
+    /// The first attempts to resume an answer do not count against the retry budget, because many answers may have been
+    /// on the engine that died and none of them should be cut off. All other retries do; otherwise they would double
+    /// the load just when engines fail because they are overloaded.
     fn may_retry(&self, search: &mut Search) -> bool {
         if self.journal.is_empty() {
             return self.entry.retries.lock().take();
@@ -169,7 +169,7 @@
             tried: search.tried(),
         };
         let now = entry.clock.now();
-        // An engine that holds the moved cache comes before all others, as long as it takes work.
+        // An engine that got the stream's KV cache is preferred as long as it takes work.
         let only = target.map(|target| others(&view, &self.ask.chat.model, &target));
         let there = only.and_then(|others| {
             let tried = &others;
@@ -196,7 +196,7 @@
                 }
                 return Tried::Ended(ended);
             }
-            // The counts come last, so a connection that breaks after them has brought everything.
+            // The usage comes after all tokens, so the answer is complete even if the connection breaks after it.
             Err(_) if trip.usage.is_some() => return Tried::Ended(Ended::Whole(self.counted(trip.usage))),
             Err(error) => error,
         };
@@ -206,7 +206,7 @@
         }
         if let Some(to) = ride.destination() {
             counter!("gentian_rescued_total", "how" => to.how.to_string()).increment(1);
-            // A late answer that was moved off a leaving host is put down to the reclaim.
+            // If the moved answer is late, the burn report attributes it to the reclaim.
             self.meter.record_failure(true);
             return Tried::Moved(to);
         }
@@ -273,7 +273,7 @@
                     if self.journal.push(&token).is_err() {
                         return Ok(Ended::Moved);
                     }
-                    // Dropping the stream closes its connection, by which the engine stops making tokens for nobody.
+                    // Returning drops the stream and closes its connection, so that the engine stops generating.
                     if sink.token(&token).is_err() {
                         return Ok(Ended::CallerGone);
                     }
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Gives the request with the tokens that were made already as the beginning of the answer.
+    /// Returns the request with the tokens so far as the beginning of the answer, which the engine continues.
     fn continued(&self) -> ChatRequest {
         let mut chat = ChatRequest {
             stream: true,
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Counts what an engine computed that another one had computed before.
+    /// Counts the tokens that an engine had to compute again after an earlier attempt had computed them.
     fn count_recomputed(&self, search: &mut Search, begun: usize, usage: Option<Usage>) {
         if self.journal.len() == begun && usage.is_none() {
             return;
@@ -345,7 +345,7 @@
     }
 }
 
-/// Gives every engine of a model but one.
+/// Returns all engines of a model except one.
 fn others(view: &View, model: &str, target: &UpstreamId) -> Vec<UpstreamId> {
     let specs = view.config.upstreams.values();
     let others = specs.filter(|spec| spec.serves_model(model) && spec.id != *target);
--- a/crates/entry/src/callers/run/adopted.rs
+++ b/crates/entry/src/callers/run/adopted.rs
@@ -1,4 +1,4 @@
-//! Requests that a leaving peer handed over.
+//! Takes over requests from a peer that leaves.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
 use crate::callers::watch::{Limits, Watch};
 use crate::journal::Journal;
 
-/// Stack of the thread of an adopted request, in bytes.
+/// Stack size of the thread of an adopted request, in bytes.
 const STACK: usize = 512 * 1024;
 
-/// Goes on with a request of a peer; tells whether it is or was taken over.
+/// Takes over a request from a peer and continues it; returns whether this host has it now.
 ///
-/// A peer that lost our answer asks again: the request is known then and must not be run twice.
+/// A peer that lost the reply sends the handover again. The request is then known here and must not be run twice.
 pub fn adopt(entry: &Arc<Entry>, handover: &Handover) -> bool {
     if entry.leaving.load(std::sync::atomic::Ordering::Relaxed) {
         return false;
@@ -37,7 +37,7 @@
         return true;
     };
     for token in &handover.tokens {
-        // A journal that was just opened is nowhere else.
+        // A new journal can't have been taken over by a peer.
         let _ = journal.push(token);
     }
     let (shared, id) = (Arc::clone(entry), handover.request.clone());
@@ -70,7 +70,7 @@
         run.drive(&mut Search::adopted(), &mut Nowhere)
     });
     let whole = matches!(ended, Some(Ended::Whole(_)));
-    // A request that was handed on once more ends at the next peer.
+    // If the request was handed on to another peer, it ends there.
     let _ = journal.end(whole);
     entry.journals.end(id, entry.clock.now());
     counter!("gentian_adopted_total", "whole" => whole.to_string()).increment(1);
--- a/crates/entry/src/callers/run/search.rs
+++ b/crates/entry/src/callers/run/search.rs
@@ -1,30 +1,30 @@
-//! The search for an engine over all attempts of one request.
+//! The state of the search for an engine across all attempts of one request.
 
 use std::time::Duration;
 
 use contract::UpstreamId;
 
-/// Resumptions of one answer that are not paid from the retry budget.
+/// Resumptions of one answer that do not count against the retry budget.
 const FREE_RESUMES: u32 = 2;
-/// Shortest and longest pause before engines that were tried are tried again.
+/// Shortest and longest pause before the engines that failed are tried again.
 const PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
-/// Why tokens must be computed again.
+/// Why an answer continues at another engine, which computes tokens again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::callers) enum Cause {
-    /// The engine broke off.
+    /// The engine's connection broke.
     Died,
-    /// The engine froze.
+    /// The engine sent no token for too long.
     Stalled,
-    /// The entry host left.
+    /// The entry host left and a peer took over.
     Handover,
-    /// The engine's host was taken away.
+    /// The engine's host was reclaimed.
     Reclaimed,
-    /// The engine's host leaves; the KV cache was moved.
+    /// The engine's host leaves, and the KV cache was copied to another engine.
     ExportedCache,
 }
 
-/// What was tried so far.
+/// The attempts so far and what follows from them for the next one.
 #[derive(Debug, Default)]
 pub(in crate::callers) struct Search {
     tried: Vec<UpstreamId>,
@@ -37,7 +37,7 @@
 }
 
 impl Cause {
-    /// Gives the name under which it is counted.
+    /// Returns the value of the `cause` label in metrics.
     pub(super) const fn name(self) -> &'static str {
         match self {
             Self::Died => "died",
@@ -50,7 +50,7 @@
 }
 
 impl Search {
-    /// Begins the search for a request that a peer had begun.
+    /// Creates the search for a request that was taken over from a peer.
     pub(super) fn adopted() -> Self {
         Self {
             cause: Some(Cause::Handover),
@@ -59,57 +59,57 @@
         }
     }
 
-    /// Tells whether the request can still be refused as not run: no engine and no peer has taken it so far.
+    /// Returns whether the request can still be refused as not run: neither an engine nor a peer has started it.
     pub(super) const fn may_refuse(&self) -> bool {
         !self.is_accepted
     }
 
-    /// Tells whether no attempt has failed yet.
+    /// Returns whether no attempt has failed yet.
     pub(super) const fn is_first(&self) -> bool {
         self.attempts == 0
     }
 
-    /// Gives the engines that are not to be tried now.
+    /// Returns the engines that were tried since the last pause.
     pub(super) fn tried(&self) -> &[UpstreamId] {
         &self.tried
     }
 
-    /// Notes an attempt that did not reach the engine.
+    /// Records an attempt that did not reach the engine.
     pub(super) fn note(&mut self, engine: UpstreamId) {
         self.attempts += 1;
         self.tried.push(engine);
     }
 
-    /// Notes an attempt that broke off.
+    /// Records an attempt that broke off after it reached the engine.
     pub(super) fn broke(&mut self, engine: UpstreamId, cause: Cause) {
         self.note(engine);
         self.is_accepted = true;
         self.cause = self.cause.or(Some(cause));
     }
 
-    /// Notes an attempt that ended because the engine's host leaves, and where the answer goes on.
+    /// Records an attempt that ended because the engine's host leaves, and the engine where the answer continues.
     pub(super) fn moved(&mut self, engine: UpstreamId, target: Option<UpstreamId>, cause: Cause) {
         self.broke(engine, cause);
         self.target = target;
     }
 
-    /// Gives the engine that holds the moved KV cache, once.
+    /// Takes the engine that got the KV cache, if there is one.
     pub(super) const fn take_target(&mut self) -> Option<UpstreamId> {
         self.target.take()
     }
 
-    /// Takes one of the resumptions that cost nothing, if one is left.
+    /// Counts a resumption and returns whether it is exempt from the retry budget.
     pub(super) const fn takes_free_resume(&mut self) -> bool {
         self.resumes += 1;
         self.resumes <= FREE_RESUMES
     }
 
-    /// Gives why the next tokens are computed again, once.
+    /// Takes the cause by which the next recomputed tokens are counted.
     pub(super) const fn take_cause(&mut self) -> Option<Cause> {
         self.cause.take()
     }
 
-    /// Waits, longer each time, and lets every engine be tried again.
+    /// Pauses, longer each time, and allows all engines again.
     pub(super) fn pause(&mut self) {
         let pause = PAUSE.0 * 2_u32.pow(self.pauses.min(8));
         self.pauses += 1;
--- a/crates/entry/src/callers/service.rs
+++ b/crates/entry/src/callers/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: idempotent ones are sent elsewhere again, the others at most once.
+//! Serves calls to plain services: idempotent calls are retried at other upstreams, all others are sent at most once.
 
 use std::time::{Duration, Instant};
 
@@ -21,7 +21,7 @@
 use crate::claims::{self, Keyed, Verdict};
 use crate::fleet::Ask;
 
-/// Headers that are passed on to a service.
+/// Request headers that are forwarded to a service.
 const PASSED: [&str; 9] = [
     "Accept",
     "Accept-Language",
@@ -33,13 +33,13 @@
     "If-None-Match",
     IDEMPOTENCY_HEADER,
 ];
-/// Methods that are passed on.
+/// Methods that are forwarded.
 const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
-/// Longest key of a caller, in bytes.
+/// Longest idempotency key, in bytes.
 const MAX_KEY: usize = 256;
-/// Shortest time that one attempt at an idempotent call is given.
+/// Shortest timeout of one attempt at an idempotent call.
 const MIN_ATTEMPT: Duration = Duration::from_millis(100);
-/// Statuses by which a service says that it can't answer now, while another one may.
+/// Statuses after which an idempotent call is retried at another upstream.
 const ELSEWHERE: [u16; 3] = [502, 503, 504];
 
 pub(super) fn answer(entry: &Entry, caller: &mut Caller<'_>) -> Answered {
@@ -109,7 +109,7 @@
     Ok((id, answer))
 }
 
-/// Splits a target into the service's name and the path below it.
+/// Splits a request target into the service's name and the path below it.
 fn split(target: &str) -> (&str, String) {
     let rest = target.strip_prefix("/services/").unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
@@ -132,7 +132,7 @@
     found.ok_or_else(|| Problem::not_found("the contract has no class for this"))
 }
 
-/// Checks what the client library would not pass on as it is.
+/// Rejects methods and paths that the HTTP client would not forward unchanged.
 fn check(head: &Head, path: &str) -> Result<(), Problem> {
     if !METHODS.contains(&head.method.as_str()) {
         return Err(Problem::method("GET, HEAD, POST, PUT, PATCH, DELETE"));
@@ -150,7 +150,7 @@
         .collect()
 }
 
-/// One admitted call.
+/// An admitted call.
 struct Run<'a> {
     entry: &'a Entry,
     service: &'a str,
@@ -163,7 +163,7 @@
 }
 
 impl Run<'_> {
-    /// Sends a call that may run twice, elsewhere again when it fails and the retry budget allows it.
+    /// Sends an idempotent call and retries it at other upstreams within the retry budget.
     fn repeatable(&self) -> Result<ServiceAnswer, Problem> {
         let mut tried = Vec::new();
         let mut last = None;
@@ -190,13 +190,14 @@
         ended(last)
     }
 
-    /// Gives the time for one attempt: half of what is left, so that a frozen service leaves time for another.
+    /// Returns the timeout of one attempt: half of the time that is left, so that a stalled upstream leaves time for
+    /// another attempt.
     fn part_of_time(&self) -> Duration {
         let left = self.until.saturating_duration_since(Instant::now());
         (left / 2).max(MIN_ATTEMPT).min(left.max(Duration::from_millis(1)))
     }
 
-    /// Claims a call that must run at most once, and sends it only with the claim.
+    /// Claims a call that must run at most once, and sends it only if the claim is granted.
     fn once(&self, key: Option<&str>) -> Result<ServiceAnswer, Problem> {
         let key = key.filter(|key| !key.is_empty() && key.len() <= MAX_KEY);
         let key = key.ok_or_else(|| Problem::bad_request("an Idempotency-Key of 1 to 256 bytes is needed"))?;
@@ -277,7 +278,7 @@
     }
 }
 
-/// Gives the last answer or failure of an idempotent call.
+/// Returns the last response or failure of an idempotent call.
 fn ended(last: Option<Result<ServiceAnswer, UpstreamError>>) -> Result<ServiceAnswer, Problem> {
     match last {
         None => Err(Problem::overloaded(Duration::from_secs(1))),
--- a/crates/entry/src/callers/shared.rs
+++ b/crates/entry/src/callers/shared.rs
@@ -1,11 +1,11 @@
-//! What the connections of all callers share: counts, each with a guard that takes it back.
+//! Counters that bound concurrent connections and requests; each increment returns a guard that undoes it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use metrics::gauge;
 
-/// Counts over all callers.
+/// Concurrency counters of the HTTP server for callers.
 #[derive(Debug, Default)]
 pub struct Shared {
     connections: Arc<AtomicUsize>,
@@ -14,40 +14,40 @@
     work: Arc<AtomicUsize>,
 }
 
-/// One counted thing; it ends when dropped.
+/// An increment of a counter; dropping it decrements the counter.
 #[derive(Debug)]
 pub struct Counted(Arc<AtomicUsize>);
 
 impl Shared {
-    /// Counts a connection, unless there are as many as allowed.
+    /// Counts a connection; returns `None` if `most` are open.
     pub(super) fn connect(&self, most: usize) -> Option<Counted> {
         let place = count(&self.connections, most);
         gauge!("gentian_connections").set(self.connections.load(Ordering::Relaxed) as f64);
         place
     }
 
-    /// Counts a caller whose body is being read, unless there are as many as allowed.
+    /// Counts a request whose body is being read; returns `None` if `most` are.
     pub(super) fn reader(&self, most: usize) -> Option<Counted> {
         count(&self.readers, most.max(1))
     }
 
-    /// Counts a question to all peers, unless there are as many as allowed.
+    /// Counts a lookup at the peers; returns `None` if `most` are running.
     pub(super) fn ask(&self, most: usize) -> Option<Counted> {
         count(&self.askers, most)
     }
 
-    /// Counts a request that is being answered.
+    /// Counts a request that is being served.
     pub(super) fn begin(&self) -> Counted {
         self.work.fetch_add(1, Ordering::SeqCst);
         Counted(Arc::clone(&self.work))
     }
 
-    /// Counts an adopted request, unless there are as many as allowed.
+    /// Counts a request taken over from a peer; returns `None` if `most` requests are being served.
     pub(super) fn adopt(&self, most: usize) -> Option<Counted> {
         count(&self.work, most)
     }
 
-    /// Gives the number of requests that are being answered.
+    /// Returns the number of requests that are being served.
     #[must_use]
     pub fn working(&self) -> usize {
         self.work.load(Ordering::SeqCst)
--- a/crates/entry/src/callers/sse.rs
+++ b/crates/entry/src/callers/sse.rs
@@ -1,4 +1,4 @@
-//! A streamed answer as server-sent events.
+//! Streams an answer as server-sent events.
 
 use std::io;
 use std::net::TcpStream;
@@ -12,7 +12,7 @@
 use super::problem::Problem;
 use super::run::Sink;
 
-/// A streamed answer; its head is sent with the first token, so that an earlier failure still has a status of its own.
+/// A streamed response. Its head is sent with the first token, so that an error before that still gets its own status.
 #[derive(Debug)]
 pub(super) struct Events<'a> {
     stream: &'a TcpStream,
@@ -26,7 +26,7 @@
 
 impl<'a> Events<'a> {
     pub(super) fn new(stream: &'a TcpStream, head: &'a Head, keep: bool, id: &'a RequestId, model: &str) -> Self {
-        // Everything but the token is the same in each event, so it is written once.
+        // All events of the answer begin alike, so their common part is formatted once.
         let prefix = format!(
             "{{\"id\":{},\"object\":\"chat.completion.chunk\",\"created\":{},\"model\":{},\"choices\":",
             json!(id),
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Tells whether the head was sent.
+    /// Returns whether the head was sent.
     pub(super) const fn is_begun(&self) -> bool {
         self.out.is_some()
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer with the finish reason, the usage and the end marker.
     pub(super) fn end(mut self, usage: &Usage, finish: &str) -> io::Result<()> {
         let prefix = std::mem::take(&mut self.prefix);
         self.event(&format!(
@@ -60,13 +60,13 @@
         self.finish()
     }
 
-    /// Ends an answer that is not whole.
+    /// Ends an incomplete answer with an error event.
     pub(super) fn fail(mut self, problem: &Problem) -> io::Result<()> {
         self.event(&json!({"error": problem.body()}).to_string())?;
         self.finish()
     }
 
-    /// Ends an answer that a peer goes on with.
+    /// Ends a stream whose answer a peer continues, with the path to resume from.
     pub(super) fn moved(mut self, resume: &str) -> io::Result<()> {
         self.event(&json!({"moved": {"resume": resume}}).to_string())?;
         self.finish()
--- a/crates/entry/src/callers/watch.rs
+++ b/crates/entry/src/callers/watch.rs
@@ -1,4 +1,5 @@
-//! What ends the wait for an engine: a caller who left, an engine that froze, a peer that took over, or time.
+//! Ends the wait for an engine when the caller is gone, the engine stalls, a peer or another engine takes over, or the
+//! deadline has passed.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,17 +14,17 @@
 use super::http::PeerDemand;
 use crate::journal::Journal;
 
-/// Shortest and longest silence between two tokens after which an engine counts as frozen.
+/// Lower and upper bound of the silence between two tokens after which an engine counts as stalled.
 const GAP: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(15));
-/// The same before the first token, when an engine may still be prefilling.
+/// The same bounds for the first token, when the engine may still be prefilling.
 const FIRST: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
-/// Targets between two tokens after which an engine counts as frozen; a batch that takes in a long prompt pauses for
-/// some of them.
+/// Multiple of the between-tokens target after which an engine counts as stalled; a batch pauses for several targets
+/// when it takes in a long prompt.
 const GAP_TARGETS: u32 = 15;
-/// Time that an engine is given for each token of the prompt, beyond the target of the first token.
+/// Additional time until the first token for each token of the prompt.
 const PREFILL: Duration = Duration::from_micros(500);
-/// How many times its target a whole answer may take: a late whole answer is worth more to a waiting caller than one
-/// that is cut off, and the burn report counts it as late anyway.
+/// Multiple of the whole-answer target after which an answer is given up. To a waiting caller a late answer is worth
+/// more than none, and the burn report counts it as late anyway.
 const LATE: u32 = 2;
 
 /// Why a wait ended.
@@ -33,15 +34,15 @@
     CallerGone,
     /// The engine sent no token for too long.
     Stalled,
-    /// The answer took far longer than promised.
+    /// The answer took far longer than its target.
     Late,
-    /// A peer goes on with the answer.
+    /// A peer has taken over the answer.
     Moved,
-    /// The engine's host leaves, and the answer goes on at another engine.
+    /// The engine's host leaves, and the answer continues at another engine.
     Rescued,
 }
 
-/// Times after which waiting is of no use.
+/// Timeouts and deadlines of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     first: Duration,
@@ -51,7 +52,7 @@
     until: Tick,
 }
 
-/// Watches over one request.
+/// Monitors the progress of one request.
 #[derive(Debug)]
 pub(super) struct Watch {
     clock: Clock,
@@ -70,7 +71,7 @@
 }
 
 impl Limits {
-    /// Derives the limits from what the contract promises.
+    /// Derives the limits from the targets of the contract.
     pub(super) fn new(targets: &Targets, prompt_tokens: u64, arrived: Tick) -> Self {
         let ms = Duration::from_millis;
         let whole = ms(targets.whole_answer_ms);
@@ -89,12 +90,12 @@
 }
 
 impl Watch {
-    /// Gives the longest pause between tokens that the contract promises.
+    /// Returns the contract's target for the time between two tokens.
     pub(super) const fn between(&self) -> Option<Duration> {
         self.limits.between
     }
 
-    /// Watches over a request; an adopted one has no caller.
+    /// Starts to monitor a request; one taken over from a peer has no caller.
     pub(super) fn new(clock: Clock, caller: Option<PeerDemand>, journal: Arc<Journal>, limits: Limits) -> Self {
         Self {
             clock,
@@ -110,34 +111,34 @@
         }
     }
 
-    /// Gives the flag by which rescue asks an attempt to end.
+    /// Returns the flag with which rescue asks an attempt to end.
     pub(super) fn asked(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.asked)
     }
 
-    /// Gives the time at which the whole answer is due.
+    /// Returns the deadline of the whole answer.
     pub(super) const fn due(&self) -> Tick {
         self.limits.due
     }
 
-    /// Notes that an attempt begins.
+    /// Restarts the stall timer for a new attempt.
     pub(super) fn begin(&self) {
         let mut wait = self.wait.lock();
         wait.until = self.clock.now() + self.limits.first;
         wait.stop = None;
     }
 
-    /// Notes that a token came.
+    /// Restarts the stall timer after a token.
     pub(super) fn progress(&self) {
         self.wait.lock().until = self.clock.now() + self.limits.gap;
     }
 
-    /// Tells why the last wait ended, if it was ended here.
+    /// Returns why this watch ended the last attempt; `None` if it did not.
     pub(super) fn stop(&self) -> Option<Stop> {
         self.wait.lock().stop
     }
 
-    /// Looks whether the request is still worth working on, apart from the engine.
+    /// Returns why the request should not continue, apart from the state of the engine.
     pub(super) fn look(&self) -> Option<Stop> {
         if self.journal.is_moved() {
             Some(Stop::Moved)
@@ -153,7 +154,7 @@
     fn beat(&self) -> Result<(), &'static str> {
         let mut wait = self.wait.lock();
         let now = self.clock.now();
-        // Looking at the caller costs calls to the operating system, so a quick stream does it only now and then.
+        // Checking the connection takes system calls, so it is not done for every token.
         if now.since(wait.looked) >= CHECK_INTERVAL {
             wait.looked = now;
             wait.stop = self.look();
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of non-idempotent calls in the replicated state.
+//! Claims of non-idempotent calls in the Raft-replicated state, so that each runs at most once.
 
 use std::time::{Duration, Instant};
 
@@ -11,42 +11,43 @@
 
 use crate::Entry;
 
-/// The agreement group that holds all claims today.
+/// The Raft group that holds all claims.
 const GROUP: u32 = 0;
-/// Pause between two questions for a call that is under way.
+/// Pause before asking again for a claim that is undecided or held by another request.
 const PAUSE: Duration = Duration::from_millis(20);
-/// Tries to learn whether a claim was written before it is given back; they last about as long as an election.
+/// Attempts to learn whether a claim was written before it is given back; together they take about as long as a leader
+/// election.
 const CLAIM_TRIES: u32 = 50;
-/// Longest wait for a service that is asked for an outcome.
+/// Timeout of asking a service for the outcome of a call.
 const ASK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A claim that this request holds, or why it doesn't.
+/// The result of claiming a call.
 #[derive(Debug)]
 pub enum Verdict {
-    /// The call may be sent, once.
+    /// This request holds the claim; the call may be sent once.
     Granted,
-    /// It ended before.
+    /// An earlier request under the key ended with this outcome.
     Done(Outcome),
-    /// The key was used with another body.
+    /// The key was used before with a different call.
     Mismatch,
-    /// Another request under the key is still under way.
+    /// Another request under the key is still running.
     Running,
-    /// Nothing can be claimed now; the call was not run.
+    /// The claim could not be written; the call was not run.
     Unavailable,
 }
 
-/// Identifies a call: who makes it and under which key.
+/// Identifies a call by customer and idempotency key, and the request that makes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Keyed<'a> {
-    /// The customer.
+    /// The customer; keys of different customers are independent.
     pub customer: &'a CustomerId,
     /// The caller's idempotency key.
     pub key: &'a str,
-    /// The request that makes it.
+    /// Id of the request; it owns the claim.
     pub request: &'a RequestId,
 }
 
-/// Gives the digest that tells whether two calls under one key are the same.
+/// Returns the digest by which two calls under one key are compared.
 #[must_use]
 pub fn digest(method: &str, path: &str, body: &[u8]) -> String {
     let mut hash = Sha256::new();
@@ -57,7 +58,7 @@
     format!("{:x}", hash.finalize())
 }
 
-/// Claims a call, waiting for an earlier one under the same key.
+/// Claims a call; waits until `until` for an earlier one under the same key.
 pub fn claim(state: &StateClient, revision: Revision, call: &Keyed<'_>, digest: &str, until: Instant) -> Verdict {
     let ask = Claim {
         group: GROUP,
@@ -70,19 +71,20 @@
     let mut undecided = 0;
     loop {
         match state.claim(revision, &ask) {
-            // The group counts the call's outcome as unknown from now on, so it is too late to send it.
+            // The hold time of the claim is over and the group now treats the outcome as unknown, so the call must not
+            // be sent.
             Ok(Claimed::Granted) if Instant::now() >= until => return give_back(state, call),
             Ok(Claimed::Granted) => return Verdict::Granted,
             Ok(Claimed::Done(outcome)) => return Verdict::Done(outcome),
             Ok(Claimed::Mismatch) => return Verdict::Mismatch,
             Ok(Claimed::Running(_)) if Instant::now() < until => std::thread::sleep(PAUSE),
             Ok(Claimed::Running(_)) => return Verdict::Running,
-            // Nothing was written, so nothing is to be given back.
+            // The claim was not written, so it need not be given back.
             Ok(Claimed::Unavailable(Unavailable::NotLeader { .. } | Unavailable::NoQuorum { .. })) => {
                 return Verdict::Unavailable;
             }
-            // The claim may have been written, and this request has not sent anything: asking again gives it the same
-            // claim, as nobody else knows the request's id.
+            // The claim may have been written. Nothing was sent under it, and the request id is unique, so asking again
+            // returns the same claim.
             Ok(Claimed::Unavailable(Unavailable::Undecided { .. })) | Err(_) => {
                 undecided += 1;
                 if undecided >= CLAIM_TRIES || Instant::now() >= until {
@@ -94,9 +96,9 @@
     }
 }
 
-/// Gives back a claim under which nothing was sent, so that the caller can try again under the same key.
+/// Releases a claim under which nothing was sent, so that the caller can retry with the same key.
 ///
-/// If it were kept, the caller would be told that the call was not run, and at the next try that its outcome is unknown.
+/// Otherwise the caller would be told that the call was not run, but on the retry that its outcome is unknown.
 fn give_back(state: &StateClient, call: &Keyed<'_>) -> Verdict {
     if !state.settle_later(settle_of(call, &Outcome::NotRun)) {
         counter!("gentian_claims_not_given_back_total").increment(1);
@@ -104,9 +106,9 @@
     Verdict::Unavailable
 }
 
-/// Records an outcome; while the state group has no leader, it is recorded in the background.
+/// Records an outcome; if the state group has no leader, it is recorded in the background.
 ///
-/// Returns whether it is recorded or will be.
+/// Returns whether it was recorded or queued for recording.
 pub fn settle(state: &StateClient, revision: Revision, call: &Keyed<'_>, outcome: &Outcome) -> bool {
     let ask = settle_of(call, outcome);
     match state.settle(revision, &ask) {
@@ -116,7 +118,7 @@
     }
 }
 
-/// Replaces an unknown outcome by what the service tells of it, where it can tell.
+/// Replaces an unknown outcome by the one that the service reports, if it can.
 pub fn ask_if_unknown(entry: &Entry, service: &str, call: &Keyed<'_>, verdict: Verdict) -> Verdict {
     match verdict {
         Verdict::Done(Outcome::Unknown) => Verdict::Done(ask_service(entry, service, call).unwrap_or(Outcome::Unknown)),
@@ -124,10 +126,10 @@
     }
 }
 
-/// Asks the service how an earlier call under the key ended, and records what it says.
+/// Asks the service for the outcome of an earlier call under the key, and records it.
 ///
-/// Only an answer counts. A service that knows nothing of the key may still be about to run the call, so that stays
-/// unknown and the call is never sent again.
+/// Only a successful response counts. A service that doesn't know the key may still be about to run the call, so the
+/// outcome stays unknown and the call is never sent again.
 fn ask_service(entry: &Entry, service: &str, call: &Keyed<'_>) -> Option<Outcome> {
     let view = entry.current.view();
     let tells = |spec: &&UpstreamSpec| {
@@ -172,7 +174,7 @@
     }
 }
 
-/// Writes a key so that it is one part of a path.
+/// Percent-encodes a key as a single path segment.
 fn escape(key: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     let part = |byte| {
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options.
 
 use argh::FromArgs;
 
--- a/crates/entry/src/current.rs
+++ b/crates/entry/src/current.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and the thread that keeps it current.
+//! The active configuration, and the thread that keeps it up to date.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,22 +14,22 @@
 
 use crate::Entry;
 
-/// How long a node of the state group may hold the question.
+/// Longest time for which a state node holds a watch request without news.
 const WAIT_MS: u64 = 2_000;
-/// Age from which another node of the state group is asked.
+/// Age of the news from which another state node is asked.
 const STALE_MS: u64 = 2_000;
-/// Pause after a node that didn't answer.
+/// Pause after a state node failed to respond.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// One revision of the configuration with what is looked up in it.
+/// One revision of the configuration with an index of its accounts.
 #[derive(Debug, Default)]
 pub struct View {
-    /// Contracts and upstreams.
+    /// The configuration itself.
     pub config: Config,
     accounts: HashMap<KeyHash, (CustomerId, AccountName)>,
 }
 
-/// The newest configuration that the process has seen.
+/// The newest configuration that this process has received.
 #[derive(Debug, Default)]
 pub struct Current {
     view: ArcSwap<View>,
@@ -37,7 +37,7 @@
 }
 
 impl View {
-    /// Makes the view of a configuration.
+    /// Indexes a configuration.
     #[must_use]
     pub fn new(config: Config) -> Self {
         let rows = config.contracts.values().flat_map(|contract| {
@@ -51,41 +51,41 @@
         Self { config, accounts }
     }
 
-    /// Finds the contract and account of a bearer key.
+    /// Returns the contract and account of a bearer key.
     #[must_use]
     pub fn account(&self, key: &str) -> Option<(&Contract, &AccountName)> {
-        // The map is keyed by the hash, so the time of a look-up tells nothing about a key.
+        // The map is keyed by the hash, so the time of a lookup reveals nothing about a key.
         let (customer, account) = self.accounts.get(&KeyHash::of(key))?;
         Some((self.config.contracts.get(customer)?, account))
     }
 }
 
 impl Current {
-    /// Gives the view in force.
+    /// Returns the active view.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Gives the revision in force.
+    /// Returns the active revision.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.view.load().config.revision
     }
 
-    /// Tells whether any configuration was heard yet.
+    /// Returns whether any configuration was received.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.heard_ms.load(Ordering::Relaxed) > 0
     }
 
-    /// Gives the time since the newest revision was last confirmed.
+    /// Returns the time since the active revision was last confirmed as the newest.
     #[must_use]
     pub fn age(&self, now: Tick) -> Duration {
         now.since(Tick::from_millis(self.heard_ms.load(Ordering::Relaxed)))
     }
 
-    /// Gives a peer what is in force here, if that is newer than what it has.
+    /// Returns the news for a peer: the active configuration if it is newer than `after`, and its age.
     #[must_use]
     pub fn since(&self, after: Revision, now: Tick) -> Watched {
         let view = self.view();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes over news; a configuration that is older than the one in force is dropped, so that none ever reverts.
+    /// Applies news. A configuration older than the active one is ignored, so that the active one never reverts.
     pub fn take(&self, news: Watched, now: Tick) {
         let before = self.view();
         let mut config = news.snapshot.unwrap_or_else(|| before.config.clone());
@@ -114,7 +114,7 @@
     }
 }
 
-/// Follows the state group until told to stop; while no node of it answers, the peers are asked.
+/// Watches the state group until the process stops; asks a peer whenever a state node fails to respond.
 pub fn follow(entry: &Entry) {
     let (current, state, logger) = (&entry.current, &entry.state, &entry.logger);
     let mut node = state.preferred_node();
@@ -127,7 +127,7 @@
         };
         match state.watch(node, after, ask) {
             Ok(news) => {
-                // A node that is cut off from the others answers for ever with what it had; another may know more.
+                // A partitioned node keeps answering with its last state; another node may have a newer one.
                 if news.body.age_ms > STALE_MS {
                     node += 1;
                 }
@@ -150,12 +150,13 @@
     }
 }
 
-/// Takes a newer configuration from a peer, which may have heard of it before the cut, or be on its other side.
+/// Takes a newer configuration from a peer, which may have received it before a network partition or be on its other
+/// side.
 ///
-/// A host that starts during a cut would otherwise have no contract at all and refuse every caller.
+/// Otherwise a host that starts during a partition would have no contracts and refuse every caller.
 fn ask_peer(entry: &Entry) {
     if let Some(news) = entry.peers.config(entry.current.revision()) {
-        // A peer that has no configuration either would make this host look ready.
+        // News from a peer without a configuration would make this host count as ready.
         if news.snapshot.is_some() || entry.current.is_ready() {
             entry.current.take(news, entry.clock.now());
         }
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop: leave the balancer, take nothing new, finish or hand over everything, then end.
+//! A planned stop: leaves the load balancer, refuses new requests, finishes or hands over all open ones, then ends.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,18 +14,19 @@
 use crate::Entry;
 use crate::journal::Journal;
 
-/// Pause between two looks at what is still open.
+/// Pause between two checks for open requests.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Looks in a row that must find nothing open; a request that was read just before the first one shows by the second.
+/// Consecutive checks that must find no open request. A request that was read just before the first check is counted by
+/// the second.
 const QUIET: u32 = 3;
-/// Longest time before the host is gone in which streams are handed over; until then they go on.
+/// Longest time before the announced end at which streams are handed over; until then they continue here.
 const MARGIN: Duration = Duration::from_secs(5);
-/// Handovers under way at the same time.
+/// Number of concurrent handovers.
 const MOVERS: usize = 8;
 
-/// Takes in a sign about a host: the process leaves when it is the one that it runs on.
+/// Handles a life-cycle event of a host: this process leaves if its own host leaves.
 ///
-/// A sign about an earlier host of the same name comes late when the new one already serves, and must not end it.
+/// An event of an earlier host with the same name can arrive when the new one already serves, and must not stop it.
 pub fn hear(entry: &Entry, sign: &HostSignal) {
     let own = sign.host == entry.settings.host && sign.incarnation >= entry.settings.incarnation;
     if !own || sign.sign == Sign::Serving {
@@ -37,10 +38,10 @@
     entry.told.store(true, Ordering::SeqCst);
 }
 
-/// Leaves: returns when nothing is open any more.
+/// Drains this process; returns when no request is open.
 ///
-/// Readiness turns false first. The balancer needs some time to notice, so requests that it still sends are served in
-/// that time; later ones get a refusal that says that they were not run.
+/// Readiness turns false first. The load balancer needs some time to notice, so requests that it still sends are served
+/// during that time; later ones are refused as not run.
 pub fn leave(entry: &Arc<Entry>) {
     entry.leaving.store(true, Ordering::SeqCst);
     info!(entry.logger, "leaving"; "open" => entry.callers.working());
@@ -66,12 +67,13 @@
     }
 }
 
-/// Gives the time before the end at which streams are handed over: half of what was left at the notice, at most.
+/// Returns how long before the announced end streams are handed over: half of the notice period, at most
+/// [`MAX_HANDOVER_TIME`].
 fn margin(entry: &Entry, gone_at: Tick) -> Duration {
     (gone_at.since(entry.noticed_at()) / 2).min(MARGIN)
 }
 
-/// Hands every open answer to a peer; what no peer takes goes on here.
+/// Hands every open answer over to a peer; an answer that no peer accepts continues here.
 fn hand_over(entry: &Arc<Entry>) {
     let open = entry.journals.open_ones();
     info!(entry.logger, "handing over"; "answers" => open.len());
@@ -87,7 +89,7 @@
         }
         drop(receiver);
         for item in open {
-            // The movers live until the ring is closed.
+            // The receivers live until the channel is closed.
             let _ = sender.send(item);
         }
         drop(sender);
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! Everything that the threads of an entry host share.
+//! The state that the threads of an entry host share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -28,54 +28,55 @@
 use crate::rescue::Rescue;
 use crate::settings::Settings;
 
-/// Longest wait for a connection to an upstream.
+/// Timeout of connecting to an upstream.
 const CONNECT: Duration = Duration::from_secs(1);
-/// Retries that each first attempt which succeeds pays for.
+/// Retries that each successful first attempt adds to the budget.
 const RETRY_SHARE: f64 = 0.2;
 
 /// The shared state of an entry host.
 #[derive(Debug)]
 pub struct Entry {
-    /// Checked settings.
+    /// Validated settings.
     pub settings: Settings,
-    /// The clock of the process.
+    /// Monotonic clock that all ticks come from.
     pub clock: Clock,
-    /// The root logger.
+    /// Root logger.
     pub logger: Logger,
-    /// The configuration in force.
+    /// The active configuration.
     pub current: Arc<Current>,
-    /// Admission of requests.
+    /// Admission control of requests.
     pub admission: Admission,
-    /// What is known of the upstreams.
+    /// Runtime state of the upstreams.
     pub fleet: Fleet,
-    /// The entry hosts that were heard lately.
+    /// The entry hosts that are live, set by the digest exchange.
     pub live: ArcSwap<Live>,
-    /// Streamed answers.
+    /// Answers by request id, open and recently ended.
     pub journals: Journals,
-    /// What the burn report counts.
+    /// Counts for the burn report.
     pub burn: RequestCounters,
-    /// The state group.
+    /// Client of the state group.
     pub state: StateClient,
-    /// Engines.
+    /// Client for the KV cache transfer of engines.
     pub engines: EngineClient,
-    /// The other entry hosts.
+    /// Clients of the other entry hosts.
     pub peers: Peers,
-    /// What the connections of all callers share.
+    /// Counters of callers' connections and requests.
     pub callers: Shared,
-    /// Streams that may have to move.
+    /// Running attempts that may have to move off a leaving host.
     pub rescue: Rescue,
-    /// The budget for retries.
+    /// Retry budget of all requests.
     pub retries: Mutex<RetryBudget>,
-    /// Services.
+    /// Client of plain services.
     pub services: ServiceClient,
-    /// Whether the host is leaving; the balancer is told, and new work is still taken until it has noticed.
+    /// Whether this host is leaving. Readiness is then false, but requests are served until the load balancer has
+    /// noticed.
     pub leaving: AtomicBool,
-    /// Whether new work is refused.
+    /// Whether new requests are refused.
     pub refusing: AtomicBool,
     going: Mutex<Option<Going>>,
-    /// Whether the process was told to leave.
+    /// Whether a life-cycle event of this host asks the process to leave.
     pub told: AtomicBool,
-    /// Whether the threads are to end.
+    /// Whether all threads must exit.
     pub stop: AtomicBool,
     started_ms: u64,
     requests: AtomicU64,
@@ -89,10 +90,10 @@
 }
 
 impl Entry {
-    /// Makes the shared state.
+    /// Creates the shared state.
     ///
     /// # Errors
-    /// Fails when an address of the state group can't be used.
+    /// Fails if no client can be created for an address of the state group or of a peer.
     pub fn new(settings: Settings, logger: Logger, calls: &RpcRuntime) -> Result<Self, CallError> {
         let clock = Clock::start();
         let state = StateClient::new(calls, &settings.node, &settings.state)?;
@@ -132,7 +133,7 @@
         })
     }
 
-    /// Notes that this host will be taken away; an earlier end replaces a later one.
+    /// Records that this host will be gone after `left`; an earlier end replaces a later one.
     pub fn will_go(&self, left: Duration) {
         let noticed = self.clock.now();
         let gone = noticed + left;
@@ -142,37 +143,37 @@
         }
     }
 
-    /// Gives the time at which this host will be gone, if that was announced.
+    /// Returns the announced end of this host, if there is one.
     pub fn gone_at(&self) -> Option<Tick> {
         self.going.lock().map(|going| going.gone)
     }
 
-    /// Gives the time at which the end of this host was announced.
+    /// Returns when the end of this host was announced; without an announcement, the current time.
     pub fn noticed_at(&self) -> Tick {
         self.going
             .lock()
             .map_or_else(|| self.clock.now(), |going| going.noticed)
     }
 
-    /// Tells whether the threads are to end.
+    /// Returns whether all threads must exit.
     #[must_use]
     pub fn stopping(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Tells whether the process takes no new work.
+    /// Returns whether this host is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Gives a number by which this process is told from earlier ones of the same name.
+    /// Returns a number that distinguishes this process from earlier ones of the same name; it only grows.
     #[must_use]
     pub const fn incarnation(&self) -> u64 {
         self.started_ms
     }
 
-    /// Makes a request id that no other entry host and no earlier process of this one has used.
+    /// Creates a request id that no other entry host and no earlier process of this one has used.
     pub fn request_id(&self) -> RequestId {
         let count = self.requests.fetch_add(1, Ordering::Relaxed);
         RequestId::from(format!("{}-{:x}-{count}", self.settings.node, self.started_ms))
--- a/crates/entry/src/exchange/live.rs
+++ b/crates/entry/src/exchange/live.rs
@@ -1,20 +1,20 @@
-//! The entry hosts that were heard lately, by data centre.
+//! The entry hosts that count as live, by data centre.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use contract::{DataCenter, NodeId};
 
-/// The live entry hosts, this one among them.
+/// The live entry hosts, including this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Live {
     places: BTreeMap<DataCenter, Vec<NodeId>>,
-    /// Time in which a digest reaches every peer of the own data centre.
+    /// Time in which every peer of the own data centre gets a digest, in whole seconds.
     pub cycle: Duration,
 }
 
 impl Live {
-    /// Starts with the own host alone.
+    /// Creates the set with this host alone.
     #[must_use]
     pub fn new(place: &DataCenter, node: &NodeId) -> Self {
         let mut live = Self::default();
@@ -22,7 +22,7 @@
         live
     }
 
-    /// Adds a host.
+    /// Adds a live host; one that is known already is not added twice.
     pub(super) fn add(&mut self, place: &DataCenter, node: &NodeId) {
         let nodes = self.places.entry(place.clone()).or_default();
         if !nodes.contains(node) {
@@ -31,19 +31,20 @@
         }
     }
 
-    /// Gives the number of live hosts.
+    /// Returns the number of live hosts.
     #[must_use]
     pub fn count(&self) -> usize {
         self.places.values().map(Vec::len).sum()
     }
 
-    /// Gives the number of live hosts in a data centre.
+    /// Returns the number of live hosts in a data centre.
     #[must_use]
     pub fn count_in(&self, place: &DataCenter) -> usize {
         self.places.get(place).map_or(0, Vec::len)
     }
 
-    /// Gives the hosts that divide the polling of a data centre's upstreams: its own, or all if it has none.
+    /// Returns the hosts that divide the polling of a data centre's upstreams: those in it, or all live hosts if it has
+    /// none.
     pub fn pollers(&self, place: &DataCenter) -> impl Iterator<Item = &NodeId> {
         let own = self.places.get(place);
         let all = self.places.values().flatten().filter(move |_| own.is_none());
--- a/crates/entry/src/exchange/mod.rs
+++ b/crates/entry/src/exchange/mod.rs
@@ -1,7 +1,8 @@
-//! Digests between entry hosts: demand and loans of customers' limits, load reports of upstreams, heartbeats.
+//! Gossip between entry hosts by UDP digests: demand and loans of customers' limits, load reports of upstreams,
+//! heartbeats.
 //!
-//! One thread owns the socket and all that is known of the peers. Rounds are at a fixed pace; how many peers a round
-//! reaches follows from a bound on the bytes a second, so that a daemon stays within its budget at any number of hosts.
+//! One thread owns the socket and the state of the peers. Rounds have a fixed interval; the number of peers that get a
+//! digest in a round follows from a budget in bytes a second, which holds for any number of hosts.
 
 mod live;
 mod peers;
@@ -20,20 +21,20 @@
 pub use live::Live;
 use peers::{Peers, Stale};
 
-/// Pause between two rounds.
+/// Interval between two rounds.
 const ROUND: Duration = Duration::from_millis(500);
-/// Most peers to which load reports are sent beyond the own data centre.
+/// Largest number of peers with which load reports also go to other data centres.
 const FEW: usize = 16;
 
-/// Opens the socket on the address of the inner protocol.
+/// Binds the UDP socket at the address of the internal RPC server.
 ///
 /// # Errors
-/// Fails when another process has the port.
+/// Fails if the port is in use.
 pub fn open(own: SocketAddr) -> std::io::Result<UdpSocket> {
     UdpSocket::bind(own)
 }
 
-/// Exchanges digests until told to stop.
+/// Exchanges digests until the process stops.
 pub fn run(entry: &Entry, socket: &UdpSocket, own: SocketAddr) {
     let mut peers = Peers::new(&entry.settings.peers, own, entry.clock.now());
     let mut buffer = [0; MAX_DATAGRAM + 1];
@@ -45,12 +46,12 @@
             next = now + ROUND;
         }
         let left = next.since(entry.clock.now()).max(Duration::from_millis(1));
-        // A zero timeout is refused by the system; this one never is.
+        // The call fails only for a zero timeout, which the minimum above excludes.
         let _ = socket.set_read_timeout(Some(left));
         match socket.recv_from(&mut buffer) {
             Ok((length, from)) => hear(entry, &mut peers, &buffer[..length], from),
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // A peer that isn't up makes the system report a refused datagram.
+            // A digest to a peer that is down makes a later receive fail with a refused connection.
             Err(_) => counter!("gentian_digest_errors_total", "step" => "receive").increment(1),
         }
     }
@@ -129,7 +130,8 @@
         Err(Stale::Stranger) => return drop_one("stranger"),
         Err(Stale::Old) => return drop_one("old"),
     };
-    // What a peer lends answers the newest of our digests that it had heard, if this process sent it.
+    // The loans in a digest answer the newest of our digests that the peer had received, if this process sent it and
+    // not one before a restart.
     let asked = digest.heard.filter(|heard| heard.incarnation == entry.incarnation());
     let asked = asked.and_then(|heard| peers.sent_at(heard.sequence));
     if entry.admission.hear(heard, &digest.demand, asked, now) {
--- a/crates/entry/src/exchange/peers.rs
+++ b/crates/entry/src/exchange/peers.rs
@@ -1,4 +1,4 @@
-//! What is known of each peer, and whose turn it is to be told.
+//! The state of each peer, and the order in which they get digests.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 
 use super::Live;
 
-/// Bytes a second that are sent at most, headers of IP and UDP counted; about as many are received.
+/// Budget for sending in bytes a second, with the headers of IP and UDP; about as many are received.
 pub(super) const BYTES: f64 = 2_200.0;
-/// Size of a digest before one was sent.
+/// Assumed size of a digest in bytes until one was sent.
 const GUESS: f64 = 200.0;
-/// Own digests whose time of sending is remembered.
+/// Number of own digests whose send time is remembered.
 const REMEMBERED: usize = 128;
-/// Shortest and longest time after which a peer that is not heard counts as dead.
+/// Lower and upper bound of the silence after which a peer counts as dead.
 const SILENCE: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(20));
-/// Peers of other data centres are told once for so many of the own.
+/// Digests to peers of the own data centre for each one to a peer of another.
 const NEAR_TURNS: usize = 3;
 
-/// All peers of the settings.
+/// The peers from the settings.
 #[derive(Debug)]
 pub(super) struct Peers {
     all: Vec<Peer>,
@@ -42,23 +42,23 @@
     heard_at: Option<Tick>,
     hosts: u32,
     leaving: bool,
-    /// It asks for a loan that this host could give.
+    /// Whether the peer needs a loan that this host could give.
     owed: bool,
     sent_at: Option<Tick>,
     size: f64,
 }
 
-/// Why a digest is dropped.
+/// Why a received digest is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stale {
-    /// It comes from an address that is not in the settings.
+    /// The sender's address is not in the settings.
     Stranger,
-    /// A newer one of the sender was heard, or one of a later process.
+    /// A newer digest of the sender, or one of a later process there, was received before.
     Old,
 }
 
 impl Peers {
-    /// Makes the peers of the settings, in which the own address may stand too.
+    /// Creates the state for the peers in the settings; `own` is left out if it is among them.
     pub(super) fn new(addresses: &[SocketAddr], own: SocketAddr, now: Tick) -> Self {
         let mut others: Vec<SocketAddr> = addresses.iter().copied().filter(|address| *address != own).collect();
         others.sort_unstable();
@@ -75,15 +75,15 @@
         }
     }
 
-    /// Gives the number of entry hosts in the own settings.
+    /// Returns the number of entry hosts in this host's settings, including itself.
     pub(super) fn configured(&self) -> u32 {
         self.all.len() as u32 + 1
     }
 
-    /// Gives the number of entry hosts by which limits are divided.
+    /// Returns the number of entry hosts among which limits are divided.
     ///
-    /// While settings are rolled out, hosts know different numbers; the largest that is heard counts, so that the parts
-    /// of those that know it don't add up to more than the limit with the larger parts of those that don't.
+    /// While settings are rolled out, hosts have different numbers. The largest number that a live peer announces
+    /// counts; otherwise the larger parts of hosts with the smaller number would make the sum exceed the limit.
     pub(super) fn hosts(&self, now: Tick) -> u32 {
         let heard = self
             .all
@@ -93,12 +93,12 @@
         heard.chain([self.configured()]).max().unwrap_or(1)
     }
 
-    /// Gives the rank of this host among all by address.
+    /// Returns the rank of this host among all entry hosts, ordered by address.
     pub(super) const fn rank(&self) -> u32 {
         self.rank
     }
 
-    /// Begins a round.
+    /// Starts a round with a new sequence number.
     pub(super) fn begin(&mut self, now: Tick) {
         self.sequence += 1;
         self.turns = 0;
@@ -108,15 +108,16 @@
         self.times.push_back((self.sequence, now));
     }
 
-    /// Notes that a peer asks for a loan that this host could give.
+    /// Records that a peer needs a loan that this host could give.
     pub(super) fn owe(&mut self, peer: u32) {
         self.all[peer as usize].owed = true;
     }
 
-    /// Gives the next peer that is to be told in this round, if the budget allows one.
+    /// Returns the peer that gets the next digest of this round, or `None` when the budget is used up.
     ///
-    /// Every second turn goes to a peer that waits for a loan. With hundreds of hosts a digest comes to each of them too
-    /// seldom for a lease; a borrower asks some of them, and those answer at once.
+    /// Every second digest goes to a peer that waits for a loan. With hundreds of hosts, the regular digests reach a
+    /// peer too seldom to renew a loan before its lease ends; a borrower asks some of its peers, and those must answer
+    /// at once.
     pub(super) fn next_due(&mut self, place: &DataCenter, now: Tick) -> Option<usize> {
         self.turns += 1;
         let near = !(self.turns / 2).is_multiple_of(NEAR_TURNS + 1);
@@ -134,7 +135,7 @@
         self.budget.take(self.all[peer].size, now).ok().map(|()| peer)
     }
 
-    /// Notes what was sent to a peer.
+    /// Records a digest that was sent to a peer, with its size in bytes.
     pub(super) fn sent(&mut self, peer: usize, bytes: usize, now: Tick) {
         let peer = &mut self.all[peer];
         self.budget.correct(peer.size - bytes as f64);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Takes in a digest and gives the number of the peer.
+    /// Records a received digest and returns the index of its sender.
     pub(super) fn hear(&mut self, from: SocketAddr, digest: &GossipDigest, now: Tick) -> Result<u32, Stale> {
         let at = self.all.binary_search_by_key(&from, |peer| peer.address);
         let at = at.map_err(|_missing| Stale::Stranger)?;
@@ -155,7 +156,7 @@
             sequence: digest.sequence,
         };
         let newest = |heard: DigestAck| (heard.incarnation, heard.sequence);
-        // The parts of one digest have the same number.
+        // The parts of a split digest have the same sequence number, so an equal one is not old.
         if peer.heard.is_some_and(|before| newest(before) > newest(heard)) {
             return Err(Stale::Old);
         }
@@ -167,7 +168,7 @@
         Ok(at as u32)
     }
 
-    /// Gives the hosts that are live.
+    /// Returns the live entry hosts, without those that are leaving.
     pub(super) fn live(&self, node: &NodeId, place: &DataCenter, now: Tick) -> Live {
         let mut live = Live::new(place, node);
         for peer in self.all.iter().filter(|peer| self.is_live(peer, now) && !peer.leaving) {
@@ -176,7 +177,7 @@
             }
         }
         live.cycle = self.cycle.max(Duration::from_millis(100));
-        // Whole steps, so that it doesn't count as a change in every round.
+        // Rounded to whole seconds, because any difference counts as a change of the live hosts.
         live.cycle = Duration::from_secs(live.cycle.as_secs() + 1);
         live
     }
--- a/crates/entry/src/fleet/events.rs
+++ b/crates/entry/src/fleet/events.rs
@@ -1,7 +1,7 @@
-//! Reading of engines' cache events, within a bound on the bytes a second.
+//! Reads cache events from engines within a network budget.
 //!
-//! Only engines to which requests went lately are asked, since of the others nothing is remembered. When there are more
-//! events than the bound allows to read, engines drop some; the gap then lowers the trust in what is remembered.
+//! Only engines that recently got requests are asked, because nothing is remembered of the others. If there are more
+//! events than the budget allows, engines drop some; the gap then lowers the trust in the remembered cache contents.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 const TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes a second.
+/// Network budget of reading events, in bytes a second.
 const BUDGET: f64 = 1_000.0;
-/// Bytes of an answer without events, and of one event.
+/// Network bytes of a response without events, and of each event in it.
 const BYTES: (f64, f64) = (900.0, 66.0);
-/// How long after the last request an engine is asked.
+/// Time after the last request for which an engine is asked.
 const RECENT: Duration = Duration::from_mins(1);
 
-/// Reads cache events until told to stop.
+/// Reads cache events until the process stops.
 pub fn run(entry: &Entry) {
     let client = EngineClient::new(TIMEOUT);
     let mut budget = Bucket::new(BUDGET, entry.clock.now());
@@ -61,7 +61,7 @@
 }
 
 impl Fleet {
-    /// Gives the engine whose events were not read for the longest time, among those that were used lately.
+    /// Returns the engine whose events were read the longest ago, among those that recently got requests.
     fn next_read(&self, now: Tick) -> Option<Row> {
         let index = self.index.load();
         let engines = index
--- a/crates/entry/src/fleet/index.rs
+++ b/crates/entry/src/fleet/index.rs
@@ -1,4 +1,4 @@
-//! Upstreams by what they serve, made once for each revision of the configuration.
+//! The upstreams by target and by id, rebuilt for each revision of the configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use super::member::Member;
 use crate::current::View;
 
-/// Upstreams of one revision.
+/// The upstreams of one configuration revision.
 #[derive(Debug, Default)]
 pub(super) struct Index {
     pub(super) revision: Revision,
     pub(super) pools: HashMap<Target, Pool>,
     pub(super) rows: HashMap<UpstreamId, Row>,
-    /// Upstreams by the short key that digests carry.
+    /// Upstreams by the 32-bit key that digests carry.
     pub(super) keys: HashMap<u32, UpstreamId>,
 }
 
-/// Everything that serves one model or service.
+/// All upstreams that serve one model or service.
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
     pub(super) group: Arc<UpstreamGroup>,
@@ -29,7 +29,7 @@
     pub(super) rates: Arc<Mutex<ServiceRates>>,
 }
 
-/// One upstream.
+/// One upstream: its specification, its runtime state and the rates of its target.
 #[derive(Clone, Debug)]
 pub(super) struct Row {
     pub(super) spec: Arc<UpstreamSpec>,
@@ -37,14 +37,15 @@
     pub(super) rates: Arc<Mutex<ServiceRates>>,
 }
 
-/// Numbers that were given to upstreams.
+/// Issues the numbers of upstreams.
 #[derive(Debug, Default)]
 pub(super) struct Numbers {
     next: u32,
 }
 
 impl Index {
-    /// Makes the index of a view; what is known of an upstream is kept as long as its host is the same.
+    /// Builds the index of a configuration view; the state of an upstream is kept as long as its host and address are
+    /// the same.
     pub(super) fn next(&self, view: &View, place: &DataCenter, numbers: &mut Numbers) -> Self {
         let mut by_target: HashMap<Target, Vec<Row>> = HashMap::new();
         for spec in view.config.upstreams.values() {
@@ -98,7 +99,7 @@
             })
             .collect();
         let before = self.pools.get(target).filter(|pool| pool.group.members() == places);
-        // Most changes are of contracts; the tables of rendezvous hashing are only made anew where a group changed.
+        // Most changes concern contracts, so the tables of rendezvous hashing are rebuilt only for groups that changed.
         let group = before.map_or_else(|| Arc::new(UpstreamGroup::new(places)), |pool| Arc::clone(&pool.group));
         let rates = rows.first().map(|row| Arc::clone(&row.rates)).unwrap_or_default();
         Pool {
@@ -108,14 +109,14 @@
         }
     }
 
-    /// Finds the zone of a host.
+    /// Finds an upstream that runs on a host.
     pub(super) fn host(&self, host: &HostId) -> Option<&UpstreamSpec> {
         let mut specs = self.rows.values().map(|row| row.spec.as_ref());
         specs.find(|spec| spec.host.id == *host)
     }
 }
 
-/// Gives the key by which digests name an upstream.
+/// Returns the 32-bit hash by which digests identify an upstream.
 #[must_use]
 pub(super) fn short_key(upstream: &UpstreamId) -> u32 {
     xxh3_64(upstream.as_str().as_bytes()) as u32
--- a/crates/entry/src/fleet/member.rs
+++ b/crates/entry/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One upstream as the entry knows it beyond the configuration.
+//! The runtime state of one upstream.
 
 use parking_lot::Mutex;
 use policy::Tick;
@@ -7,29 +7,30 @@
 use policy::load::LoadEstimate;
 use policy::route::Exclusion;
 
-/// One upstream; it lives as long as its host does, across changes of the configuration.
+/// The identity and runtime state of an upstream; both survive changes of the configuration as long as the upstream
+/// stays on the same host and address.
 #[derive(Debug)]
 pub(super) struct Member {
-    /// Unique in the process and never given again.
+    /// Number of the upstream; unique in the process and never reused.
     pub(super) number: u32,
-    /// What is measured of it.
+    /// Current measurements.
     pub(super) state: Mutex<State>,
 }
 
-/// What is measured of an upstream.
+/// Measurements of an upstream.
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) load: LoadEstimate,
     pub(super) breaker: Breaker,
     pub(super) trust: CacheTrust,
     pub(super) cursor: EventCursor,
-    /// When this host is to read the load report again.
+    /// When this host polls the load report next.
     pub(super) poll_at: Tick,
-    /// When this host last read the load report.
+    /// When this host last polled the load report; absent if another entry host polls it.
     pub(super) polled: Option<Tick>,
-    /// When this host last read cache events.
+    /// When this host last read the cache events.
     pub(super) read_at: Tick,
-    /// When a request was last sent there.
+    /// When this host last sent a request to the upstream.
     pub(super) sent: Option<Tick>,
 }
 
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What the entry knows of each upstream beyond the configuration, and the choice that rests on it.
+//! The runtime state of all upstreams (load, breaker, cache contents) and the routing of requests to them.
 
 pub mod events;
 mod index;
@@ -33,17 +33,17 @@
 pub use visit::Visit;
 use waves::Waves;
 
-/// Blocks of prompts that are remembered; each takes 32 bytes, 8 MiB in all.
+/// Prompt blocks whose location is remembered; each takes 32 bytes, 8 MiB in all.
 const HISTORY: usize = 256 * 1024;
-/// Age at which a load report no longer counts until the pace of polling is known.
+/// Age at which a load report expires, until the poll interval is known.
 const EXPIRY_MS: u64 = 3_000;
-/// How often a choice is made anew when another request took the probe of a breaker.
+/// Routing attempts for one request when other requests take the half-open breaker probe of the chosen upstream first.
 const PROBE_RACES: usize = 4;
 
-/// All upstreams.
+/// All upstreams of the configuration with their runtime state.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The lives of the hosts.
+    /// Life-cycle state of the upstreams' hosts.
     pub hosts: Hosts,
     clock: Clock,
     rules: RoutingRules,
@@ -56,32 +56,32 @@
     turn: AtomicU64,
 }
 
-/// What a choice is made for.
+/// The input of a routing decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
-    /// The model or service.
+    /// The requested model or service.
     pub target: &'a Target,
-    /// The prompt's blocks; empty for services.
+    /// Hashed blocks of the prompt; empty for services.
     pub prefix: &'a Prefix,
-    /// Lengths of prompt and answer.
+    /// Expected tokens of prompt and answer.
     pub need: RequestNeed,
-    /// Upstreams that were tried already.
+    /// Upstreams that must not be chosen because an attempt there failed.
     pub tried: &'a [UpstreamId],
 }
 
-/// What one host may run at once at everything that serves one thing.
+/// The number of requests that this entry host may run at once at all upstreams of one target.
 #[derive(Clone, Debug)]
 pub struct Size {
-    /// The model or service.
+    /// The model or service that the slots belong to.
     pub target: Target,
-    /// Requests at once.
+    /// Number of concurrent requests.
     pub slots: usize,
-    /// Time from the sending of a request to its first token; zero for services.
+    /// Expected time from sending a request to its first token; zero for services.
     pub first: Duration,
 }
 
 impl Fleet {
-    /// Makes an empty fleet.
+    /// Creates the state without upstreams; [`Self::refresh`] adds those of the configuration.
     #[must_use]
     pub fn new(clock: Clock, rules: RoutingRules, place: DataCenter) -> Self {
         Self {
@@ -98,13 +98,14 @@
         }
     }
 
-    /// Takes over the upstreams of a view if it is newer than the index.
+    /// Rebuilds the index from a configuration view if the view is newer.
     pub fn refresh(&self, view: &View) {
         if self.index.load().revision >= view.config.revision {
             return;
         }
-        // Requests go on with the index before while another thread makes the next one. Before the first one there is
-        // nothing to go on with: requests that came together would be refused but for the one that makes it.
+        // While one thread rebuilds the index, the others route with the previous one. The first index has no
+        // predecessor: every thread waits for it, because requests that arrive together would otherwise be refused, all
+        // but the one that builds it.
         let first = self.index.load().revision == Revision::default();
         let numbers = if first {
             Some(self.numbers.lock())
@@ -120,7 +121,8 @@
         }
     }
 
-    /// Chooses an upstream among those that serve what is needed; a probe of an open breaker is taken with it.
+    /// Chooses an upstream that serves the target. If the breaker of the upstream is half open, the choice claims its
+    /// probe. Returns `None` if no upstream can take the request.
     pub fn choose(&self, view: &View, ask: &Ask<'_>, now: Tick) -> Option<Choice> {
         self.refresh(view);
         let index = self.index.load();
@@ -153,7 +155,8 @@
         if found.is_some() || proposed.len() == pool.rows.len() {
             return found;
         }
-        // All of the few candidates are barred, as when a data centre's hosts leave at once: whoever is left will do.
+        // All proposed candidates are barred, as when the hosts of a data centre leave together: consider every
+        // upstream.
         counter!("gentian_choices_widened_total").increment(1);
         let reason = Reason::All;
         let all: Vec<ProposedCandidate> = (0..pool.rows.len())
@@ -179,14 +182,15 @@
         group.propose(homes, lead, &holders, turn)
     }
 
-    /// Gives the homes of the prompt's conversation, if it has one.
+    /// Returns the upstreams that the conversation of a prompt is assigned to by rendezvous hashing, in order of
+    /// preference.
     fn homes(&self, group: &UpstreamGroup, prefix: &Prefix) -> Vec<usize> {
         let home = self.rules.routing == Routing::Cost && self.rules.with(Ablation::Home);
         let session = prefix.session().filter(|_| home);
         session.map_or_else(Vec::new, |session| group.homes(session.key).to_vec())
     }
 
-    /// Gives the home that counts now: the first whose host takes work, on which all entry hosts soon agree.
+    /// Returns the first of the homes whose host takes work; all entry hosts soon agree on it.
     fn home(&self, pool: &Pool, homes: &[usize]) -> Option<usize> {
         let takes_work = |at: &&usize| {
             pool.rows
@@ -196,7 +200,7 @@
         homes.iter().find(takes_work).copied()
     }
 
-    /// Gives the words that an upstream would hold as the home of the prompt's conversation.
+    /// Returns the number of words that an upstream would have in its cache as the home of the prompt's conversation.
     fn home_words(&self, row: &Row, prefix: &Prefix) -> Option<u64> {
         let begun = prefix
             .session()
@@ -254,14 +258,14 @@
         proposed.iter().zip(held).map(candidate).collect()
     }
 
-    /// Notes that an upstream holds a prefix that was moved there.
+    /// Records that an upstream's cache holds a prefix that was copied there.
     pub fn holds(&self, upstream: &UpstreamId, prefix: &Prefix, now: Tick) {
         if let Some(row) = self.index.load().rows.get(upstream) {
             self.history.lock().store(prefix, row.member.number, now);
         }
     }
 
-    /// Notes how an attempt ended.
+    /// Records the result of an attempt in the upstream's breaker.
     pub fn ended(&self, upstream: &UpstreamId, good: bool, now: Tick) {
         if let Some(row) = self.index.load().rows.get(upstream) {
             let mut state = row.member.state.lock();
@@ -273,7 +277,7 @@
         }
     }
 
-    /// Takes in what another process or the cloud told about a host.
+    /// Applies a life-cycle event of a host that another process or the cloud reported.
     pub fn sign(&self, sign: &HostSignal, now: Tick) {
         if !self.hosts.hear(sign, now) {
             return;
@@ -283,7 +287,7 @@
         }
     }
 
-    /// Takes over a load report from a peer; the age is that at the time of arrival.
+    /// Records a load report that a peer polled; its age is the age on arrival.
     pub fn hear(&self, load: &LoadDigest, now: Tick) {
         let index = self.index.load();
         let Some(row) = index.keys.get(&load.upstream).and_then(|id| index.rows.get(id)) else {
@@ -297,12 +301,12 @@
             kv_used: f32::from(load.kv_used) / 1_000.0,
         };
         row.member.state.lock().load.update(report);
-        // An upstream that refused a connection is read by one entry host only. Unless the others take that one's word,
-        // they would doubt its host for ever, and their callers would be refused although it has long been back.
+        // Only one entry host polls each upstream. After a refused connection the others rely on its reports to learn
+        // that the host is back; otherwise they would suspect the host for ever and refuse their callers.
         self.hosts.answered(&row.spec.host, now);
     }
 
-    /// Gives the load reports that this host read itself after a time.
+    /// Returns the load reports that this host polled itself after a point in time.
     #[must_use]
     pub fn polled(&self, after: Option<Tick>, now: Tick) -> Vec<LoadDigest> {
         let index = self.index.load();
@@ -323,12 +327,13 @@
         rows.collect()
     }
 
-    /// Gives the requests that this host may run at once, by what they need, of those that all entry hosts may run.
+    /// Returns this host's part of the upstreams' slots, by target.
     ///
-    /// Each host keeps what it runs and takes a part of the room that the last reports show, in proportion to what it
-    /// runs already. The parts of all hosts add up to the room, so that they can't all rush into the same free slots
-    /// before the next report; a host always has its even part of the slots, so that none is kept out by those that
-    /// came first. Without this, engines queue what entry hosts should refuse in time.
+    /// Each host keeps the slots of its running requests and takes a part of the free slots in the last reports, in
+    /// proportion to the requests that it runs. The parts of all hosts add up to the free slots, so that the hosts
+    /// can't all fill the same slots before the next report. A host always gets at least an equal part of all slots, so
+    /// that earlier hosts can't keep a new one out. Without this division, engines would queue requests that entry
+    /// hosts should refuse in time.
     #[must_use]
     pub fn sizes(&self, hosts: usize, now: Tick) -> Vec<Size> {
         let index = self.index.load();
@@ -337,12 +342,12 @@
             let state = row.member.state.lock();
             let load = state.load.predict(now, expiry, true);
             let own = f64::from(load.own_requests);
-            // Requests that still run where nothing new goes keep their places and take none elsewhere.
+            // A host that takes no new work counts only for the requests that still run there.
             if !self.hosts.takes_work(&row.spec.host) {
                 return own;
             }
             if !state.breaker.allows(now) || state.breaker.probe_at().is_some() {
-                // A probe needs a slot, or the breaker would never close.
+                // The probe needs a slot, or the breaker would never close.
                 return own.max(1.0);
             }
             let slots = f64::from(row.spec.slots) * ease;
@@ -363,7 +368,7 @@
         sizes.collect()
     }
 
-    /// Gives the memory that the history of prefixes takes, in bytes.
+    /// Returns the memory of the prefix history, in bytes.
     #[must_use]
     pub fn history_bytes(&self) -> usize {
         self.history.lock().bytes()
--- a/crates/entry/src/fleet/poll.rs
+++ b/crates/entry/src/fleet/poll.rs
@@ -1,4 +1,4 @@
-//! Reading of load reports, divided among the entry hosts of a data centre.
+//! Polls load reports from upstreams. The entry hosts of a data centre divide its upstreams among themselves.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,33 +16,35 @@
 use crate::Entry;
 use crate::exchange::Live;
 
-/// Pause between two looks at what is due.
+/// Pause between two checks for polls that are due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 const TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of one poll both ways, with the headers of TCP and IP: about 350 of HTTP and ten packets of 52.
+/// Network bytes of one poll in both directions with the headers of TCP and IP: about 350 of HTTP, and ten packets with
+/// 52 bytes of headers each.
 const BYTES: f64 = 900.0;
-/// Bytes a second that polls may take when there are no peers; each peer takes some of it for digests, down to a least.
+/// Network budget of polling in bytes a second: without peers, the deduction for each peer (which digests use), and the
+/// minimum.
 const BUDGET: (f64, f64, f64) = (6_400.0, 400.0, 2_000.0);
-/// Shortest pause between two polls of one upstream.
+/// Shortest interval between two polls of one upstream.
 const SHORTEST: Duration = Duration::from_millis(250);
-/// Bounds of the age at which a report no longer counts.
+/// Lower and upper bound of the age at which a load report expires.
 const EXPIRY: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(15));
-/// Polls under way at the same time, so that one dead upstream doesn't hold the others up.
+/// Concurrent polls, so that one unresponsive upstream doesn't delay the others.
 const READERS: usize = 4;
-/// Polls that may wait for a reader.
+/// Polls that may wait for a poller thread; further ones are skipped.
 const RING: usize = 64;
 
-/// The upstreams that this host polls, worked out anew when hosts or upstreams change.
+/// The upstreams that this host polls, recomputed when the live entry hosts or the upstreams change.
 #[derive(Debug, Default)]
 struct Owned {
     made_for: Option<(Revision, Arc<Live>)>,
     rows: Vec<Row>,
 }
 
-/// Polls what is this host's part, and sizes admission by what is known, until told to stop.
+/// Polls this host's part of the upstreams and sets the slots of admission control, until the process stops.
 ///
 /// # Errors
-/// Fails when the operating system refuses a thread.
+/// Fails if a thread can't be started.
 pub fn run(entry: &Arc<Entry>) -> std::io::Result<()> {
     let (sender, receiver) = bounded(RING);
     for _ in 0..READERS {
@@ -64,14 +66,14 @@
         gauge!("gentian_polled_upstreams").set(owned.rows.len() as f64);
         gauge!("gentian_poll_interval_seconds").set(interval.as_secs_f64());
         owned.poll(&sender, interval, now);
-        // Any entry host may send to any upstream, those of other data centres included.
+        // Every entry host may send to every upstream, including those of other data centres.
         entry.admission.resize(&entry.fleet.sizes(live.count(), now));
         std::thread::sleep(CHECK_INTERVAL);
     }
     Ok(())
 }
 
-/// Gives the pause between two polls of one upstream that keeps all polls within the budget.
+/// Returns the interval between two polls of one upstream that keeps all polls within the network budget.
 fn interval(upstreams: usize, hosts: usize) -> Duration {
     let peers = hosts.saturating_sub(1) as f64;
     let budget = (BUDGET.0 - peers * BUDGET.1).max(BUDGET.2);
@@ -114,7 +116,7 @@
 
 fn read(entry: &Entry, ring: &Receiver<Row>) {
     let client = EngineClient::new(TIMEOUT);
-    // The ring is closed when the thread that fills it ends.
+    // The channel is closed when the sending thread ends.
     for row in ring {
         counter!("gentian_polls_total").increment(1);
         let result = client.load(row.spec.address, TIMEOUT);
--- a/crates/entry/src/fleet/prompt.rs
+++ b/crates/entry/src/fleet/prompt.rs
@@ -1,4 +1,4 @@
-//! What a prompt tells the choice of an engine: its blocks, and the conversation that it belongs to.
+//! Derives the routing input from a prompt: its block hashes and the conversation that it belongs to.
 
 use policy::prefix::{Prefix, Session};
 use upstream::engine::Message;
@@ -7,7 +7,7 @@
 const USER: &str = "user";
 const ASSISTANT: &str = "assistant";
 
-/// Hashes the blocks of a conversation as engines do, and finds its session.
+/// Hashes the blocks of a prompt in the same way as engines do, and identifies its conversation.
 #[must_use]
 pub fn prefix(messages: &[Message]) -> Prefix {
     let prefix = Prefix::of(messages.iter().flat_map(words));
@@ -17,12 +17,12 @@
     }
 }
 
-/// Identifies a conversation by everything up to its first question, which no later turn changes.
+/// Identifies a conversation by all messages up to the first one of the user, which no later turn changes.
 fn session(messages: &[Message]) -> Option<Session> {
     let first = messages.iter().position(|message| message.role == USER)?;
     let mut hash = Xxh3::new();
     for message in &messages[..=first] {
-        // The lengths keep two messages apart from one that holds both.
+        // Without the lengths, two messages would hash like one message with their joint content.
         hash.update(&(message.content.len() as u64).to_le_bytes());
         hash.update(message.content.as_bytes());
     }
--- a/crates/entry/src/fleet/visit.rs
+++ b/crates/entry/src/fleet/visit.rs
@@ -1,4 +1,4 @@
-//! One request under way at an upstream, and what is learned from it.
+//! Tracks one request at an upstream and feeds what is measured back into the routing state.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::Fleet;
 use super::index::Row;
 
-/// One request under way at an upstream; it ends when dropped.
+/// One request in flight at an upstream; dropping it ends the request.
 #[derive(Debug)]
 pub struct Visit<'a> {
     fleet: &'a Fleet,
@@ -21,22 +21,22 @@
     seen: Mutex<Seen>,
 }
 
-/// What was seen of a visit so far.
+/// What was measured of a request so far.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
     first_at: Option<Tick>,
-    /// Words that own dispatches and events said were cached.
+    /// Prompt words that this host's own requests and the cache events showed as cached.
     held: u64,
-    /// Words that had to be prefilled, as far as known.
+    /// Prompt words that had to be prefilled, as far as known.
     fresh: u64,
-    /// When the last token came, how many pauses there were, and how many of them were longer than promised.
+    /// When the last token came.
     token_at: Option<Tick>,
     pauses: u32,
     late: u32,
 }
 
 impl Fleet {
-    /// Notes that a request goes to an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn visit(&self, upstream: &UpstreamId, now: Tick) -> Visit<'_> {
         let row = self.index.load().rows.get(upstream).cloned();
         if let Some(row) = &row {
@@ -54,7 +54,7 @@
 }
 
 impl Visit<'_> {
-    /// Notes the first token of an answer: by now the engine holds the prompt.
+    /// Records the first token of an answer; from now on the engine's cache holds the prompt.
     pub fn first_token(&self, prefix: &Prefix, cached: u64, now: Tick) {
         let Some(row) = &self.row else { return };
         let mut history = self.fleet.history.lock();
@@ -73,7 +73,7 @@
             .record_first_token(seen.fresh, millis(now.since(self.started)));
     }
 
-    /// Notes a token, and the longest pause before it that was promised.
+    /// Records a token; a gap before it longer than `promised`, the contract's target, counts as late.
     pub fn token(&self, promised: Option<Duration>, now: Tick) {
         let mut seen = self.seen.lock();
         if let (Some(before), Some(promised)) = (seen.token_at.replace(now), promised) {
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Notes an answer that is whole: the engine holds the prompt with the answer.
+    /// Records a complete answer: the engine's cache holds the prompt with the answer.
     pub fn whole(&self, prefix: &Prefix, now: Tick) {
         if let Some(row) = &self.row {
             self.fleet.history.lock().store(prefix, row.member.number, now);
         }
     }
 
-    /// Takes in the engine's own count of the words of a prompt that were cached before.
+    /// Compares the number of cached words that routing expected with the number that the engine reports.
     pub fn counted(&self, prefix: &Prefix, believed: u64, cached: u64) {
         counter!("gentian_cached_tokens_total", "who" => "believed").increment(believed);
         counter!("gentian_cached_tokens_total", "who" => "counted").increment(cached);
@@ -98,7 +98,7 @@
         if let Some(words) = self.fleet.home_words(row, prefix) {
             row.rates.lock().record_cached(cached as f64 / words as f64);
         }
-        // Judged is what was remembered, not what was left of it after the last judgement.
+        // Trust is judged by the words that the history held, before the current trust scaled them down.
         if self.fleet.rules.with(Ablation::CacheEvents) {
             row.member.state.lock().trust.record_count(held, cached);
         }
@@ -112,7 +112,7 @@
         row.member.state.lock().load.ended(now);
         let seen = *self.seen.lock();
         let mut rates = row.rates.lock();
-        // The wait in the engine is no part of what a request keeps a slot for.
+        // The queueing time in the engine does not count as time for which the request holds a slot.
         let held = match seen.first_at {
             Some(first) => seen.fresh as f64 * rates.prefill_token_ms + millis(now.since(first)),
             None => millis(now.since(self.started)),
--- a/crates/entry/src/fleet/waves.rs
+++ b/crates/entry/src/fleet/waves.rs
@@ -1,4 +1,4 @@
-//! Zones that lose hosts: one reclaim in a zone is a sign that more will follow.
+//! Expected reclaim rate of each zone: reclaims come in waves, so one reclaim in a zone predicts more.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,26 +6,26 @@
 use contract::Zone;
 use policy::Tick;
 
-/// Reclaims an hour that a zone sees on an ordinary day.
+/// Reclaims an hour that are expected in a zone without a recent reclaim.
 const ORDINARY: f64 = 0.05;
-/// Reclaims an hour that are expected in a zone right after one.
+/// Reclaims an hour that are expected in a zone after a recent reclaim.
 const WAVE: f64 = 60.0;
-/// How long a reclaim is taken for the sign of a wave.
+/// Time for which a reclaim predicts further ones.
 const WAVE_TIME: Duration = Duration::from_mins(1);
 
-/// When each zone last lost a host.
+/// The time of the last reclaim in each zone.
 #[derive(Debug, Default)]
 pub(super) struct Waves {
     zones: HashMap<Zone, Tick>,
 }
 
 impl Waves {
-    /// Notes that a host of a zone leaves.
+    /// Records that a host of a zone was reclaimed.
     pub(super) fn note(&mut self, zone: &Zone, now: Tick) {
         self.zones.insert(zone.clone(), now);
     }
 
-    /// Gives the reclaims an hour that a zone is expected to see.
+    /// Returns the number of reclaims an hour that are expected in a zone.
     pub(super) fn reclaims(&self, zone: &Zone, now: Tick) -> f64 {
         let wave = self.zones.get(zone).is_some_and(|at| now.since(*at) < WAVE_TIME);
         if wave { WAVE } else { ORDINARY }
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -1,7 +1,7 @@
-//! The lives of the hosts under the upstreams: which take new work, and until when the others last.
+//! Life-cycle state of the upstreams' hosts: which take new work, and when the others will be gone.
 //!
-//! Signs come from capacity, from the cloud API itself and from connections that are refused, so that the entry host
-//! stands on its own when one of them is cut off.
+//! Events come from the capacity process, from the cloud API and from refused connections, so that an entry host still
+//! learns of a reclaim when one of these sources is cut off.
 
 use std::collections::HashSet;
 use std::sync::atomic::Ordering;
@@ -18,54 +18,55 @@
 
 use crate::{Entry, drain};
 
-/// Longest time from a notice at the cloud API until no new work goes to its host.
+/// Longest time from a reclaim notice at the cloud API until no new work is sent to the host.
 pub const BOUND: Duration = Duration::from_secs(2);
-/// Pause between two looks at the cloud API.
+/// Pause between two requests to the cloud API.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest wait for the cloud API.
+/// Timeout of a request to the cloud API.
 const TIMEOUT: Duration = Duration::from_millis(500);
-/// Looks between two times of forgetting hosts.
+/// Number of requests to the cloud API between two removals of old hosts.
 const FORGET: u64 = 240;
 const _: () = assert!(CHECK_INTERVAL.as_millis() + TIMEOUT.as_millis() < BOUND.as_millis());
 
-/// The lives of all hosts that signs have told about.
+/// The state of all hosts that events were received for.
 #[derive(Debug, Default)]
 pub struct Hosts {
     lives: Mutex<HostStates>,
 }
 
 impl Hosts {
-    /// Takes in what another process or the cloud told; gives whether the host began to leave by it.
+    /// Applies an event that another process or the cloud reported; returns whether it made the host start to leave.
     pub fn hear(&self, sign: &HostSignal, now: Tick) -> bool {
         let life = self.take(&sign.host, sign.incarnation, from_wire(sign.sign), now);
         matches!(life, Some(AnyHostState::Leaving(_)))
     }
 
-    /// Notes that an upstream on a host answered.
+    /// Records that an upstream on a host responded.
     pub fn answered(&self, host: &HostSpec, now: Tick) {
         self.take(&host.id, host.incarnation, HostEvent::Answered, now);
     }
 
-    /// Notes that a call to an upstream on a host failed; only a connection that didn't stand tells about the host.
+    /// Records that a call to an upstream on a host failed. Only a failure to connect says anything about the host.
     pub fn failed(&self, host: &HostSpec, error: &UpstreamError, now: Tick) {
         if !error.connected {
             self.take(&host.id, host.incarnation, HostEvent::Refused, now);
         }
     }
 
-    /// Tells whether new work may go to a host.
+    /// Returns whether new work may be sent to a host.
     #[must_use]
     pub fn takes_work(&self, host: &HostSpec) -> bool {
         self.lives.lock().takes_work(&host.id, host.incarnation)
     }
 
-    /// Gives the stage of a host.
+    /// Returns the life-cycle stage of a host.
     #[must_use]
     pub fn stage(&self, host: &HostSpec) -> AnyHostState {
         self.lives.lock().stage(&host.id, host.incarnation)
     }
 
-    /// Tells whether any host has an announced end that is still to come or has just passed.
+    /// Returns whether any host has an announced end that is in the future or passed less than [`MAX_NOTICE_DELAY`]
+    /// ago.
     #[must_use]
     pub fn any_ends(&self, now: Tick) -> bool {
         let lives = self.lives.lock();
@@ -76,7 +77,7 @@
         lives.iter().any(|(_, life)| ends(life))
     }
 
-    /// Gives every host that signs have told about, with incarnation and stage.
+    /// Returns name, incarnation and stage of every host that events were received for.
     #[must_use]
     pub fn list(&self) -> Vec<(HostId, u64, String)> {
         let lives = self.lives.lock();
@@ -92,7 +93,7 @@
         Some(life)
     }
 
-    /// Forgets hosts that are in no configuration and need no memory of their end.
+    /// Removes hosts that are in no configuration and whose end is long past.
     fn forget(&self, known: &HashSet<&HostId>, now: Tick) {
         const MEMORY: Duration = Duration::from_hours(1);
         let fresh = |life: &AnyHostState| match life {
@@ -105,14 +106,14 @@
     }
 }
 
-/// Reads notices from the cloud API until told to stop.
+/// Reads reclaim notices from the cloud API and drains from the configuration until the process stops.
 pub fn watch(entry: &Entry) {
     let clients = entry.settings.cloud.iter().map(|peer| CloudClient::new(*peer, TIMEOUT));
     let clients: Vec<CloudClient> = clients.collect();
     let mut looks: u64 = 0;
     while !entry.stop.load(Ordering::Relaxed) {
         if !clients.is_empty() {
-            // One address a look, so that one that doesn't answer never delays the others beyond the bound.
+            // One address per iteration, so that one that doesn't respond can't delay the others beyond the bound.
             look(entry, &clients[looks as usize % clients.len()]);
         }
         let view = entry.current.view();
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -1,4 +1,4 @@
-//! What was already made of each answer, so that a caller can resume by request id.
+//! The tokens generated so far for each request, so that a caller can resume by request id.
 
 mod kept;
 
@@ -9,19 +9,19 @@
 
 pub use kept::Journals;
 
-/// Stands between customer and account; names can't contain it, so that no two accounts look the same.
+/// Separates customer and account. Names can't contain it, so that two different accounts never give the same text.
 const SEPARATOR: char = ' ';
 
-/// Gives the account that owns a request as one text.
+/// Returns the owner of a request, customer and account, as one string.
 #[must_use]
 pub fn owner(customer: &CustomerId, account: &AccountName) -> String {
     format!("{customer}{SEPARATOR}{account}")
 }
 
-/// The answer to one request as far as it was made.
+/// The answer to one request so far.
 #[derive(Debug)]
 pub struct Journal {
-    /// Customer and account that asked.
+    /// The customer and account that made the request, joined by [`owner`].
     pub owner: String,
     part: Mutex<Made>,
     choices: Mutex<Vec<Choice>>,
@@ -29,18 +29,18 @@
     moved: Condvar,
 }
 
-/// Where the answer is made.
+/// Where the answer is generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Place {
-    /// By this process.
+    /// In this process.
     Here,
-    /// A peer is being asked to go on with it.
+    /// In transfer: a peer is being asked to continue it.
     Moving,
-    /// By a peer.
+    /// In a peer.
     Elsewhere,
 }
 
-/// Tokens as one text, with the end of each; a text for each token would cost five times the memory.
+/// All tokens as one string with the end offset of each; a string for each token would take five times the memory.
 #[derive(Debug, Default)]
 struct Made {
     text: String,
@@ -50,18 +50,18 @@
     failed: bool,
 }
 
-/// A part of an answer.
+/// The part of an answer from some token on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Part {
-    /// Tokens in order.
+    /// The tokens in order.
     pub tokens: Vec<String>,
-    /// Whether the answer is whole.
+    /// Whether the answer is complete.
     pub whole: bool,
-    /// Whether it ended without being whole.
+    /// Whether the answer ended incomplete.
     pub failed: bool,
 }
 
-/// An answer that a peer makes now.
+/// The error of an operation on an answer that a peer has taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moved;
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives the customer that asked.
+    /// Returns the customer that made the request.
     #[must_use]
     pub fn customer(&self) -> CustomerId {
         self.owner.split(SEPARATOR).next().unwrap_or_default().into()
@@ -88,11 +88,12 @@
 
     /// Appends a token.
     ///
-    /// While a peer is being asked to go on with the answer, this waits for the peer's word: a token that was sent to
-    /// the caller after the peer had its copy would be made a second time, and the caller would see two answers mixed.
+    /// While a peer is being asked to continue the answer, this waits for the peer's reply. If a token went to the
+    /// caller after the peer got its copy, the peer would generate that position again, and the caller would see two
+    /// answers mixed.
     ///
     /// # Errors
-    /// Fails when a peer goes on with the answer.
+    /// Fails if a peer has taken over the answer.
     pub fn push(&self, token: &str) -> Result<(), Moved> {
         let _place = self.settled()?;
         let mut made = self.part.lock();
@@ -102,10 +103,10 @@
         Ok(())
     }
 
-    /// Notes how the answer ended.
+    /// Records whether the answer ended complete.
     ///
     /// # Errors
-    /// Fails when a peer goes on with the answer.
+    /// Fails if a peer has taken over the answer.
     pub fn end(&self, whole: bool) -> Result<(), Moved> {
         let _place = self.settled()?;
         let mut made = self.part.lock();
@@ -115,10 +116,10 @@
         Ok(())
     }
 
-    /// Hands the answer over, if it is still being made here.
+    /// Hands the answer over to a peer if it is still generated here.
     ///
-    /// The function gets the request and the tokens so far, and tells whether a peer took them. Returns whether the
-    /// answer is made elsewhere now.
+    /// `to_peer` gets the request and the tokens so far, and returns whether a peer accepted them. Returns whether the
+    /// answer is now generated elsewhere.
     pub fn hand_over(&self, to_peer: impl FnOnce(&ChatRequest, Vec<String>) -> bool) -> bool {
         {
             let mut place = self.place.lock();
@@ -134,30 +135,30 @@
         taken
     }
 
-    /// Tells whether a peer makes the answer.
+    /// Returns whether a peer has taken over the answer.
     #[must_use]
     pub fn is_moved(&self) -> bool {
         *self.place.lock() == Place::Elsewhere
     }
 
-    /// Tells whether the answer is still being made.
+    /// Returns whether the answer has not ended yet.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.part.lock().ask.is_some()
     }
 
-    /// Notes why an upstream was chosen for an attempt.
+    /// Records the routing decision of an attempt.
     pub fn chose(&self, choice: Choice) {
         self.choices.lock().push(choice);
     }
 
-    /// Gives the record of each attempt's choice.
+    /// Returns the routing decision of each attempt, in order.
     #[must_use]
     pub fn choices(&self) -> Vec<Choice> {
         self.choices.lock().clone()
     }
 
-    /// Gives the answer from a position on.
+    /// Returns the answer from a token position on.
     #[must_use]
     pub fn from(&self, position: usize) -> Part {
         let made = self.part.lock();
@@ -171,25 +172,25 @@
         }
     }
 
-    /// Gives the answer so far as one text.
+    /// Returns the answer so far as one string.
     #[must_use]
     pub fn text(&self) -> String {
         self.part.lock().text.clone()
     }
 
-    /// Gives the number of tokens so far.
+    /// Returns the number of tokens so far.
     #[must_use]
     pub fn len(&self) -> usize {
         self.part.lock().ends.len()
     }
 
-    /// Tells whether no token was made yet.
+    /// Returns whether no token was generated yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Gives the memory that it takes once it has ended, in bytes.
+    /// Returns the memory that the journal takes after the answer has ended, in bytes.
     fn size(&self) -> usize {
         let made = self.part.lock();
         let weighed: usize = self.choices.lock().iter().map(|choice| choice.weighed.len() + 1).sum();
--- a/crates/entry/src/journal/kept.rs
+++ b/crates/entry/src/journal/kept.rs
@@ -1,4 +1,4 @@
-//! Which journals are kept: all of open requests, and of ended ones as many as fit.
+//! The table of journals: all of open requests, and those of ended requests within bounds.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 
 use super::Journal;
 
-/// Ended requests that are kept at most.
+/// Most ended requests whose journals are kept.
 pub const KEPT: usize = 4_096;
-/// Memory of ended requests that are kept at most, in bytes.
+/// Most memory of ended requests' journals, in bytes.
 pub const KEPT_BYTES: usize = 16 * 1024 * 1024;
-/// Longest time for which an ended request is kept.
+/// Longest time for which the journal of an ended request is kept.
 pub const KEPT_TIME: Duration = Duration::from_mins(10);
 
 /// The journals of an entry host.
@@ -47,7 +47,7 @@
         journal
     }
 
-    /// Opens the journal of a request unless there is one.
+    /// Opens the journal of a request; returns `None` if there is one already.
     pub fn open_new(&self, request: &RequestId, owner: String, ask: &ChatRequest) -> Option<Arc<Journal>> {
         let mut inner = self.inner.lock();
         if inner.all.contains_key(request) {
@@ -58,7 +58,7 @@
         Some(journal)
     }
 
-    /// Notes that a request ended; the oldest ended ones that don't fit are forgotten.
+    /// Records that a request ended, and drops the oldest ended journals that exceed the bounds.
     pub fn end(&self, request: &RequestId, now: Tick) {
         let mut inner = self.inner.lock();
         let Some(bytes) = inner.all.get(request).map(|journal| journal.size()) else {
@@ -80,7 +80,7 @@
         self.inner.lock().all.get(request).cloned()
     }
 
-    /// Gives every request that is still being answered.
+    /// Returns every request whose answer has not ended yet.
     #[must_use]
     pub fn open_ones(&self) -> Vec<(RequestId, Arc<Journal>)> {
         let inner = self.inner.lock();
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry: callers' HTTP, admission, routing, attempts and streams.
+//! The gateway process of the system: the HTTP server for callers, admission control, routing, and attempts at engines
+//! and services.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `gentian-entry`: serves callers on an entry host.
+//! `gentian-entry`: the gateway process that serves callers.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 use wire::client::RpcRuntime;
 use wire::entry::EntryRpcServer;
 
-/// Longest wait for an inner call.
+/// Timeout of an internal RPC.
 const TIMEOUT: Duration = Duration::from_secs(2);
 const STEP: Duration = Duration::from_millis(50);
 const OPS_THREADS: usize = 4;
-/// Longest wait for outcomes that the state group could not record at once.
+/// Longest wait at shutdown for outcomes that are still to be recorded in the state group.
 const FLUSH: Duration = Duration::from_secs(10);
 
 fn main() -> ExitCode {
@@ -70,7 +70,7 @@
         burn::hand_over(entry, calls, inner_address);
         entry.stop.store(true, Ordering::Relaxed);
     });
-    // A second request to stop changes nothing.
+    // Stopping fails only if the server has stopped already.
     let _ = handle.stop();
     if !entry.state.flush(FLUSH) {
         warn!(
@@ -110,7 +110,7 @@
         .name("hosts".to_owned())
         .spawn(move || hosts::watch(&watcher))?;
     let poller = Arc::clone(entry);
-    // The thread only fails to start its readers when the system has no threads left.
+    // The result is dropped: starting the poller threads fails only if the system has no threads left.
     thread::Builder::new()
         .name("loads".to_owned())
         .spawn(move || fleet::poll::run(&poller))?;
@@ -121,7 +121,7 @@
     Ok(())
 }
 
-/// Starts the exchange of digests with the other entry hosts.
+/// Starts the digest exchange with the other entry hosts.
 fn start_exchange(entry: &Arc<Entry>, own: std::net::SocketAddr) -> anyhow::Result<()> {
     let socket = exchange::open(own).map_err(|error| anyhow::anyhow!("open UDP {own}: {error}"))?;
     let entry = Arc::clone(entry);
--- a/crates/entry/src/ops.rs
+++ b/crates/entry/src/ops.rs
@@ -1,4 +1,4 @@
-//! Health checks and metrics.
+//! HTTP endpoints for health checks and metrics.
 
 use std::sync::atomic::Ordering;
 
@@ -7,7 +7,7 @@
 
 use crate::Entry;
 
-/// Answers the platform's balancer and scrapers.
+/// Serves the load balancer's health checks and the metrics scraper.
 #[must_use]
 pub fn answer(entry: &Entry, scrape: &MetricsExporter, request: &Request) -> Response {
     match request.url().as_str() {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other entry hosts of the data centre, as far as requests are handed over or looked up there.
+//! RPC clients of the other entry hosts, for handovers and lookups of requests and for configuration.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use wire::entry::{EntryRpcClient, Handover, Journal, JournalRequest};
 use wire::state::Watched;
 
-/// Clients of the other entry hosts.
+/// The clients of all peers in the settings.
 #[derive(Debug)]
 pub struct Peers {
     calls: RpcRuntime,
@@ -26,10 +26,10 @@
 }
 
 impl Peers {
-    /// Makes the clients; connections are made at the first call.
+    /// Creates the clients; each connects at its first call.
     ///
     /// # Errors
-    /// Fails when an address can't be used.
+    /// Fails if an address can't be used.
     pub fn new(calls: &RpcRuntime, me: &NodeId, peers: &[SocketAddr]) -> Result<Self, CallError> {
         let clients = peers.iter().map(|peer| calls.client(*peer, Duration::ZERO));
         Ok(Self {
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Asks one peer, each time another, for a newer configuration than a revision.
+    /// Asks one peer, in round-robin order, for a configuration newer than a revision.
     pub fn config(&self, after: Revision) -> Option<Watched> {
         let count = self.clients.len();
         let at = self.turn.fetch_add(1, Ordering::Relaxed).checked_rem(count)?;
@@ -50,7 +50,7 @@
         Some(answer.body)
     }
 
-    /// Looks a request up, first at the peer whose name the request carries.
+    /// Looks up a request, first at the peer whose name the request id starts with.
     pub fn journal(&self, revision: Revision, request: &RequestId, from: usize) -> Option<Journal> {
         let first = self.made_by(request);
         let others = (0..self.clients.len()).filter(|at| Some(*at) != first);
@@ -60,7 +60,7 @@
             .find_map(|at| self.journal_at(at, revision, request, from).ok().flatten())
     }
 
-    /// Gives a request to a peer that takes it.
+    /// Hands a request over to the first peer that accepts it; returns whether one did.
     pub fn hand_over(&self, revision: Revision, handover: &Handover) -> bool {
         let first = self.turn.fetch_add(1, Ordering::Relaxed);
         let count = self.clients.len();
@@ -70,10 +70,10 @@
         taken
     }
 
-    /// Gives a request to one peer.
+    /// Hands a request over to one peer.
     ///
-    /// A peer whose answer was lost may have taken the request; asking it for the journal tells. Without that, another
-    /// peer would run the same request again, and a caller could be shown one or the other.
+    /// If the reply is lost, the peer may have accepted the request; asking it for the journal shows that. Otherwise
+    /// another peer would run the same request, and a caller could be shown either answer.
     fn hand_to(&self, at: usize, revision: Revision, handover: &Handover) -> bool {
         let message = Envelope::new(&self.me, revision, handover.clone());
         match self.calls.wait(self.clients[at].adopt(message)) {
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -1,9 +1,9 @@
-//! Rescue of the streams on hosts that will be taken away.
+//! Moves streams off engine hosts that will be reclaimed.
 //!
-//! Each attempt at an engine is on board here while it runs. One thread looks for those whose host leaves and has a few
-//! others copy KV cache, one copy from an engine at a time; the stream itself goes on meanwhile and is asked to move when
-//! its cache has arrived. Whatever fails here, the stream still breaks off with its host and is replayed by its own
-//! attempt loop, so a caller's answer never depends on this module.
+//! Every running attempt at an engine is registered here. One thread looks for attempts on hosts with an announced end,
+//! and a few others copy their KV cache to another engine, one copy from each engine at a time. The stream continues
+//! meanwhile and is asked to move once its cache has arrived. If anything fails here, the stream breaks off with its
+//! host and its attempt loop replays it, so that correct answers never depend on this module.
 
 mod copy;
 mod kept;
@@ -28,44 +28,44 @@
 use ride::{Aboard, Stage};
 pub use ride::{Boarding, Move, Ride};
 
-/// Pause between two looks at the streams.
+/// Pause between two checks of the running attempts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Threads that copy KV cache.
+/// Number of threads that copy KV cache.
 const COPIERS: usize = 8;
-/// Time to prefill one token, for the question whether a replay would miss a target.
+/// Assumed time to prefill one token; decides whether a replay would miss a latency target.
 const PREFILL: Duration = Duration::from_micros(250);
-/// Time to export one token's cache until one was measured.
+/// Assumed time to export the KV cache of one token until an export was measured.
 const EXPORT: Duration = Duration::from_micros(130);
-/// Weight of the newest measured export.
+/// Weight of the newest measurement in the moving average of the export time.
 const NEWEST: f64 = 0.3;
 
-/// What a copier is to do.
+/// A KV cache copy for a copier thread.
 #[derive(Debug)]
 enum Job {
-    /// Copies the cache of a stream that runs.
+    /// The cache of a running stream.
     Stream(RequestId),
-    /// Copies the cache of an answer that ended, for the next turn of its conversation.
+    /// The cache of an answer that ended, for the next turn of its conversation.
     Ended(Box<Kept>),
 }
 
-/// All attempts that run, and what is measured of exports.
+/// The running attempts, recently ended answers and the measured export time.
 #[derive(Debug, Default)]
 pub struct Rescue {
     aboard: Mutex<HashMap<RequestId, Aboard>>,
     changed: Condvar,
     kept: Mutex<KeptAnswers>,
-    /// Seconds to export one token's cache.
+    /// Seconds to export the KV cache of one token; absent until an export was measured.
     export: Mutex<Option<f64>>,
 }
 
 impl Rescue {
-    /// Tells whether any stream's cache is on its way into another engine.
+    /// Returns whether the cache of any stream is being imported into another engine.
     #[must_use]
     pub fn is_importing(&self) -> bool {
         self.aboard.lock().values().any(|one| one.stage == Stage::Importing)
     }
 
-    /// Notes an answer that ended, with everything that its engine has in its cache of it.
+    /// Records an answer that ended; `prefix` is what the engine now has in its cache.
     pub fn keep(&self, id: &RequestId, spec: &UpstreamSpec, prefix: Prefix) {
         self.kept.lock().push(id, spec, prefix);
     }
@@ -84,9 +84,9 @@
         *export = Some(export.map_or(new, |known| known * (1.0 - NEWEST) + new * NEWEST));
     }
 
-    /// Decides on every stream whose host leaves and gives the copies that can begin now.
+    /// Decides about every stream on a leaving host and returns the copies that can start now.
     fn look(&self, entry: &Entry, now: Tick) -> Vec<Job> {
-        // On an ordinary day no host leaves, and nothing of what follows is worth its processor time.
+        // Most of the time no host leaves, and the checks below would waste processor time.
         if !entry.fleet.hosts.any_ends(now) {
             return Vec::new();
         }
@@ -96,7 +96,7 @@
         let streams = self.look_streams(&mut aboard, &mut busy, entry, now);
         let mut jobs: Vec<Job> = streams.into_iter().map(Job::Stream).collect();
         if let Some(export) = self.rates(entry.settings.kv_export == KvExport::All).export {
-            // What ended before is copied over links that no stream needs now.
+            // Ended answers use only the links that no stream needs now.
             let ended = self.kept.lock().take(&entry.fleet.hosts, export, now, &mut busy);
             jobs.extend(ended.into_iter().map(|kept| Job::Ended(Box::new(kept))));
         }
@@ -114,7 +114,7 @@
         let mut ids = Vec::new();
         let mut streams = Vec::new();
         for (id, one) in aboard.iter().filter(|(_, one)| one.stage == Stage::Riding) {
-            // A host that is drained by an operator has no end, and its streams finish there.
+            // A host that an operator drains has no announced end; its streams finish there.
             if let AnyHostState::Leaving(life) = hosts.stage(&one.spec.host)
                 && let Some(gone_at) = life.gone_at()
             {
@@ -144,7 +144,7 @@
         copies
     }
 
-    /// Puts back what can't be copied yet.
+    /// Returns a copy that can't start yet to where it came from.
     fn put_back(&self, job: Job) {
         match job {
             Job::Stream(id) => {
@@ -162,7 +162,7 @@
     busy.map(|one| one.spec.id.clone()).collect()
 }
 
-/// Gives each source a number, so that the plan needs no names.
+/// Replaces the source engines by numbers, so that the plan needs no names.
 fn numbered(streams: &[Stream<&UpstreamId>]) -> Vec<Stream<usize>> {
     let mut numbers = HashMap::new();
     let number = |stream: &Stream<&UpstreamId>| {
@@ -180,10 +180,10 @@
     streams.iter().map(number).collect()
 }
 
-/// Starts the threads of rescue.
+/// Starts the threads that watch the attempts and copy KV cache.
 ///
 /// # Errors
-/// Fails when the operating system refuses a thread.
+/// Fails if a thread can't be started.
 pub fn start(entry: &Arc<Entry>) -> std::io::Result<()> {
     let (ring, jobs) = bounded::<Job>(COPIERS);
     for _ in 0..COPIERS {
--- a/crates/entry/src/rescue/copy.rs
+++ b/crates/entry/src/rescue/copy.rs
@@ -1,4 +1,4 @@
-//! The copy of one stream's KV cache to another engine.
+//! Copies the KV cache of one stream or ended answer to another engine.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 use crate::Entry;
 use crate::fleet::Ask;
 
-/// Longest time for an export or an import.
+/// Timeout of one export and of one import.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Engines that are tried for one import.
+/// Engines that are tried as the target of one copy.
 const TARGETS: usize = 3;
 
-/// Carries out a job.
+/// Runs a copy job.
 pub(super) fn run(entry: &Entry, job: Job) {
     match job {
         Job::Stream(id) => stream(entry, &id),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Copies the cache of an answer that ended; the next turn of the conversation then goes where it is.
+/// Copies the cache of an ended answer; the next turn of the conversation is then routed to the copy.
 fn ended(entry: &Entry, kept: &Kept) {
     let began = entry.clock.now();
     let what = ExportScope::Request(kept.id.clone());
@@ -47,7 +47,8 @@
     }
 }
 
-/// Copies the cache of a stream and asks the stream to move there; on failure it rides on and is decided anew.
+/// Copies the cache of a stream and asks the stream to move there. After a failure the stream continues and is decided
+/// about again.
 fn stream(entry: &Entry, id: &RequestId) {
     let source = entry.rescue.aboard.lock().get(id).map(|one| one.spec.clone());
     let Some(source) = source else { return };
@@ -76,13 +77,13 @@
     }
 }
 
-/// Imports into one engine after the other until one has it.
+/// Tries one engine after the other until an import succeeds, and returns that engine.
 fn import(entry: &Entry, id: &RequestId, source: &UpstreamSpec, exported: &ExportedCache) -> Option<UpstreamId> {
     let mut avoid = vec![source.id.clone()];
     for _ in 0..TARGETS {
         let target = target(entry, source, exported, &avoid)?;
         match entry.engines.import(target.address, exported, TIMEOUT) {
-            // The target may have got a notice of its own meanwhile; the cache still goes on to the next one.
+            // The target may have got a reclaim notice meanwhile; then the next engine is tried.
             Ok(()) if entry.fleet.hosts.takes_work(&target.host) => return Some(target.id),
             Ok(()) => counter!("gentian_imports_failed_total", "cause" => "leaving").increment(1),
             Err(error) => {
@@ -96,7 +97,7 @@
     None
 }
 
-/// Chooses where the cache goes: first among the zones in which no host is leaving, then anywhere.
+/// Chooses the target of a copy: preferably in a zone where no host is leaving, otherwise anywhere.
 fn target(
     entry: &Entry,
     source: &UpstreamSpec,
@@ -137,7 +138,7 @@
     view.config.upstreams.get(&choice.chosen).cloned()
 }
 
-/// Sets the stage of a stream; tells whether it's still there.
+/// Sets the stage of a stream; returns whether its attempt still runs.
 fn step(entry: &Entry, id: &RequestId, stage: Stage) -> bool {
     let mut aboard = entry.rescue.aboard.lock();
     aboard.get_mut(id).map(|one| one.stage = stage).is_some()
--- a/crates/entry/src/rescue/kept.rs
+++ b/crates/entry/src/rescue/kept.rs
@@ -1,4 +1,4 @@
-//! Answers that ended, newest first, whose conversations may go on.
+//! Recently ended answers, newest first, whose conversations may continue.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -10,14 +10,14 @@
 
 use crate::hosts::Hosts;
 
-/// Answers that are remembered.
+/// Most ended answers that are remembered.
 const MOST: usize = 2_048;
-/// Fewest words that are worth a copy.
+/// Fewest words of prompt and answer that are worth a copy.
 const FEWEST: u64 = 32;
-/// Time before the end of a host that is not counted on.
+/// Safety margin before the announced end of a host.
 const SAFETY: Duration = Duration::from_millis(200);
 
-/// An answer that ended.
+/// An ended answer and the engine whose cache holds it.
 #[derive(Debug)]
 pub(super) struct Kept {
     pub(super) id: RequestId,
@@ -25,7 +25,7 @@
     pub(super) prefix: Prefix,
 }
 
-/// All of them.
+/// All remembered answers, and the engines that are being copied from.
 #[derive(Debug, Default)]
 pub(super) struct KeptAnswers {
     answers: VecDeque<Kept>,
@@ -33,7 +33,7 @@
 }
 
 impl KeptAnswers {
-    /// Adds an answer; what it continues needs no copy of its own.
+    /// Adds an answer; it replaces the earlier answer that it continues.
     pub(super) fn push(&mut self, id: &RequestId, spec: &UpstreamSpec, prefix: Prefix) {
         if prefix.words() < FEWEST {
             return;
@@ -53,12 +53,13 @@
         self.answers.truncate(MOST);
     }
 
-    /// Gives the engines from which a copy is under way.
+    /// Returns the engines that are being copied from.
     pub(super) fn copying(&self) -> impl Iterator<Item = UpstreamId> {
         self.copying.iter().cloned()
     }
 
-    /// Takes the newest answer of each engine whose host leaves, if its copy fits into the time that is left.
+    /// Takes the newest answer of each engine on a leaving host if its copy fits into the time that is left. `busy`
+    /// holds the engines that already export.
     pub(super) fn take(
         &mut self,
         hosts: &Hosts,
@@ -73,7 +74,7 @@
                 rest.push_back(kept);
                 continue;
             };
-            // On a drained host nobody counts the time, and its conversations move with their next turn.
+            // A drained host has no announced end; its conversations move with their next turn.
             let Some(left) = life.gone_at().map(|at| at.since(now)) else {
                 continue;
             };
@@ -92,13 +93,13 @@
         taken
     }
 
-    /// Puts an answer back whose copy can't begin.
+    /// Puts an answer back if its copy can't start yet.
     pub(super) fn put_back(&mut self, kept: Kept) {
         self.done(&kept);
         self.answers.push_front(kept);
     }
 
-    /// Notes that a copy ended.
+    /// Records that a copy ended.
     pub(super) fn done(&mut self, kept: &Kept) {
         self.copying.remove(&kept.spec.id);
     }
--- a/crates/entry/src/rescue/ride.rs
+++ b/crates/entry/src/rescue/ride.rs
@@ -1,4 +1,4 @@
-//! One attempt at an engine, as rescue sees it.
+//! Registration of the attempts at engines, so that their streams can be moved.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,56 +11,56 @@
 use super::Rescue;
 use crate::journal::Journal;
 
-/// Time between two tokens until some have come.
+/// Assumed time between two tokens until it can be measured.
 const UNKNOWN_STEP: Duration = Duration::from_millis(50);
-/// Longest wait for an import when the engine that it came from is gone already.
+/// Longest wait for a running import after the source engine is gone.
 const IMPORT_WAIT: Duration = Duration::from_secs(2);
 
-/// What an attempt tells when it begins.
+/// The description of an attempt that starts.
 #[derive(Debug)]
 pub struct Boarding {
-    /// The engine.
+    /// The engine that the attempt runs on.
     pub spec: UpstreamSpec,
-    /// The answer so far.
+    /// The tokens of the answer so far.
     pub journal: Arc<Journal>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of answer tokens.
     pub most: u64,
-    /// When the whole answer is due.
+    /// Deadline of the whole answer.
     pub due: Tick,
-    /// Now.
+    /// Time at which the attempt starts.
     pub now: Tick,
-    /// Set when the attempt is to end so that the stream can move.
+    /// Set by rescue to make the attempt end, so that the stream can move.
     pub asked: Arc<AtomicBool>,
 }
 
-/// Where a stream is to go on.
+/// Where and how a stream continues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// The engine that has its cache; `None` lets the attempt loop choose.
+    /// The engine that got the KV cache; `None` lets the attempt loop choose an engine.
     pub to: Option<UpstreamId>,
-    /// Whether its cache was moved.
+    /// Whether the cache was copied or the stream is replayed.
     pub how: StreamAction,
 }
 
-/// An attempt that runs; it leaves the table when dropped.
+/// A registered attempt; dropping it removes the registration.
 #[derive(Debug)]
 pub struct Ride<'a> {
     rescue: &'a Rescue,
     id: &'a RequestId,
 }
 
-/// How far the rescue of a stream is.
+/// How far the move of a stream has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Nothing is done for it.
+    /// The attempt runs; no move has started.
     Riding,
-    /// Its cache is being exported.
+    /// The KV cache is being exported.
     Exporting,
-    /// Its cache is being imported elsewhere.
+    /// The KV cache is being imported into another engine.
     Importing,
-    /// It was asked to move.
+    /// The attempt was asked to end.
     Asked,
 }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Asks the attempt to end and says where the stream goes on.
+    /// Asks the attempt to end and records where the stream continues.
     pub(super) fn ask(&mut self, to: Option<UpstreamId>, how: StreamAction) {
         self.stage = Stage::Asked;
         self.to = Some(Move { to, how });
@@ -110,7 +110,7 @@
 }
 
 impl Rescue {
-    /// Notes that an attempt begins.
+    /// Registers an attempt that starts.
     pub fn board<'a>(&'a self, id: &'a RequestId, boarding: Boarding) -> Ride<'a> {
         boarding.asked.store(false, Ordering::SeqCst);
         let one = Aboard {
@@ -132,10 +132,10 @@
 }
 
 impl Ride<'_> {
-    /// Gives where the stream is to go on after its attempt ended early, if rescue has seen to that.
+    /// Returns where the stream continues after its attempt ended early; `None` if no move was planned.
     ///
-    /// A host may be gone while its cache is on the way to another engine; waiting for the rest of the way is worth more
-    /// than to compute everything again.
+    /// The host may be gone while its cache is still being imported elsewhere. Then this waits for the import, which
+    /// costs less than computing the whole prefix again.
     #[must_use]
     pub fn destination(&self) -> Option<Move> {
         let mut aboard = self.rescue.aboard.lock();
--- a/crates/entry/src/rpc.rs
+++ b/crates/entry/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The inner protocol's calls to an entry host.
+//! The internal RPC server of an entry host.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,14 +12,14 @@
 
 use crate::{Entry, burn, callers, drain};
 
-/// Answers other processes of the system.
+/// Handles RPCs of other processes of the system.
 #[derive(Clone, Debug)]
 pub struct Rpc {
     entry: Arc<Entry>,
 }
 
 impl Rpc {
-    /// Makes the server side of an entry host.
+    /// Creates the handler.
     #[must_use]
     pub const fn new(entry: Arc<Entry>) -> Self {
         Self { entry }
@@ -44,7 +44,7 @@
     async fn journal(&self, ask: Envelope<JournalRequest>) -> RpcResult<Envelope<Option<Journal>>> {
         let from = usize::try_from(ask.body.from).unwrap_or(usize::MAX);
         let found = self.entry.journals.find(&ask.body.request);
-        // The answer goes on at a peer, which has all of it.
+        // A peer has taken over the answer and has all of it.
         let found = found.filter(|journal| !journal.is_moved()).map(|journal| {
             let part = journal.from(from);
             Journal {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the program.
+//! Settings of `gentian-entry`, their defaults and their validation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -156,7 +156,7 @@
     "How log lines are written."
 );
 
-/// Every setting of the program, in the order of the reference page.
+/// Every setting, in the order of the reference page.
 pub static ALL: [&Setting; 18] = [
     &NODE,
     &DATA_CENTER,
@@ -184,16 +184,16 @@
     /// Nobody's; streams are replayed.
     #[display("off")]
     Off,
-    /// That of streams.
+    /// That of running streams.
     #[default]
     #[display("streams")]
     Streams,
-    /// Also that of answers that ended, for the next turn of their conversations.
+    /// Also that of ended answers, for the next turn of their conversations.
     #[display("all")]
     All,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this node.
@@ -204,41 +204,41 @@
     pub listen: SocketAddr,
     /// Address for health checks and metrics.
     pub ops: SocketAddr,
-    /// Address of the inner protocol.
+    /// Address of the internal RPC server and, for UDP, of the digest exchange.
     pub inner: SocketAddr,
-    /// Inner addresses of the state group.
+    /// RPC addresses of the state nodes; never empty.
     pub state: Vec<SocketAddr>,
-    /// Inner addresses of the other entry hosts.
+    /// RPC addresses of the other entry hosts; this host's own may be among them.
     pub peers: Vec<SocketAddr>,
-    /// How an upstream is chosen.
+    /// Routing policy.
     pub routing: Routing,
-    /// Parts that routing by cost leaves out.
+    /// Parts of cost-based routing that are switched off.
     pub without: Vec<Ablation>,
-    /// Requests that run at once.
+    /// Most concurrent requests.
     pub running: usize,
-    /// Requests that wait at most.
+    /// Most queued requests.
     pub waiting: usize,
-    /// Callers' connections at once.
+    /// Most concurrent connections of callers.
     pub connections: usize,
-    /// The host that this process runs on.
+    /// Cloud name of the host that this process runs on; by default the name of the node.
     pub host: HostId,
-    /// Which host of that name.
+    /// Counts the hosts that have had this host's name.
     pub incarnation: u64,
-    /// Time that the balancer gets to notice a planned stop.
+    /// Time for the load balancer to notice a planned stop before new requests are refused.
     pub notice: Duration,
-    /// Addresses of the cloud API.
+    /// Addresses of the cloud API; empty if notices are not read from it.
     pub cloud: Vec<SocketAddr>,
     /// Whose KV cache is moved when a host leaves.
     pub kv_export: KvExport,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log: Format,
 }
 
 impl Settings {
-    /// Reads and checks every setting; the sheet also renders them.
+    /// Reads and validates every setting; the sheet also collects their rendered values.
     ///
     /// # Errors
-    /// Returns every setting that is missing or not allowed.
+    /// Returns all settings that are missing or invalid.
     pub fn read(options: &Options, sheet: &mut Sheet) -> Result<Self, Problems> {
         let some = 1..=4_096;
         let node = sheet.read::<String>(&NODE, options.node.as_deref()).map(NodeId::from);
--- a/crates/entry/tests/admission_waits.rs
+++ b/crates/entry/tests/admission_waits.rs
@@ -1,4 +1,5 @@
-//! Threads that wait for admission: each gets one verdict, no more run than may, and a full model blocks no lookup.
+//! Threads that wait for admission: each gets one verdict, no more run than there are slots, and a full model does not
+//! block a service.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread::{scope, sleep, spawn};
@@ -64,8 +65,8 @@
     }
 }
 
-/// Hundreds of callers wait for four slots, and some give up in the very moment in which their turn comes. A slot that
-/// was granted to one who had gone would be lost, and the host would stop serving after a while with idle engines.
+/// Hundreds of threads wait for four slots, and some time out just when their turn comes. Guards against a slot that is
+/// granted to a thread that has given up: it would be lost, and the host would stop serving with idle engines.
 #[test]
 fn no_slot_lost() {
     let clock = Clock::start();
@@ -108,8 +109,8 @@
     admission.enter(&contract("a"), &work(target, clock.now() + LONG)).ok()
 }
 
-/// All engines of a model are full and a hundred callers wait for them. A gate volunteer's seat lookup goes to a service
-/// that is idle and must be let in at once.
+/// All engines of a model are full and a hundred requests wait for them. A request to an idle service must be admitted
+/// at once.
 #[test]
 fn lookup_passes() {
     let clock = Clock::start();
--- a/crates/entry/tests/at_most_once.rs
+++ b/crates/entry/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated are sent at most once, whatever becomes of them.
+//! Non-idempotent calls are sent at most once, whatever fails.
 
 mod common;
 
@@ -20,7 +20,7 @@
     (Host::with(config(upstreams), options), state)
 }
 
-/// A service that counts its calls and answers them, or breaks off after each.
+/// Starts a service that counts its calls and either answers them or breaks each connection.
 fn till(breaks: bool) -> (std::net::SocketAddr, Arc<AtomicUsize>) {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = Arc::clone(&count);
@@ -59,8 +59,8 @@
     assert_eq!(count.load(Ordering::SeqCst), 1);
 }
 
-/// The till takes the deposit and dies before it answers. Nobody here can know whether the customer was charged, so
-/// the call must not go to another till and must not be called "not run"; the resend gets the same word.
+/// A service receives a call and breaks the connection before it responds, so the outcome is unknown. The call must
+/// neither be sent to another upstream nor be reported as not run, and a retry must get the same response.
 #[test]
 fn breaks_after() {
     let (broken, count) = till(true);
@@ -81,7 +81,7 @@
     assert_eq!(count.load(Ordering::SeqCst) - 1 + others.load(Ordering::SeqCst), 8);
 }
 
-/// One till can't be reached, so that no byte of the deposit can have left; another till may take it, once.
+/// Some upstreams refuse the connection, so the call was not sent there. Another upstream may run it, once.
 #[test]
 fn unreachable_first() {
     let (good, count) = till(false);
--- a/crates/entry/tests/burn_counts.rs
+++ b/crates/entry/tests/burn_counts.rs
@@ -26,8 +26,8 @@
     assert_eq!((window.requests, window.missed), (3, 0));
 }
 
-/// A service takes every call and breaks the connection. Its callers are failed, and the operator must see on which host
-/// the budget went.
+/// A service accepts every call and breaks the connection. The miss must be attributed to the host of the service, so
+/// that an operator sees where the error budget was spent.
 #[test]
 fn fault_blamed() {
     let address = fake::serve(|_, stream| drop(stream));
@@ -41,8 +41,8 @@
     assert_eq!(place, (Some(&"host-t".into()), Some(&"zone-a".into())));
 }
 
-/// The only service is down. Once that is known nothing is tried any more, and each refusal costs the customer an answer,
-/// however honest it is.
+/// The only service is down. After the first failures nothing is sent any more, and each refusal must still count as a
+/// miss.
 #[test]
 fn refusals_burn() {
     let host = Host::start(config([service("t", "till", free_address())]));
@@ -55,7 +55,7 @@
     assert!(refused.is_some_and(|count| count.count >= 3), "{:?}", window.causes);
 }
 
-/// A request that is wrong in itself is nobody's fault but its caller's.
+/// An invalid request is the caller's own error and must not count against the error budget.
 #[test]
 fn bad_request() {
     let address = fake::serve(|_, stream| fake::reply(&stream, "200 OK", "", "7"));
--- a/crates/entry/tests/burn_handed.rs
+++ b/crates/entry/tests/burn_handed.rs
@@ -1,4 +1,4 @@
-//! Counts for the burn report outlive a planned stop.
+//! Counts for the burn report survive a planned stop.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use telemetry::clock::wall_ms;
 use wire::client::RpcRuntime;
 
-/// An operator restarts an entry host for an upgrade a few seconds after a bad spell. The misses must still be in the
-/// report, or the customer's budget would look untouched.
+/// An entry host stops before the next periodic copy of its counts. Guards against losing the misses since the last
+/// copy, which would make the customer's error budget look unused.
 #[test]
 fn stop_keeps() {
     let inner = [free_address(), free_address()];
--- a/crates/entry/tests/burn_peers.rs
+++ b/crates/entry/tests/burn_peers.rs
@@ -1,4 +1,4 @@
-//! Who remembers whose counts for the burn report.
+//! Which entry host keeps a copy of which host's counts for the burn report.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,7 +12,8 @@
         .collect()
 }
 
-/// A host that nobody remembers loses its counts at a restart, and the customer's budget looks full again.
+/// Every host must be copied by another one. Without a copy it loses its counts at a restart, and the customer's error
+/// budget looks unused again.
 #[test]
 fn all_remembered() {
     let all = addresses(7);
--- a/crates/entry/tests/clear_refusals.rs
+++ b/crates/entry/tests/clear_refusals.rs
@@ -1,4 +1,4 @@
-//! Whatever a caller sends wrongly gets a clear refusal that says that nothing was run.
+//! Invalid requests get an error response that says that nothing was run.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use entry::cli::Options;
 use serde_json::{Value, json};
 
-/// An entry in front of an engine and a service that count what reaches them.
+/// Starts an entry host in front of an engine and a service that count the requests they get.
 fn counted() -> (Host, Arc<AtomicUsize>) {
     let count = Arc::new(AtomicUsize::new(0));
     let (seen, called) = (Arc::clone(&count), Arc::clone(&count));
@@ -150,8 +150,8 @@
     assert_eq!(count.load(Ordering::SeqCst), 0);
 }
 
-/// The engines' hosts are gone and their addresses refuse connections. The caller must hear at once that nothing was
-/// run, and not wait until its own patience ends.
+/// All engines refuse connections. The caller must be told at once that nothing was run, instead of waiting for its own
+/// timeout.
 #[test]
 fn no_engine_reachable() {
     let engines = (0..3).map(|at| engine(&format!("gone-{at}"), free_address()));
@@ -163,7 +163,7 @@
     }
 }
 
-/// An engine finds a field of the request wrong. Every other engine would too, so the caller is told and the engine's
+/// An engine rejects the request itself. Every other engine would too, so the caller gets the error and the engine's
 /// breaker stays closed.
 #[test]
 fn engine_refuses() {
@@ -196,8 +196,8 @@
     assert!(ask::read_head(&mut reader).starts_with("HTTP/1.1 200"));
 }
 
-/// Callers announce a body and never send it, as phones do that lose their network. The entry runs one request at a
-/// time here; if a slow sender held that place or a reader without bound, nobody else would be served.
+/// Callers announce a body and never send it, like phones that lose their network. Only one request runs at a time
+/// here. Guards against slow senders that hold the running slot, or all threads, so that nobody else is served.
 #[test]
 fn slow_senders() {
     let address = fake::serve(|_, stream| fake::reply(&stream, "200 OK", "", "{}"));
@@ -224,8 +224,8 @@
     assert_refused(&answer, 408, "too-slow");
 }
 
-/// More callers connect than the entry has threads for. The one beyond must be told so at once; one that is accepted
-/// and left waiting would not know whether to go elsewhere.
+/// More callers connect than there are threads. The one beyond must be refused at once; if it were accepted and left
+/// waiting, it would not know that it should go elsewhere.
 #[test]
 fn too_many_connections() {
     let options = Options {
