--- a/crates/entry/tests/common/ask.rs
+++ b/crates/entry/tests/common/ask.rs
@@ -1,4 +1,4 @@
-//! Requests as a caller sends them, and answers as it sees them.
+//! A plain HTTP client: sends requests as a caller does and reads the responses.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,7 +8,7 @@
 
 use super::{KEY, MODEL, PATIENCE};
 
-/// An answer that was read to its end.
+/// A response that was read completely.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -30,14 +30,14 @@
     }
 }
 
-/// A streamed answer that is read event by event.
+/// A streamed response that is read event by event.
 pub struct Events {
     pub head: String,
     reader: BufReader<TcpStream>,
 }
 
 impl Events {
-    /// Gives the next event's data, or nothing at the end.
+    /// Returns the data of the next event, or `None` at the end of the stream.
     pub fn next(&mut self) -> Option<String> {
         loop {
             let mut line = String::new();
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Gives the next token; panics when the answer ends.
+    /// Returns the next token; panics if the stream ends before.
     pub fn token(&mut self) -> String {
         loop {
             let data = self.next().expect("a token");
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Gives all tokens that are left, and whether the end of the whole answer came.
+    /// Returns the remaining text, and whether the end marker of a complete answer came.
     pub fn rest(&mut self) -> (String, bool) {
         let mut text = String::new();
         while let Some(data) = self.next() {
@@ -86,7 +86,7 @@
     json!({"model": MODEL, "stream": stream, "max_tokens": tokens, "messages": [{"role": "user", "content": prompt}]})
 }
 
-/// Gives the whole answer that the stand-in makes to a prompt.
+/// Returns the complete answer that the simulated engine generates for a prompt.
 pub fn expected(prompt: &str, tokens: u64) -> String {
     let messages = [("user".to_owned(), prompt.to_owned())];
     let (prompt, begun) = standin::engine::continuation(&messages, false);
@@ -111,7 +111,7 @@
     read(send(entry, method, path, headers, body))
 }
 
-/// Sends a request; an `Authorization` header replaces the usual key.
+/// Sends a request; an `Authorization` header in `headers` replaces the default key.
 pub fn send(entry: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> TcpStream {
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: entry\r\nConnection: close\r\n");
     if !headers.iter().any(|(name, _)| *name == "Authorization") {
@@ -126,17 +126,17 @@
     raw(entry, &[head.as_bytes(), b"\r\n", body].concat())
 }
 
-/// Sends bytes as they are.
+/// Opens a connection and sends raw bytes.
 pub fn raw(entry: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut connection = TcpStream::connect(entry).unwrap();
     connection.set_read_timeout(Some(PATIENCE)).unwrap();
     connection.set_nodelay(true).unwrap();
-    // A caller that sends too much may be refused before it has sent everything.
+    // The server may refuse the request and close before everything is sent.
     let _ = connection.write_all(bytes);
     connection
 }
 
-/// Reads an answer to the end of the connection.
+/// Reads a response.
 pub fn read(connection: TcpStream) -> Answer {
     let mut reader = BufReader::new(connection);
     let head = read_head(&mut reader);
--- a/crates/entry/tests/common/fake.rs
+++ b/crates/entry/tests/common/fake.rs
@@ -1,4 +1,4 @@
-//! An upstream whose every byte the test decides.
+//! A fake upstream whose responses the test writes byte by byte.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,14 +6,14 @@
 
 use super::ask::read_head;
 
-/// A request as an upstream got it.
+/// A request that the upstream received.
 #[derive(Clone, Debug)]
 pub struct Got {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-/// Serves every connection with a function, each on a thread of its own.
+/// Starts an upstream that handles every request with a function, each on its own thread.
 pub fn serve(answer: impl Fn(Got, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -23,9 +23,9 @@
             let answer = Arc::clone(&answer);
             std::thread::spawn(move || {
                 match read(&stream) {
-                    // Load reports are asked for all the time and are no caller's request.
+                    // Load report polls are not callers' requests.
                     Some(got) if got.head.starts_with("GET /load ") => reply(&stream, "404 Not Found", "", ""),
-                    // Neither is the question how an earlier call ended, which these upstreams can't answer.
+                    // Neither are queries for the outcome of an earlier call, which this upstream can't answer.
                     Some(got) if got.head.starts_with("GET /outcomes/") => reply(&stream, "404 Not Found", "", ""),
                     Some(got) => answer(got, stream),
                     None => {}
@@ -56,25 +56,25 @@
     Some(Got { head, body })
 }
 
-/// Begins a stream of events.
+/// Sends the head of an event stream.
 pub fn begin(mut stream: &TcpStream) {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n";
-    // A caller that has gone away shows by what the test looks at.
+    // The test checks for closed connections itself.
     let _ = stream.write_all(head.as_bytes());
 }
 
-/// Sends one token.
+/// Sends one token; returns whether the connection was still open.
 pub fn token(mut stream: &TcpStream, token: &str) -> bool {
     let event = format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{token}\"}}}}]}}\n\n");
     stream.write_all(event.as_bytes()).is_ok()
 }
 
-/// Ends the answer.
+/// Sends the end marker.
 pub fn done(mut stream: &TcpStream) {
     let _ = stream.write_all(b"data: [DONE]\n\n");
 }
 
-/// Answers with a whole body.
+/// Sends a response with a body and some header lines.
 pub fn reply(mut stream: &TcpStream, status: &str, headers: &str, body: &str) {
     let text = format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\nConnection: close\r\n{headers}\r\n{body}",
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of the entry share: an entry in this process, stand-ins as processes of their own, plain requests.
+//! Test harness of the entry host: an entry host in this process, simulated upstreams as processes, a plain HTTP
+//! client.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 pub mod ask;
@@ -31,10 +32,10 @@
 pub const KEY: &str = "key-counter";
 pub const OTHER_KEY: &str = "key-till";
 pub const MODEL: &str = "counter-1";
-/// Longest wait for anything that must happen; only there so that a test can't hang.
+/// Timeout of every wait; it only keeps a failing test from hanging.
 pub const PATIENCE: Duration = Duration::from_mins(1);
 
-/// Ports that are given out.
+/// Ports from which free addresses are taken.
 const PORTS: std::ops::Range<u16> = 10_000..30_000;
 
 /// An entry host in this process.
@@ -100,7 +101,7 @@
     }
 }
 
-/// A stand-in in a process of its own.
+/// A simulated upstream or cloud API in its own process.
 pub struct Standin {
     child: Child,
     pub address: SocketAddr,
@@ -126,13 +127,13 @@
         Self { child, address }
     }
 
-    /// Ends the process without any warning.
+    /// Kills the process without warning.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Stops the process in the middle of whatever it does; its connections stay open.
+    /// Suspends the process; its connections stay open.
     pub fn freeze(&self) {
         signal(self.child.id(), "STOP");
     }
@@ -152,7 +153,7 @@
     assert!(status.unwrap().success());
 }
 
-/// Gives the stand-ins' program; a run of this package's tests alone has not built it.
+/// Returns the path of the simulator. It is built here, because testing this package alone does not build it.
 fn standin_binary() -> PathBuf {
     static BUILT: Once = Once::new();
     let path = PathBuf::from(env!("CARGO_BIN_EXE_gentian-entry")).with_file_name("gentian-standin");
@@ -167,10 +168,10 @@
     path
 }
 
-/// Gives an address that nobody listens on.
+/// Returns an address that nobody listens on.
 ///
-/// It lies below the ports that the operating system gives to outgoing connections: one of those could take it before
-/// the process that it is meant for, which then would not start.
+/// The port lies below the ephemeral range. An outgoing connection could otherwise take it before the process that it
+/// is meant for, which would then fail to start.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let own = (std::process::id() % 1_000) as u16 * 17;
@@ -185,7 +186,7 @@
     panic!("no port is free on the loopback address")
 }
 
-/// Makes a configuration with one customer and the given upstreams.
+/// Creates a configuration with one customer and the given upstreams.
 pub fn config(upstreams: impl IntoIterator<Item = UpstreamSpec>) -> Config {
     let contract = contract();
     Config {
--- a/crates/entry/tests/common/process.rs
+++ b/crates/entry/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! Entry hosts and state nodes as processes of their own.
+//! Entry hosts and state nodes in their own processes.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -9,14 +9,14 @@
 use super::ask::call;
 use super::{PATIENCE, free_address};
 
-/// The state program is of another package, which a test run of this one alone doesn't build.
+/// Builds the state program once, because testing this package alone does not build it.
 static BUILT: Once = Once::new();
 
-/// A process that is killed when it goes away.
+/// A process that is killed when dropped.
 pub struct Process(Child);
 
 impl Process {
-    /// Starts a group of one state node.
+    /// Starts a state group with a single node.
     pub fn state(address: SocketAddr, folder: &Path) -> Self {
         BUILT.call_once(|| {
             let mut build = Command::new(env!("CARGO"));
@@ -31,7 +31,7 @@
         Self::start("gentian-state", &arguments)
     }
 
-    /// Starts an entry host and waits until it answers health checks; gives where callers and health checks go.
+    /// Starts an entry host and waits until it is ready; returns its addresses for callers and for health checks.
     pub fn entry(name: &str, state: SocketAddr, more: &[&str]) -> (Self, SocketAddr, SocketAddr) {
         let (listen, ops) = (free_address(), free_address());
         let (state, listens, opens) = (state.to_string(), listen.to_string(), ops.to_string());
@@ -45,7 +45,7 @@
     }
 
     pub fn kill(&mut self) {
-        // It may have been killed already.
+        // The process may have been killed already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Waits until something holds; the bound only keeps a test from hanging.
+/// Waits until a condition holds, and fails after [`PATIENCE`].
 pub fn until(what: &str, done: impl Fn() -> bool) {
     let begin = Instant::now();
     while !done() {
--- a/crates/entry/tests/common/state.rs
+++ b/crates/entry/tests/common/state.rs
@@ -1,4 +1,4 @@
-//! A state group of one node that keeps everything in memory.
+//! A fake state group: one node that keeps all state in memory.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     Unavailable, Watch, Watched,
 };
 
-/// A running fake; it lives as long as the test.
+/// A running fake state node; it lives until the test process ends.
 pub struct FakeState {
     pub address: SocketAddr,
     pub claims: Arc<Claims>,
--- a/crates/entry/tests/config_feed.rs
+++ b/crates/entry/tests/config_feed.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on an entry host only moves forward, whoever it hears it from.
+//! The active configuration of an entry host only moves forward, whatever source the news comes from.
 
 mod common;
 
@@ -33,7 +33,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16))
 }
 
-/// Gives a node's state after each change.
+/// Returns the state of a node after each change.
 fn history(count: usize) -> Vec<AppliedState> {
     let mut applied = AppliedState::default();
     let mut states = vec![applied.clone()];
@@ -49,9 +49,8 @@
     states
 }
 
-/// A host hears from nodes and peers that are at different points, some far behind, in any order and repeatedly. What it
-/// has in force must be what the log produced at some point, and never an older point than before: a limit that was
-/// lowered must not come back.
+/// A host gets news from nodes and peers at different revisions, in any order and repeatedly. The active configuration
+/// must always be one that the log produced, and never an older one than before: a lowered limit must not come back.
 #[test]
 fn never_reverts() {
     let states = history(300);
@@ -61,7 +60,7 @@
         let mut newest = Revision::default();
         for (node, asked) in hops {
             let node = &states[usize::from(node) % states.len()];
-            // A question may be older than what the host has by the time the answer comes.
+            // The host may have a newer revision than it asked for by the time the news arrives.
             let asked = Revision(u64::from(asked) % (newest.0 + 1));
             current.take(node.since(asked, 0), Tick::from_millis(1));
             let view = current.view();
@@ -75,7 +74,7 @@
     QuickCheck::new().rng(random).tests(100).quickcheck(Feeds(property));
 }
 
-/// The property owns what it compares with, which a plain function could not.
+/// A property with captured state, which a plain function can't have.
 struct Feeds<F>(F);
 
 impl<F: Fn(Vec<(u16, u16)>) -> bool + 'static> quickcheck::Testable for Feeds<F> {
@@ -99,8 +98,8 @@
         .to_owned()
 }
 
-/// A host is away while 500 changes are made, more than the nodes keep one by one. On its return it has the newest. Then
-/// the state group is lost; a host that starts only now has nobody to ask but its peer, which must be enough to serve.
+/// A host is down during 500 changes, more than the nodes keep as single records; after its restart it must have the
+/// newest revision. Then the state group is lost, and a host that starts now must get the configuration from its peer.
 #[test]
 fn missed_changes() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come late or in another order than their requests reach nobody else.
+//! Responses that arrive late or out of order reach only their own caller.
 
 mod common;
 
@@ -12,12 +12,12 @@
 use parking_lot::Mutex;
 use quickcheck::{Gen, QuickCheck};
 
-/// Requests under way at the same time.
+/// Concurrent requests.
 const CALLS: usize = 8;
 
 type Held = (String, TcpStream);
 
-/// Puts numbers into an order that follows from keys.
+/// Returns a permutation of the request numbers, derived from random keys.
 fn order(keys: &[u8]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..CALLS).collect();
     order.sort_by_key(|at| keys.get(*at).copied().unwrap_or_default());
@@ -28,7 +28,7 @@
     channel()
 }
 
-/// Holds every call of a round until all are there, then answers them in the drawn order.
+/// Collects all concurrent calls, then answers them in the order derived from the keys.
 fn answer_in_order(held: &Receiver<Held>, keys: &[u8], answer: impl Fn(&str, &TcpStream)) {
     let mut calls: HashMap<usize, Held> = HashMap::new();
     while calls.len() < CALLS {
@@ -49,8 +49,8 @@
         .quickcheck(property);
 }
 
-/// Eight lookups are under way at once and the service answers them in any order. A volunteer who got the answer to
-/// somebody else's lookup would seat the wrong family.
+/// Concurrent lookups get their responses in any order. Guards against a response being matched to another caller's
+/// request.
 #[test]
 fn lookups_cross() {
     fn property(keys: Vec<u8>) -> bool {
@@ -74,7 +74,7 @@
     check(property);
 }
 
-/// Eight chats are under way and tokens come crosswise. Every caller must see its own answer only.
+/// Tokens of concurrent chats arrive interleaved. Guards against a token reaching another caller's stream.
 #[test]
 fn tokens_cross() {
     fn property(keys: Vec<u8>) -> bool {
@@ -113,8 +113,8 @@
     check(property);
 }
 
-/// A service answers a lookup only after the entry gave it up and asked another one. The late answer must not be taken
-/// for the answer to whatever the entry asks next.
+/// A service responds after the attempt timed out and another upstream was asked. Guards against the late response
+/// being taken for the response to a later request.
 #[test]
 fn late_answer() {
     let (taken, calls) = holder();
--- a/crates/entry/tests/digest_exchange.rs
+++ b/crates/entry/tests/digest_exchange.rs
@@ -1,4 +1,4 @@
-//! Entry hosts hear each other by datagrams: heartbeats, loans of limits, and what is dropped.
+//! The digest exchange of entry hosts: heartbeats, loans of limits, and dropped datagrams.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use wire::state::Watched;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest wait for something that must happen; it only keeps a broken test from hanging.
+/// Timeout of every wait; it only keeps a failing test from hanging.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// An entry host whose only peers are the test.
+/// An entry host whose only peers are simulated by the test.
 struct Host {
     entry: Arc<Entry>,
     thread: Option<JoinHandle<()>>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The test as a peer.
+/// A peer simulated by the test.
 struct Peer {
     socket: UdpSocket,
     digest: GossipDigest,
@@ -138,7 +138,7 @@
         self.socket.send_to(&self.digest.encode().unwrap(), to).unwrap();
     }
 
-    /// Sends digests until one that comes back satisfies a condition.
+    /// Sends digests until a received one satisfies a condition.
     fn until(&mut self, to: SocketAddr, good: impl Fn(&GossipDigest) -> bool) -> GossipDigest {
         let begun = Instant::now();
         let mut buffer = [0; MAX_DATAGRAM];
@@ -163,8 +163,8 @@
     }
 }
 
-/// A peer dies and its heartbeats end. If it stayed in the division of polling, the upstreams that were its part would
-/// have no load reports for ever.
+/// A peer dies and its heartbeats stop. If it kept its part of the polling, those upstreams would never have load
+/// reports again.
 #[test]
 fn silent_peer() {
     let mut peer = Peer::new();
@@ -175,8 +175,8 @@
     wait("the silent peer is dropped", || host.entry.live.load().count() == 1);
 }
 
-/// Datagrams of a stranger, of a process before the last restart and out of order change nothing. If an old one
-/// counted, a peer that was restarted would seem to lend what it no longer knows of.
+/// Datagrams from an unknown address, from before a restart and out of order must be ignored. Otherwise a restarted
+/// peer would seem to lend what it no longer accounts for.
 #[test]
 fn old_dropped() {
     let mut peer = Peer::new();
@@ -199,8 +199,8 @@
     assert_eq!(host.entry.live.load().count(), 2);
 }
 
-/// All callers of a customer come through the peer. This host has none, and lends it most of its part; a host that was
-/// just started lends nothing until all that an earlier process of its name may have lent has ended.
+/// All callers of a customer use the peer, so this host must lend it most of its part. After its start a host must lend
+/// nothing until all loans of an earlier process of its name have expired.
 #[test]
 fn idle_lends() {
     let mut peer = Peer::new();
@@ -225,13 +225,13 @@
     });
     assert!(begun.elapsed() >= Duration::from_secs(3), "lent too early");
     let lent = answer.demand[0].lent;
-    // A half of the limit is its part, of which nine tenths can be lent.
+    // Its part is half of the limit, of which nine tenths can be lent.
     assert!((4_400..=4_500).contains(&lent.requests), "{lent:?}");
     assert_eq!((lent.tokens, lent.running), (450, 4));
 }
 
-/// Hundreds of entry hosts and customers make more to tell than the network of a small host is given for control. What
-/// is sent stays below the bound, and every peer still gets its turn.
+/// With many entry hosts there is more to send than the network budget of a small host allows. The bytes sent must stay
+/// within the budget, and every peer must still get digests.
 #[test]
 fn bytes_bounded() {
     const BYTES: f64 = 2_200.0;
--- a/crates/entry/tests/doubt_ends.rs
+++ b/crates/entry/tests/doubt_ends.rs
@@ -1,4 +1,4 @@
-//! Hosts that refused a connection once come back.
+//! Hosts that refused a connection once get work again.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use common::{Host, PATIENCE, Standin, config, free_address, service};
 use entry::cli::Options;
 
-/// A service is restarted on its host. Both entry hosts got a refused connection meanwhile, and only one of them reads
-/// the service's load; the other one must hear from it that the service is back, or its callers are refused for ever.
+/// A service restarts, and both entry hosts see a refused connection meanwhile. Only one of them polls the service; the
+/// other one must learn from its digests that the service is back, or it would refuse its callers for ever.
 #[test]
 fn restart_forgiven() {
     let till = free_address();
--- a/crates/entry/tests/first_token.rs
+++ b/crates/entry/tests/first_token.rs
@@ -1,4 +1,4 @@
-//! Tokens reach the caller as they come, and a caller who leaves costs an engine nothing more.
+//! Tokens reach the caller without delay, and an engine stops working when the caller has left.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use common::{Host, PATIENCE, config, engine, fake};
 use parking_lot::Mutex;
 
-/// The engine makes its second token only after the caller has read the first. An entry that held tokens back in a
-/// buffer would never deliver the first, and a customer would stare at an empty page while the answer is being made.
+/// The engine sends its second token only after the caller got the first. Guards against buffering of tokens, which
+/// would show an empty page until the answer is complete.
 #[test]
 fn first_before_second() {
     let (seen, go_on) = channel::<()>();
@@ -30,8 +30,8 @@
     assert_eq!(events.rest(), ("two ".to_owned(), true));
 }
 
-/// A caller closes the page while the engine still reads the prompt. Nothing has been written to the caller yet, so no
-/// write can fail; unless the entry looks at the connection, the engine makes a whole answer for nobody.
+/// A caller closes its connection while the engine is still prefilling. Nothing was written to the caller yet, so no
+/// write can fail; the entry host must check the connection, or the engine would generate a whole answer for nobody.
 #[test]
 fn leaves_before_first() {
     for stream in [true, false] {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A caller closes the page in the middle of an answer; the engine's stream must end with it.
+/// A caller closes its connection in the middle of an answer. The engine's stream must end with it.
 #[test]
 fn leaves_amid_answer() {
     let (noticed, notice) = channel();
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -1,4 +1,4 @@
-//! A leaving entry host hands its open answers to a peer, and callers go on by request id.
+//! A leaving entry host hands its open answers over to a peer, and callers continue by request id.
 
 mod common;
 
@@ -45,7 +45,7 @@
     calls.wait(client.hosts(message)).unwrap();
 }
 
-/// Fetches the rest of an answer, asking again as long as it is being made.
+/// Fetches the rest of an answer, polling until it is complete.
 fn fetch_rest(host: &Host, path: &str) -> String {
     let (id, from) = path.split_once("?from=").unwrap();
     let mut from: u64 = from.parse().unwrap();
@@ -62,8 +62,8 @@
     }
 }
 
-/// The cloud takes an entry host back within seconds while consultations are being written there. The callers'
-/// connections end with the host, but not their answers: each is told where its answer goes on and finds all of it.
+/// An entry host is reclaimed with a short notice while answers are open. Callers' connections end with the host; each
+/// caller must be told where its answer continues and find all of it there.
 #[test]
 fn open_streams_move() {
     let (a, b) = (Standin::engine(&[]), Standin::engine(&[]));
@@ -112,15 +112,15 @@
         fetch_rest(&peer, whole.header("Location").unwrap()),
         expected("a plan", TOKENS)
     );
-    // The host that left still knows where the answer is, as long as it is there.
+    // As long as the leaving host runs, it finds the answer at the peer.
     assert_eq!(
         fetch_rest(&leaving, whole.header("Location").unwrap()),
         expected("a plan", TOKENS)
     );
 }
 
-/// A host comes back under its old name, and the word that the old one is gone arrives late and twice. The new one has
-/// just begun to serve and must go on.
+/// A host is replaced by a new one of the same name, and events of the old one arrive late and repeatedly. They must
+/// not stop the new one.
 #[test]
 fn late_word() {
     let options = Options {
@@ -143,7 +143,7 @@
     assert!(told() && host.entry.gone_at().is_some());
 }
 
-/// The host leaves and no peer can be reached. The answers must go on where they are instead of being dropped.
+/// No peer is reachable when the host leaves. The answers must continue here instead of being dropped.
 #[test]
 fn no_peer_left() {
     let a = Standin::engine(&[]);
@@ -164,7 +164,7 @@
     leaving.join().unwrap();
 }
 
-/// The leaving host doesn't hear the peer's answer and asks again. The request must not be run a second time.
+/// The leaving host loses the peer's reply and repeats the handover. The request must not be run a second time.
 #[test]
 fn asked_twice() {
     let a = Standin::engine(&[]);
--- a/crates/entry/tests/host_signs.rs
+++ b/crates/entry/tests/host_signs.rs
@@ -1,4 +1,4 @@
-//! Signs about hosts reach an entry host on several ways, and each way is enough.
+//! Life-cycle events of hosts reach an entry host from several sources, and each source is enough.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use wire::entry::{EntryRpcClient, HostSignal, Sign};
 use wire::state::Watched;
 
-/// Waits until no new work goes to a host.
+/// Waits until no new work is sent to a host.
 fn wait_barred(host: &Host, spec: &HostSpec) {
     while host.entry.fleet.hosts.takes_work(spec) {
         std::thread::yield_now();
@@ -26,8 +26,8 @@
     std::thread::spawn(move || hosts::watch(&entry));
 }
 
-/// Every process of capacity is cut off when a zone is reclaimed. The entry host reads the notice from the cloud API
-/// itself; otherwise it would send callers to hosts that are about to be gone.
+/// All capacity processes are unreachable when a host is reclaimed. The entry host must read the notice from the cloud
+/// API itself, or it would send requests to a host that will soon be gone.
 #[test]
 fn capacity_cut() {
     let cloud = Standin::start("cloud", &[]);
@@ -61,7 +61,7 @@
     assert_eq!(seen.text(), "[]");
 }
 
-/// The cloud API can't be reached from the entry host. Capacity tells it of the notice.
+/// The entry host can't reach the cloud API. The event from a capacity process must be enough.
 #[test]
 fn cloud_cut() {
     let a = Standin::engine(&[]);
@@ -84,8 +84,8 @@
     assert!(!host.entry.fleet.hosts.takes_work(&spec.host));
 }
 
-/// Neither a notice nor capacity nor the list tells of a host that is gone, as when another data centre is cut off. A
-/// refused connection bars it, and an answer frees it again.
+/// No source reports that a host is gone, as when its data centre is partitioned off. A refused connection must bar the
+/// host, and a later response must make it available again.
 #[test]
 fn refused_connection() {
     let mut a = Standin::engine(&[]);
@@ -100,7 +100,7 @@
     }
 }
 
-/// An operator drains a host. The drain comes with the configuration and holds on every entry host that has it.
+/// An operator drains a host. The drain comes with the configuration and must hold on every entry host that has it.
 #[test]
 fn operator_drain() {
     let a = Standin::engine(&[]);
--- a/crates/entry/tests/killed_between.rs
+++ b/crates/entry/tests/killed_between.rs
@@ -1,4 +1,4 @@
-//! An entry host dies in the middle of a deposit, which then ran at most once, and whoever resends it learns the truth.
+//! An entry host dies during a non-idempotent call: the call runs at most once, and a retry gets its true outcome.
 
 mod common;
 
@@ -16,17 +16,17 @@
 use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Propose, Proposed};
 
-/// How long a deposit may take in these tests; its claim counts as overdue after that.
+/// Target of the whole answer to a deposit; after that its claim expires.
 const WHOLE_MS: u64 = 1_500;
 
-/// A state node, a till, and a relay before the node that keeps answers back when told to.
+/// A state node, a service, and a proxy in front of the node that can withhold a response.
 struct Bench {
     node: Process,
     state: SocketAddr,
     relay: SocketAddr,
-    /// Name of the call whose answer is kept back; the relay tells when it did.
+    /// Receives a message when the proxy has withheld the response.
     kept: Receiver<()>,
-    /// Whether the till keeps its answers back, and how often it ran a deposit.
+    /// Whether the service delays its responses.
     slow: Arc<AtomicBool>,
     ran: Arc<AtomicUsize>,
     started: Receiver<()>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sends a deposit through a host that is killed at the moment that the test waits for.
+    /// Sends a deposit through an entry host and kills the host when `moment` receives a message.
     fn kill_during(&self, moment: &Receiver<()>) {
         let (mut entry, address, _) = Process::entry("entry-1", self.relay, &[]);
         let connection = send(
@@ -97,7 +97,7 @@
         drop(connection);
     }
 
-    /// Resends the deposit through another host until its end is known or it is known to be unknown.
+    /// Resends the deposit through another host until it no longer counts as running.
     fn resend(&self) -> Answer {
         let (_entry, address, _) = Process::entry("entry-2", self.state, &[]);
         let begin = Instant::now();
@@ -125,7 +125,7 @@
     )
 }
 
-/// Passes calls on to the state node; the answer to the named call is kept back for ever.
+/// Forwards RPCs to the state node; the response to the first RPC that contains `keep` is withheld.
 fn relay(state: SocketAddr, keep: &'static str, keeps: Sender<()>) -> SocketAddr {
     let kept = AtomicBool::new(false);
     serve(move |Got { body, .. }, stream| {
@@ -146,7 +146,7 @@
     })
 }
 
-/// A till that runs every deposit it gets and tells by key what became of it.
+/// Starts a service that runs every deposit and reports its outcome by key.
 fn till(slow: &Arc<AtomicBool>, ran: &Arc<AtomicUsize>, starts: Sender<()>) -> SocketAddr {
     let (slow, ran) = (Arc::clone(slow), Arc::clone(ran));
     let tiny = rouille::Server::new("127.0.0.1:0", move |request| {
@@ -170,8 +170,8 @@
     address
 }
 
-/// The host dies when the claim is written and nothing is sent yet. The resend must not send the deposit either, as
-/// nobody else can know whether the first host had; the caller is told that its end is unknown.
+/// The host dies after the claim was written and before the call was sent. Nobody can know whether it was sent, so the
+/// retry must not send it either, and the caller is told that the outcome is unknown.
 #[test]
 fn before_sending() {
     let bench = Bench::start("state_claim");
@@ -185,7 +185,8 @@
     assert_eq!(bench.ran(), 0);
 }
 
-/// The host dies while the till works. The customer was charged, once; the resend tells so, from the till's own record.
+/// The host dies while the service runs the call. The retry must get the outcome from the service's own record, and the
+/// call must have run once.
 #[test]
 fn before_answer() {
     let bench = Bench::start("");
@@ -196,8 +197,8 @@
     assert_eq!(bench.ran(), 1);
 }
 
-/// The host dies when the till has answered and the outcome is on its way to the log. It is written there, only the
-/// answer to that is lost; the resend gets the first answer.
+/// The host dies after the service responded, while the outcome is being recorded. The record is written and only the
+/// reply to it is lost; the retry must get the first response.
 #[test]
 fn before_record() {
     let bench = Bench::start("state_settle");
@@ -207,8 +208,8 @@
     assert_eq!(bench.ran(), 1);
 }
 
-/// No state node can be reached, as on the small side of a cut. Deposits are refused as not run and the caller is told
-/// when to come back, while lookups go on. Once the node is back, the same deposit runs, once.
+/// No state node is reachable, as in the minority of a partition. Non-idempotent calls must be refused as not run with
+/// a retry time, while idempotent ones still work. When the node is back, the same deposit runs once.
 #[test]
 fn cut_off() {
     let mut bench = Bench::start("");
--- a/crates/entry/tests/passed_fields.rs
+++ b/crates/entry/tests/passed_fields.rs
@@ -1,4 +1,4 @@
-//! What callers may say to engines, and what they may not.
+//! Which fields of a chat request reach the engine.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{Host, config, engine, fake};
 use serde_json::{Value, json};
 
-/// Sends a chat and gives what the engine got of it.
+/// Sends a chat request, changed by a function, and returns the body that the engine got.
 fn sent(change: impl Fn(&mut Value)) -> Value {
     let (tell, told) = channel();
     let address = fake::serve(move |got, stream| {
@@ -57,8 +57,8 @@
     assert!(got["max_tokens"].as_u64().unwrap() > 0);
 }
 
-/// A caller asks the engine for a better place in its batch. If that passed through, one customer's caller would be
-/// served before everybody else's, whatever the contracts say.
+/// A caller sets fields that the system sets itself. If they reached the engine, this caller's requests would be served
+/// before all others, whatever the contracts say.
 #[test]
 fn priority_stays() {
     let got = sent(|body| {
--- a/crates/entry/tests/planned_stop.rs
+++ b/crates/entry/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request short and takes nothing new.
+//! A planned stop finishes all open requests and takes no new ones.
 
 mod common;
 
@@ -58,9 +58,9 @@
     }
 }
 
-/// An operator restarts an entry host in the evening, with consultations open and lookups coming in. Nobody may notice:
-/// every open answer is finished, what the balancer still sends is served or refused as not run, and the program ends
-/// by itself without an error.
+/// An entry host gets SIGTERM with open streams and requests arriving. Every open answer must be finished, what the
+/// load balancer still sends must be served or refused as not run, and the process must exit by itself without an
+/// error.
 #[test]
 fn nothing_cut() {
     let a = Standin::engine(&["--decode-us", "30000"]);
@@ -82,7 +82,7 @@
     std::thread::sleep(Duration::from_millis(300));
     signal(program.child.id(), "TERM");
     wait_until(|| program.ready() == Some(503));
-    // The balancer has not noticed yet and sends on.
+    // The load balancer has not noticed yet and still sends requests.
     assert_eq!(call(entry, "GET", "/services/till/stock", &[], b"").status, 200);
     wait_until(|| call(entry, "GET", "/services/till/stock", &[], b"").status == 503);
     let refused = call(entry, "GET", "/services/till/stock", &[], b"");
--- a/crates/entry/tests/recomputed_count.rs
+++ b/crates/entry/tests/recomputed_count.rs
@@ -8,8 +8,8 @@
 use common::{Host, config, engine, fake};
 use telemetry::scrape::MetricsExporter;
 
-/// An engine dies after two tokens and the next one has none of the prompt in its cache. The customer pays for tokens
-/// that are computed again with time, so an operator must see how many there were, whose and why.
+/// An engine dies after two tokens, and the next one has almost none of the prompt in its cache. Recomputed tokens cost
+/// the customer time, so an operator must see how many there were, whose and why.
 #[test]
 fn died_engine() {
     let scrape = MetricsExporter::install().unwrap();
@@ -29,7 +29,7 @@
     let host = Host::start(config([engine("a", address)]));
     let mut events: Events = ask::stream(host.address, "count up to three", 3);
     assert_eq!(events.rest(), ("one two three ".to_owned(), true));
-    // Four words of the prompt and two tokens, one of them cached.
+    // Four prompt words and two tokens, one of them cached.
     let line = "gentian_recomputed_tokens_total{customer=\"tan-seng-huat\",cause=\"died\"} 5";
     let text = scrape.render();
     assert!(text.contains(line), "{text}");
--- a/crates/entry/tests/resume_by_id.rs
+++ b/crates/entry/tests/resume_by_id.rs
@@ -1,4 +1,5 @@
-//! An answer can be fetched by its request's id through any entry host of the data centre, by its own account only.
+//! An answer can be fetched by request id through any entry host of the data centre, but only by the account that made
+//! the request.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use entry::journal::owner;
 use parking_lot::Mutex;
 
-/// Starts entry hosts that know each other.
+/// Starts entry hosts that are peers of each other.
 fn hosts(count: usize, config: &Config) -> Vec<Host> {
     let inners: Vec<String> = (0..count).map(|_| free_address().to_string()).collect();
     let start = |at: usize| {
@@ -30,8 +31,8 @@
     call(host.address, "GET", &format!("/v1/requests/{id}{query}"), &[], b"")
 }
 
-/// A phone loses its connection to one entry host and comes back through the balancer to another one, which has never
-/// heard of the request. It must find the rest of its answer there, while it is made and afterwards.
+/// A caller loses its connection and is sent by the load balancer to an entry host that does not know the request. It
+/// must find the rest of its answer there, while the answer is being generated and afterwards.
 #[test]
 fn through_any_host() {
     let (go, gate) = channel::<()>();
@@ -65,8 +66,8 @@
     }
 }
 
-/// Names may contain slashes. Customer "a" with account "b/c" and customer "a/b" with account "c" are strangers, and
-/// neither may read the other's answers.
+/// Names may contain slashes. Customer "a" with account "b/c" and customer "a/b" with account "c" must have different
+/// owner strings, or one could read the other's answers.
 #[test]
 fn names_with_slashes() {
     let first = owner(&"a".into(), &"b/c".into());
@@ -74,7 +75,8 @@
     assert_ne!(first, second);
 }
 
-/// Another account of the same customer guesses the id. It must learn neither the answer nor that there is one.
+/// Another account of the same customer guesses a request id. It must learn neither the answer nor that the request
+/// exists.
 #[test]
 fn own_account_only() {
     let address = fake::serve(|_, stream| {
--- a/crates/entry/tests/scrape_parses.rs
+++ b/crates/entry/tests/scrape_parses.rs
@@ -1,4 +1,4 @@
-//! What a scraper reads from a running entry host.
+//! The metrics of a running entry host can be parsed and are all documented.
 
 mod common;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Reads one line of the text format: name, labels in braces, value.
+/// Parses one line of the text format: name, labels in braces, value.
 fn sample(line: &str) -> Option<(&str, f64)> {
     let end = line.find(['{', ' '])?;
     let (name, rest) = line.split_at(end);
--- a/crates/entry/tests/services_pass.rs
+++ b/crates/entry/tests/services_pass.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services pass through unchanged, and failures are answered by what is known of them.
+//! Calls to plain services are forwarded unchanged, and failures are reported with what is known of the outcome.
 
 mod common;
 
@@ -75,8 +75,8 @@
     assert_eq!(call(host.address, "GET", "/services/till?size=2", &[], b"").status, 200);
 }
 
-/// A service breaks its connections after it took the request, as a process does that dies. A stock lookup may simply
-/// be asked again elsewhere, and so may a search by POST whose class says so; the caller must not see the failure.
+/// A service breaks each connection after it received the request. Idempotent calls, by GET or by a POST whose class
+/// says so, must be retried at the other service without the caller seeing the failure.
 #[test]
 fn lookup_elsewhere() {
     let count = Arc::new(AtomicUsize::new(0));
@@ -96,8 +96,8 @@
         let answer = call(host.address, method, &format!("/services/till/{path}"), &[], b"x");
         assert_eq!((answer.status, answer.text().as_str()), (200, "7"));
     }
-    // The breaker of the broken one opens after three failures and lets single probes through, so that later calls
-    // don't lose time there.
+    // The breaker of the broken service opens after three failures and then admits single probes only, so that later
+    // calls lose no time there.
     let tried = count.load(Ordering::SeqCst);
     assert!((1..=10).contains(&tried), "{tried} of 40 calls went to the broken one");
 }
@@ -112,8 +112,8 @@
     }
 }
 
-/// Every service fails every call. Each lookup alone could be tried many times; together they would hit services that
-/// are already down with a multiple of the load. The budget lets only a few retries through.
+/// Every service fails every call. Guards against retries that multiply the load on services that are already down: the
+/// budget allows only a few.
 #[test]
 fn retries_bounded() {
     let count = Arc::new(AtomicUsize::new(0));
@@ -135,8 +135,8 @@
     assert_eq!(count.load(Ordering::SeqCst), 20 + 10);
 }
 
-/// No service can be reached, so that no byte of the call can have left. The caller must be told that it was not run,
-/// or the volunteer would not dare to ask again.
+/// No service is reachable, so the call was not sent anywhere. The caller must be told that it was not run, so that it
+/// can safely retry.
 #[test]
 fn none_reachable() {
     let host = Host::start(config([
@@ -149,8 +149,8 @@
     assert!(answer.header("Retry-After").is_some());
 }
 
-/// No majority of the state group answers, so a deposit can't be claimed. It must not be sent then, and the caller is
-/// told that it was not run; lookups go on meanwhile.
+/// The state group has no quorum, so a non-idempotent call can't be claimed. It must not be sent, and the caller must
+/// be told that it was not run; idempotent calls still work.
 #[test]
 fn unclaimed_never_sent() {
     let count = Arc::new(AtomicUsize::new(0));
@@ -180,7 +180,7 @@
     assert_eq!(count.load(Ordering::SeqCst), 0);
 }
 
-/// A service sends only half of the body that it announced. Half an answer must not pass for a whole one.
+/// A service sends only half of the announced body. It must not be passed on as a complete response.
 #[test]
 fn half_answer() {
     let address = fake::serve(|_, mut stream: TcpStream| {
--- a/crates/entry/tests/stream_rescue.rs
+++ b/crates/entry/tests/stream_rescue.rs
@@ -1,4 +1,4 @@
-//! Streams whose host is taken away with a notice: every caller gets one whole answer.
+//! Streams on a reclaimed host: every caller gets one complete answer.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use wire::entry::{HostSignal, Sign};
 use wire::state::Watched;
 
-/// An engine so slow that no long answer ends there before its host does.
+/// Options of an engine so slow that no long answer ends before its host does.
 const SLOW: [&str; 4] = ["--decode-us", "50000", "--prefill-us", "20"];
 const FAST: [&str; 4] = ["--decode-us", "1000", "--prefill-us", "20"];
 const TOKENS: u64 = 300;
@@ -24,7 +24,7 @@
     spec
 }
 
-/// Puts a new configuration into force.
+/// Applies a configuration with the next revision.
 fn configure(host: &Host, specs: &[UpstreamSpec]) {
     let mut config = config(specs.iter().cloned());
     config.revision = Revision(host.entry.current.revision().0 + 1);
@@ -36,7 +36,7 @@
     host.entry.current.take(news, host.entry.clock.now());
 }
 
-/// Announces that hosts will be taken, and lets their engines die then.
+/// Announces the reclaim of hosts and makes their engines exit at the announced time.
 fn reclaim(host: &Host, lost: &[(&str, &Standin)], left: Duration) {
     let left_ms = left.as_millis() as u64;
     for (id, standin) in lost {
@@ -60,7 +60,7 @@
     ask::call(standin.address, "POST", "/_standin/faults", &[], faults.as_bytes());
 }
 
-/// Gives what an engine saw of the requests that it ran.
+/// Returns the engine's records of the requests that it ran.
 fn seen(standin: &Standin) -> Vec<Value> {
     let answer = ask::call(standin.address, "GET", "/_standin/seen", &[], &[]);
     serde_json::from_str(&answer.text()).unwrap()
@@ -88,8 +88,8 @@
     seen["prompt_tokens"].as_u64().unwrap() - seen["cached_tokens"].as_u64().unwrap()
 }
 
-/// A host under a long consultation gets a notice. Its KV cache is copied while the answer goes on, and the second
-/// engine computes again only what came after the copy instead of the whole conversation.
+/// A host with a long answer gets a notice. Its KV cache must be copied while the answer continues, so that the second
+/// engine computes only the tokens after the copy instead of the whole prefix.
 #[test]
 fn cache_moves() {
     let (a, b) = (Standin::engine(&SLOW), Standin::engine(&FAST));
@@ -103,7 +103,7 @@
     assert!(recomputed(&seen[0]) < 200, "{seen:?}");
 }
 
-/// The same without export of KV cache: the second engine prefills everything, and the answer is still whole.
+/// Without KV cache export the second engine prefills everything, and the answer is still complete.
 #[test]
 fn export_off() {
     let (a, b) = (Standin::engine(&SLOW), Standin::engine(&FAST));
@@ -120,7 +120,8 @@
     assert!(recomputed(&seen[0]) >= 600, "{seen:?}");
 }
 
-/// A notice comes when an answer has only little left. It ends where it is; moving it would cost more than it saves.
+/// A notice comes when an answer has little left. It must end where it is, because moving it would cost more than it
+/// saves.
 #[test]
 fn short_rest() {
     let (a, b) = (Standin::engine(&FAST), Standin::engine(&FAST));
@@ -135,8 +136,8 @@
     assert!(seen(&b).is_empty());
 }
 
-/// A whole zone is taken with seconds of notice while many answers run there. Each of them goes on in the other zone,
-/// and none is cut short or gets another one's words.
+/// A whole zone is reclaimed on short notice with many open answers. Each must continue in the other zone, complete and
+/// without another answer's tokens.
 #[test]
 fn zone_reclaimed() {
     let lost = [Standin::engine(&SLOW), Standin::engine(&SLOW)];
@@ -155,7 +156,7 @@
     }
 }
 
-/// The zone that took the streams in gets a notice as well, before they ended. They move once more.
+/// The zone that the stream moved to is reclaimed as well before the answer ends. It must move again.
 #[test]
 fn second_wave() {
     let (a, b, c) = (Standin::engine(&SLOW), Standin::engine(&SLOW), Standin::engine(&FAST));
@@ -180,7 +181,7 @@
     check_whole(0, stream);
 }
 
-/// The engine that a cache is copied to breaks off in the middle of the import. The cache goes to another one.
+/// The target engine breaks off during the import. The cache must go to another engine.
 #[test]
 fn target_breaks() {
     let (a, b, c) = (Standin::engine(&SLOW), Standin::engine(&FAST), Standin::engine(&FAST));
@@ -200,8 +201,8 @@
     assert!(recomputed(&seen(&c)[0]) < 200);
 }
 
-/// The host is gone while its cache is still on the way into another engine, over a slow link there. The stream waits for
-/// the rest of the way instead of computing a whole conversation again.
+/// The source host is gone while its cache is still being imported over a slow link. The stream must wait for the
+/// import instead of computing the whole prefix again.
 #[test]
 fn source_dies() {
     let mut a = Standin::engine(&SLOW);
@@ -218,8 +219,7 @@
     assert!(recomputed(&seen(&b)[0]) < 200);
 }
 
-/// No engine is left that could take anything when the notice comes, and the first one starts only later. The answer
-/// goes on there.
+/// No other engine exists when the notice comes, and one starts only later. The answer must continue there.
 #[test]
 fn nowhere_to_go() {
     let (a, b) = (Standin::engine(&SLOW), Standin::engine(&FAST));
@@ -235,8 +235,8 @@
     check_whole(0, stream);
 }
 
-/// A customer has read an answer and thinks about the next question when the host of the conversation gets a notice. The
-/// cache moves in the time that is left, and the next turn computes only what is new.
+/// The host of an idle conversation gets a notice. The cache must be copied in the time left, so that the next turn
+/// computes only its new tokens.
 #[test]
 fn idle_conversation() {
     let (a, b) = (Standin::engine(&FAST), Standin::engine(&FAST));
--- a/crates/entry/tests/streams_survive.rs
+++ b/crates/entry/tests/streams_survive.rs
@@ -1,4 +1,4 @@
-//! Streams go on at another engine when theirs dies or freezes.
+//! Streams continue at another engine when theirs dies or stalls.
 
 mod common;
 
@@ -7,21 +7,21 @@
 
 const SLOW: [&str; 2] = ["--decode-us", "20000"];
 
-/// Starts two engines and an entry in front of them.
+/// Starts two engines and an entry host in front of them.
 fn pair() -> (Standin, Standin, Host) {
     let (a, b) = (Standin::engine(&SLOW), Standin::engine(&SLOW));
     let host = Host::start(config([engine("a", a.address), engine("b", b.address)]));
     (a, b, host)
 }
 
-/// Gives the engine that the newest attempt of a request went to.
+/// Returns the engine of a request's latest attempt.
 fn serving(host: &Host, id: &str) -> String {
     let journal = host.entry.journals.find(&id.into()).unwrap();
     journal.choices().last().unwrap().chosen.to_string()
 }
 
-/// The host of an engine is reclaimed without a word while a consultation is being written. Without a second engine
-/// taking over from the tokens that were sent already, the customer's quote would stop in the middle.
+/// An engine dies without notice in the middle of an answer. The answer must continue at the other engine from the
+/// tokens that were sent, or the caller would get half an answer.
 #[test]
 fn engine_killed() {
     let (mut a, mut b, host) = pair();
@@ -42,8 +42,8 @@
     assert_eq!(journal.text(), text);
 }
 
-/// An engine freezes with its connection open, as a host does that the cloud has suspended. No error ever comes, so
-/// without a bound on the silence between two tokens the caller would look at half an answer until it gives up.
+/// An engine stalls with its connection open, like a suspended host, so no error ever comes. Guards against waiting
+/// without bound between two tokens.
 #[test]
 fn engine_frozen() {
     let (a, b, host) = pair();
@@ -60,8 +60,8 @@
     assert!(done);
 }
 
-/// An engine is frozen before it is asked. It still accepts connections, since the operating system does that for it,
-/// and a caller who asks for the first token would wait for ever.
+/// An engine stalls before the request; its kernel still accepts connections. Guards against waiting without bound for
+/// the first token.
 #[test]
 fn frozen_before() {
     let (a, b, host) = pair();
@@ -75,8 +75,8 @@
     drop(b);
 }
 
-/// Both engines die one after the other and the first comes back under its address only later. The answer has nowhere
-/// to go on for a while; it must wait for an engine and not be given up while there is time.
+/// Both engines die, and one restarts later under its address. The answer must wait for an engine instead of being
+/// given up.
 #[test]
 fn engine_returns() {
     let (mut a, mut b, host) = pair();
@@ -92,8 +92,8 @@
     assert!(done);
 }
 
-/// Twenty streams are open on an engine that dies. All of them must be resumed; a budget for retries that treats them
-/// like retries of an overloaded engine would cut half of them off.
+/// An engine dies with many open streams. All must be resumed; a retry budget that counted them like retries against an
+/// overloaded engine would cut off half of them.
 #[test]
 fn many_resume() {
     let (mut a, _b, host) = pair();
@@ -124,8 +124,8 @@
     }
 }
 
-/// The last token came and the engine dies before it says that the answer ended. Asking another engine for zero more
-/// tokens would fail or add one; the caller already has everything.
+/// The engine dies after the last token but before the end marker. Asking another engine for zero more tokens would
+/// fail or add one; the answer is already complete.
 #[test]
 fn dies_after_last() {
     use common::fake;
