--- a/crates/entry/src/current.rs
+++ b/crates/entry/src/active_config.rs
@@ -12,18 +12,18 @@
 use slog::{info, warn};
 use wire::state::{Watch, Watched};
 
-use crate::Entry;
+use crate::EntryHost;
 
 /// Longest time for which a state node holds a watch request without news.
-const WAIT_MS: u64 = 2_000;
+const WATCH_WAIT_MS: u64 = 2_000;
 /// Age of the news from which another state node is asked.
 const STALE_MS: u64 = 2_000;
 /// Pause after a state node failed to respond.
-const PAUSE: Duration = Duration::from_millis(100);
+const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
 /// One revision of the configuration with an index of its accounts.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct ConfigView {
     /// The configuration itself.
     pub config: Config,
     accounts: HashMap<KeyHash, (CustomerId, AccountName)>,
@@ -31,12 +31,12 @@
 
 /// The newest configuration that this process has received.
 #[derive(Debug, Default)]
-pub struct Current {
-    view: ArcSwap<View>,
-    heard_ms: AtomicU64,
+pub struct ActiveConfig {
+    view: ArcSwap<ConfigView>,
+    confirmed_ms: AtomicU64,
 }
 
-impl View {
+impl ConfigView {
     /// Indexes a configuration.
     #[must_use]
     pub fn new(config: Config) -> Self {
@@ -60,10 +60,10 @@
     }
 }
 
-impl Current {
+impl ActiveConfig {
     /// Returns the active view.
     #[must_use]
-    pub fn view(&self) -> Arc<View> {
+    pub fn view(&self) -> Arc<ConfigView> {
         self.view.load_full()
     }
 
@@ -76,18 +76,18 @@
     /// Returns whether any configuration was received.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.heard_ms.load(Ordering::Relaxed) > 0
+        self.confirmed_ms.load(Ordering::Relaxed) > 0
     }
 
     /// Returns the time since the active revision was last confirmed as the newest.
     #[must_use]
     pub fn age(&self, now: Tick) -> Duration {
-        now.since(Tick::from_millis(self.heard_ms.load(Ordering::Relaxed)))
+        now.since(Tick::from_millis(self.confirmed_ms.load(Ordering::Relaxed)))
     }
 
     /// Returns the news for a peer: the active configuration if it is newer than `after`, and its age.
     #[must_use]
-    pub fn since(&self, after: Revision, now: Tick) -> Watched {
+    pub fn news_since(&self, after: Revision, now: Tick) -> Watched {
         let view = self.view();
         Watched {
             snapshot: (view.config.revision > after).then(|| view.config.clone()),
@@ -97,56 +97,56 @@
     }
 
     /// Applies news. A configuration older than the active one is ignored, so that the active one never reverts.
-    pub fn take(&self, news: Watched, now: Tick) {
-        let before = self.view();
-        let mut config = news.snapshot.unwrap_or_else(|| before.config.clone());
+    pub fn apply_news(&self, news: Watched, now: Tick) {
+        let previous = self.view();
+        let mut config = news.snapshot.unwrap_or_else(|| previous.config.clone());
         for record in &news.records {
             if record.revision == config.revision.next() {
                 config.apply(record);
             }
         }
-        if config.revision > before.config.revision {
-            self.view.store(Arc::new(View::new(config)));
+        if config.revision > previous.config.revision {
+            self.view.store(Arc::new(ConfigView::new(config)));
         }
-        let heard = now - Duration::from_millis(news.age_ms);
-        let heard_ms = u64::try_from(heard.0.as_millis()).unwrap_or(u64::MAX).max(1);
-        self.heard_ms.fetch_max(heard_ms, Ordering::Relaxed);
+        let confirmed = now - Duration::from_millis(news.age_ms);
+        let confirmed_ms = u64::try_from(confirmed.0.as_millis()).unwrap_or(u64::MAX).max(1);
+        self.confirmed_ms.fetch_max(confirmed_ms, Ordering::Relaxed);
     }
 }
 
 /// Watches the state group until the process stops; asks a peer whenever a state node fails to respond.
-pub fn follow(entry: &Entry) {
-    let (current, state, logger) = (&entry.current, &entry.state, &entry.logger);
+pub fn watch_state(entry: &EntryHost) {
+    let (active, state, logger) = (&entry.config, &entry.state_client, &entry.logger);
     let mut node = state.preferred_node();
-    let mut lost = false;
+    let mut failing = false;
     while !entry.stop.load(Ordering::Relaxed) {
-        let after = current.revision();
-        let ask = Watch {
+        let after = active.revision();
+        let request = Watch {
             after,
-            wait_ms: WAIT_MS,
+            wait_ms: WATCH_WAIT_MS,
         };
-        match state.watch(node, after, ask) {
+        match state.watch(node, after, request) {
             Ok(news) => {
                 // A partitioned node keeps answering with its last state; another node may have a newer one.
                 if news.body.age_ms > STALE_MS {
                     node += 1;
                 }
-                current.take(news.body, entry.clock.now());
-                if std::mem::take(&mut lost) {
-                    info!(logger, "state group answers again"; "revision" => current.revision().0);
+                active.apply_news(news.body, entry.clock.now());
+                if std::mem::take(&mut failing) {
+                    info!(logger, "state group answers again"; "revision" => active.revision().0);
                 }
             }
             Err(error) => {
-                if !std::mem::replace(&mut lost, true) {
-                    warn!(logger, "state node does not answer"; "error" => %error);
+                if !std::mem::replace(&mut failing, true) {
+                    warn!(logger, "state node does not respond"; "error" => %error);
                 }
                 node += 1;
                 ask_peer(entry);
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(FAILURE_PAUSE);
             }
         }
-        gauge!("gentian_config_revision").set(current.revision().0 as f64);
-        gauge!("gentian_config_age_seconds").set(current.age(entry.clock.now()).as_secs_f64());
+        gauge!("gentian_config_revision").set(active.revision().0 as f64);
+        gauge!("gentian_config_age_seconds").set(active.age(entry.clock.now()).as_secs_f64());
     }
 }
 
@@ -154,11 +154,11 @@
 /// side.
 ///
 /// Otherwise a host that starts during a partition would have no contracts and refuse every caller.
-fn ask_peer(entry: &Entry) {
-    if let Some(news) = entry.peers.config(entry.current.revision()) {
+fn ask_peer(entry: &EntryHost) {
+    if let Some(news) = entry.peers.newer_config(entry.config.revision()) {
         // News from a peer without a configuration would make this host count as ready.
-        if news.snapshot.is_some() || entry.current.is_ready() {
-            entry.current.take(news, entry.clock.now());
+        if news.snapshot.is_some() || entry.config.is_ready() {
+            entry.config.apply_news(news, entry.clock.now());
         }
     }
 }
--- a/crates/entry/src/admission/mod.rs
+++ b/crates/entry/src/admission/mod.rs
@@ -20,10 +20,10 @@
 use telemetry::Clock;
 use wire::digest::Demand;
 
-use crate::current::View;
-use crate::fleet::Size;
-use limits::Customers;
-use queues::Queues;
+use crate::active_config::ConfigView;
+use crate::upstreams::TargetSlots;
+use limits::LimitTable;
+use queues::TargetQueues;
 
 /// A rejected request: the reason and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +36,15 @@
 
 /// What admission has to know of a request.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct AdmissionRequest {
     /// The requested model or service.
     pub target: Target,
     /// Expected tokens of prompt and answer together; 1 for a service.
     pub tokens: f64,
     /// Latest start that still meets the latency target; for services, the latest end.
-    pub latest: Tick,
+    pub deadline: Tick,
     /// Shedding priority of the request's class: higher values are shed first.
-    pub shed: u8,
+    pub shed_priority: u8,
 }
 
 /// Admits requests up to the customers' limits and the capacity of the upstreams.
@@ -56,9 +56,9 @@
 
 #[derive(Debug)]
 struct Inner {
-    queues: Queues<Sender<Verdict>>,
-    customers: Customers,
-    next: u64,
+    queues: TargetQueues<Sender<Verdict>>,
+    limits: LimitTable,
+    next_ticket: u64,
 }
 
 /// What a waiting thread receives on its channel.
@@ -83,9 +83,9 @@
     #[must_use]
     pub fn new(clock: Clock, running: usize, waiting: usize) -> Self {
         let inner = Inner {
-            queues: Queues::new(running, waiting),
-            customers: Customers::default(),
-            next: 0,
+            queues: TargetQueues::new(running, waiting),
+            limits: LimitTable::default(),
+            next_ticket: 0,
         };
         Self {
             clock,
@@ -98,43 +98,48 @@
     /// # Errors
     /// Fails if the request is over the customer's limits, if it is predicted to miss its target, or if a full queue
     /// sheds it.
-    pub fn enter(&self, contract: &Contract, work: &Work) -> Result<Permit<'_>, Refusal> {
+    pub fn admit(&self, contract: &Contract, request: &AdmissionRequest) -> Result<Permit<'_>, Refusal> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let hold = inner.queues.next_place(&work.target);
+        let slot_wait = inner.queues.slot_wait(&request.target);
         inner
-            .customers
-            .take(contract, work.tokens, hold, now)
-            .map_err(limited)?;
-        let ticket = inner.ticket(contract, work);
+            .limits
+            .charge(contract, request.tokens, slot_wait, now)
+            .map_err(limit_refusal)?;
+        let ticket = inner.new_ticket(contract, request);
         let (sender, receiver) = bounded(1);
-        let offered = inner.queues.offer(&work.target, ticket.clone(), sender, now);
-        match offered {
-            Ok(Some((victim, sender, turned))) => {
-                inner.customers.give_back(&victim.customer, victim.tokens);
+        let pushed = inner.queues.push(&request.target, ticket.clone(), sender, now);
+        match pushed {
+            Ok(Some((shed, sender, rejection))) => {
+                inner.limits.refund(&shed.customer, shed.tokens);
                 // The shed request's thread may have timed out at the same moment.
-                let _ = sender.send(Verdict::Shed(turned));
+                let _ = sender.send(Verdict::Shed(rejection));
             }
             Ok(None) => {}
-            Err(turned) => {
-                inner.customers.give_back(&ticket.customer, ticket.tokens);
-                return Err(refused(turned));
+            Err(rejection) => {
+                inner.limits.refund(&ticket.customer, ticket.tokens);
+                return Err(queue_refusal(rejection));
             }
         }
-        inner.grant();
+        inner.admit_waiting();
         drop(inner);
-        self.wait(work, ticket, &receiver)
+        self.wait_for_verdict(request, ticket, &receiver)
     }
 
-    fn wait(&self, work: &Work, ticket: Ticket, receiver: &Receiver<Verdict>) -> Result<Permit<'_>, Refusal> {
-        let left = work.latest.since(self.clock.now()) + Duration::from_millis(1);
-        let verdict = receiver.recv_timeout(left).or_else(|_late| {
+    fn wait_for_verdict(
+        &self,
+        request: &AdmissionRequest,
+        ticket: Ticket,
+        receiver: &Receiver<Verdict>,
+    ) -> Result<Permit<'_>, Refusal> {
+        let timeout = request.deadline.since(self.clock.now()) + Duration::from_millis(1);
+        let verdict = receiver.recv_timeout(timeout).or_else(|_late| {
             let now = self.clock.now();
             let mut inner = self.inner.lock();
-            match inner.queues.leave(&work.target, &ticket, now) {
-                Some(turned) => {
-                    inner.customers.give_back(&ticket.customer, ticket.tokens);
-                    Ok(Verdict::Shed(turned))
+            match inner.queues.remove_late(&request.target, &ticket, now) {
+                Some(rejection) => {
+                    inner.limits.refund(&ticket.customer, ticket.tokens);
+                    Ok(Verdict::Shed(rejection))
                 }
                 // It was admitted or shed between the timeout and the lock, so its verdict is in the channel.
                 None => receiver.recv(),
@@ -143,41 +148,41 @@
         match verdict {
             Ok(Verdict::Granted) => Ok(Permit {
                 admission: self,
-                target: work.target.clone(),
+                target: request.target.clone(),
                 customer: ticket.customer,
                 tokens: ticket.tokens,
                 started: self.clock.now(),
             }),
-            Ok(Verdict::Shed(turned)) => Err(refused(turned)),
+            Ok(Verdict::Shed(rejection)) => Err(queue_refusal(rejection)),
             Err(_gone) => unreachable!("a ticket's sender is kept until it has sent a verdict"),
         }
     }
 
     /// Sets the number of slots of each model and service.
-    pub fn resize(&self, sizes: &[Size]) {
+    pub fn set_slots(&self, sizes: &[TargetSlots]) {
         let mut inner = self.inner.lock();
-        inner.queues.resize(sizes);
-        inner.grant();
-        inner.queues.show();
+        inner.queues.set_slots(sizes);
+        inner.admit_waiting();
+        inner.queues.update_gauges();
     }
 
     /// Applies the contracts of a configuration view, the number of entry hosts and the rank of this host among them.
-    pub fn refresh(&self, view: &View, hosts: u32, rank: u32) {
+    pub fn apply_config(&self, view: &ConfigView, hosts: u32, rank: u32) {
         let now = self.clock.now();
-        self.inner.lock().customers.refresh(&view.config, hosts, rank, now);
+        self.inner.lock().limits.apply_config(&view.config, hosts, rank, now);
     }
 
     /// Returns the demand rows for a peer: one for each customer that is active here or lent to the peer.
     #[must_use]
-    pub fn tell(&self, peer: u32, now: Tick) -> Vec<Demand> {
-        self.inner.lock().customers.tell(peer, now)
+    pub fn demand_for(&self, peer: u32, now: Tick) -> Vec<Demand> {
+        self.inner.lock().limits.demand_for(peer, now)
     }
 
     /// Records a peer's demand and loans; `asked` is the time at which this host sent the demand that the loans answer.
     ///
     /// Returns whether the peer lacks something that this host could lend.
-    pub fn hear(&self, peer: u32, rows: &[Demand], asked: Option<Tick>, now: Tick) -> bool {
-        self.inner.lock().customers.hear(peer, rows, asked, now)
+    pub fn record_demand(&self, peer: u32, rows: &[Demand], demand_sent: Option<Tick>, now: Tick) -> bool {
+        self.inner.lock().limits.record_demand(peer, rows, demand_sent, now)
     }
 
     /// Returns whether any request is running or waiting.
@@ -188,20 +193,20 @@
 }
 
 impl Inner {
-    fn ticket(&mut self, contract: &Contract, work: &Work) -> Ticket {
-        self.next += 1;
+    fn new_ticket(&mut self, contract: &Contract, request: &AdmissionRequest) -> Ticket {
+        self.next_ticket += 1;
         Ticket {
-            id: self.next,
+            id: self.next_ticket,
             customer: contract.customer.clone(),
             weight: contract.share,
-            tokens: work.tokens.max(1.0),
-            latest_start: work.latest,
-            shed_order: work.shed,
+            tokens: request.tokens.max(1.0),
+            latest_start: request.deadline,
+            shed_order: request.shed_priority,
         }
     }
 
-    fn grant(&mut self) {
-        while let Some(sender) = self.queues.grant() {
+    fn admit_waiting(&mut self) {
+        while let Some(sender) = self.queues.admit_next() {
             // A thread that has just timed out still receives the verdict.
             let _ = sender.send(Verdict::Granted);
         }
@@ -210,10 +215,10 @@
 
 impl Permit<'_> {
     /// Replaces the expected number of tokens by the number that was used.
-    pub fn used(&mut self, tokens: f64) {
+    pub fn record_usage(&mut self, tokens: f64) {
         let tokens = tokens.max(1.0);
         let mut inner = self.admission.inner.lock();
-        inner.customers.correct(&self.customer, self.tokens - tokens);
+        inner.limits.adjust_tokens(&self.customer, self.tokens - tokens);
         self.tokens = tokens;
     }
 }
@@ -222,13 +227,13 @@
     fn drop(&mut self) {
         let held = self.admission.clock.now().since(self.started);
         let mut inner = self.admission.inner.lock();
-        inner.queues.finished(&self.target, self.tokens, held);
-        inner.customers.ended(&self.customer);
-        inner.grant();
+        inner.queues.finish(&self.target, self.tokens, held);
+        inner.limits.release(&self.customer);
+        inner.admit_waiting();
     }
 }
 
-fn limited(retry_after: Duration) -> Refusal {
+fn limit_refusal(retry_after: Duration) -> Refusal {
     counter!("gentian_refused_total", "cause" => "limit").increment(1);
     Refusal {
         limited: true,
@@ -236,15 +241,15 @@
     }
 }
 
-fn refused(turned: Rejection) -> Refusal {
-    let cause = match turned.why {
+fn queue_refusal(rejection: Rejection) -> Refusal {
+    let cause = match rejection.why {
         RefusalReason::QueueFull => "queue",
         RefusalReason::TooLate => "late",
     };
     counter!("gentian_refused_total", "cause" => cause).increment(1);
-    gauge!("gentian_retry_after_seconds").set(turned.retry_after.as_secs_f64());
+    gauge!("gentian_retry_after_seconds").set(rejection.retry_after.as_secs_f64());
     Refusal {
         limited: false,
-        retry_after: turned.retry_after,
+        retry_after: rejection.retry_after,
     }
 }
--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -12,54 +12,54 @@
 use wire::client::RpcRuntime;
 use wire::entry::EntryRpcClient;
 
-use crate::Entry;
+use crate::EntryHost;
 
 /// Interval of the backups; the loss of a host loses at most the counts since the last one.
-const EVERY: Duration = Duration::from_secs(30);
-const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const BACKUP_INTERVAL: Duration = Duration::from_secs(30);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Returns the counts of this process and the counts that it keeps for others.
 #[must_use]
-pub fn parts(entry: &Entry) -> Vec<Part> {
-    let own = entry.burn.node_counts(&entry.settings.node, wall_ms() / 1_000);
-    std::iter::once(own).chain(entry.burn.peer_counts()).collect()
+pub fn all_counts(entry: &EntryHost) -> Vec<Part> {
+    let own = entry.burn_counts.node_counts(&entry.settings.node, wall_ms() / 1_000);
+    std::iter::once(own).chain(entry.burn_counts.peer_counts()).collect()
 }
 
 /// Fetches the counts of the next entry host periodically until the process stops.
 ///
 /// Entry hosts have no disk. Without this copy, a restart would reset the used part of the customers' error budgets,
 /// and a bad day would look like a good one to an operator.
-pub fn remember(entry: &Entry, calls: &RpcRuntime, own: SocketAddr) {
-    let Some(peer) = next(&entry.settings.peers, own) else {
+pub fn back_up_peer(entry: &EntryHost, calls: &RpcRuntime, own: SocketAddr) {
+    let Some(peer) = next_peer(&entry.settings.peers, own) else {
         return;
     };
-    let mut rest = Duration::ZERO;
+    let mut pause = Duration::ZERO;
     while !entry.stop.load(Ordering::Relaxed) {
-        if rest.is_zero() {
-            ask(entry, calls, peer);
-            rest = EVERY;
+        if pause.is_zero() {
+            fetch_counts(entry, calls, peer);
+            pause = BACKUP_INTERVAL;
         }
-        std::thread::sleep(CHECK_INTERVAL);
-        rest = rest.saturating_sub(CHECK_INTERVAL);
+        std::thread::sleep(STOP_CHECK_INTERVAL);
+        pause = pause.saturating_sub(STOP_CHECK_INTERVAL);
     }
 }
 
 /// Returns the peer that follows an address in the order of addresses, so that exactly one host keeps the counts of
 /// each.
 #[must_use]
-pub fn next(peers: &[SocketAddr], own: SocketAddr) -> Option<SocketAddr> {
+pub fn next_peer(peers: &[SocketAddr], own: SocketAddr) -> Option<SocketAddr> {
     let after = peers.iter().filter(|peer| **peer > own).min();
     let first = || peers.iter().filter(|peer| **peer != own).min();
     after.or_else(first).copied()
 }
 
 /// Sends the counts of this process to the next entry host, so that a planned stop loses nothing.
-pub fn hand_over(entry: &Entry, calls: &RpcRuntime, own: SocketAddr) {
-    let Some(peer) = next(&entry.settings.peers, own) else {
+pub fn send_counts(entry: &EntryHost, calls: &RpcRuntime, own: SocketAddr) {
+    let Some(peer) = next_peer(&entry.settings.peers, own) else {
         return;
     };
-    let part = entry.burn.node_counts(&entry.settings.node, wall_ms() / 1_000);
-    let message = Envelope::new(&entry.settings.node, entry.current.revision(), json!([part]));
+    let part = entry.burn_counts.node_counts(&entry.settings.node, wall_ms() / 1_000);
+    let message = Envelope::new(&entry.settings.node, entry.config.revision(), json!([part]));
     let client = calls.client(peer, Duration::ZERO);
     if client
         .ok()
@@ -72,18 +72,18 @@
 
 /// Stores the counts that a stopping process sent. Null means that nothing was sent; values that can't be parsed are
 /// dropped and counted in a metric.
-pub fn take(entry: &Entry, handed: Value) {
-    if handed.is_null() {
+pub fn store_counts(entry: &EntryHost, counts: Value) {
+    if counts.is_null() {
         return;
     }
-    match serde_json::from_value(handed) {
-        Ok(parts) => entry.burn.store_peer_counts(parts, wall_ms() / 1_000),
+    match serde_json::from_value(counts) {
+        Ok(parts) => entry.burn_counts.store_peer_counts(parts, wall_ms() / 1_000),
         Err(_) => counter!("gentian_burn_unread_total").increment(1),
     }
 }
 
-fn ask(entry: &Entry, calls: &RpcRuntime, peer: SocketAddr) {
-    let message = Envelope::new(&entry.settings.node, entry.current.revision(), Value::Null);
+fn fetch_counts(entry: &EntryHost, calls: &RpcRuntime, peer: SocketAddr) {
+    let message = Envelope::new(&entry.settings.node, entry.config.revision(), Value::Null);
     let client = calls.client(peer, Duration::ZERO);
     let answer = client.ok().and_then(|client| calls.wait(client.burn(message)).ok());
     let parts = answer.and_then(|answer| {
@@ -92,7 +92,7 @@
         Some(parts.into_iter().filter(|part| part.node == answer.from).collect())
     });
     match parts {
-        Some(parts) => entry.burn.store_peer_counts(parts, wall_ms() / 1_000),
+        Some(parts) => entry.burn_counts.store_peer_counts(parts, wall_ms() / 1_000),
         None => counter!("gentian_burn_unread_total").increment(1),
     }
 }
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -12,170 +12,172 @@
 use telemetry::clock::wall_ms;
 use upstream::engine::{REQUEST_ID_HEADER, Usage};
 
-use super::ask::Ask;
-use super::http::{PeerDemand, Reply};
+use super::checked_chat::CheckedChat;
+use super::http::{CallerProbe, Reply};
+use super::monitor::{RequestMonitor, WaitLimits};
 use super::problem::{self, Problem};
-use super::run::{Ended, Nowhere, Run, Search};
-use super::sse::Events;
-use super::watch::{Limits, Watch};
-use super::{Answered, Caller};
-use crate::Entry;
-use crate::admission::Work;
+use super::run::{ChatRun, DiscardTokens, EngineSearch, RunEnd};
+use super::sse::SseStream;
+use super::{CallerRequest, Response};
+use crate::EntryHost;
+use crate::admission::AdmissionRequest;
 use crate::journal;
 
-pub(super) fn answer(entry: &Entry, caller: &mut Caller<'_>) -> Answered {
-    serve(entry, caller).unwrap_or_else(Answered::from)
+pub(super) fn answer(entry: &EntryHost, caller: &mut CallerRequest<'_>) -> Response {
+    serve(entry, caller).unwrap_or_else(Response::from)
 }
 
-fn serve(entry: &Entry, caller: &mut Caller<'_>) -> Result<Answered, Problem> {
+fn serve(entry: &EntryHost, caller: &mut CallerRequest<'_>) -> Result<Response, Problem> {
     let arrived = entry.clock.now();
-    let view = entry.current.view();
+    let view = entry.config.view();
     let (contract, account) = caller
         .head
-        .bearer()
+        .bearer_key()
         .and_then(|key| view.account(key))
         .ok_or_else(Problem::unauthorized)?;
-    let ask = Ask::read(&caller.body(entry)?).map_err(Problem::bad_request)?;
-    let model = &ask.chat.model;
+    let chat = CheckedChat::parse(&caller.body(entry)?).map_err(Problem::bad_request)?;
+    let model = &chat.request.model;
     if !view.config.upstreams.values().any(|spec| spec.serves_model(model)) {
         return Err(Problem::not_found(format!("no engine serves the model {model}")));
     }
-    let class =
-        class(contract, &ask).ok_or_else(|| Problem::not_found("the contract has no class for this request"))?;
-    let meter = entry.burn.start_meter(&contract.customer, class, arrived);
-    let admitted = entry.admission.enter(contract, &work(&ask, class, arrived));
-    let mut permit = admitted.map_err(|refusal| problem::counted(refusal.into(), &meter, entry.clock.now()))?;
+    let class = request_class(contract, &chat)
+        .ok_or_else(|| Problem::not_found("the contract has no class for this request"))?;
+    let meter = entry.burn_counts.start_meter(&contract.customer, class, arrived);
+    let admitted = entry
+        .admission
+        .admit(contract, &admission_request(&chat, class, arrived));
+    let mut permit = admitted.map_err(|refusal| problem::count_problem(refusal.into(), &meter, entry.clock.now()))?;
     meter.record_admission(entry.clock.now());
-    let peer = PeerDemand::of(caller.connection).map_err(|_gone| Problem::bad_request("the connection broke"))?;
-    let id = entry.request_id();
+    let peer = CallerProbe::of(caller.connection).map_err(|_gone| Problem::bad_request("the connection broke"))?;
+    let id = entry.new_request_id();
     let owner = journal::owner(&contract.customer, account);
-    let journal = entry.journals.open(&id, owner, &ask.chat);
-    let limits = Limits::new(&class.targets, ask.prompt_tokens, arrived);
-    let watch = Watch::new(entry.clock.clone(), Some(peer), Arc::clone(&journal), limits);
-    let run = Run {
+    let journal = entry.journals.open(&id, owner, &chat.request);
+    let limits = WaitLimits::new(&class.targets, chat.prompt_tokens, arrived);
+    let watch = RequestMonitor::new(entry.clock.clone(), Some(peer), Arc::clone(&journal), limits);
+    let run = ChatRun {
         entry,
         id: &id,
         customer: contract.customer.clone(),
-        ask: &ask,
+        chat: &chat,
         journal,
-        watch: Arc::new(watch),
+        monitor: Arc::new(watch),
         meter,
     };
-    let answered = if ask.chat.stream {
-        stream(&run, caller)
+    let answered = if chat.request.stream {
+        serve_stream(&run, caller)
     } else {
-        whole(&run)
+        serve_whole(&run)
     };
     entry.journals.end(&id, entry.clock.now());
-    permit.used((ask.prompt_tokens + run.journal.len() as u64) as f64);
+    permit.record_usage((chat.prompt_tokens + run.journal.len() as u64) as f64);
     drop(permit);
-    if run.journal.from(usize::MAX).whole {
-        count(contract, class);
+    if run.journal.part_from(usize::MAX).complete {
+        count_answer(contract, class);
     }
     Ok(answered)
 }
 
 /// Returns the contract's class of a request; `None` if none matches.
-pub(super) fn class<'a>(contract: &'a Contract, ask: &Ask) -> Option<&'a Class> {
+pub(super) fn request_class<'a>(contract: &'a Contract, chat: &CheckedChat) -> Option<&'a Class> {
     contract.class_of(&contract::Request {
         service: None,
         method: "POST",
         route: "/v1/chat/completions",
-        model: Some(&ask.chat.model),
-        prompt_tokens: ask.prompt_tokens,
+        model: Some(&chat.request.model),
+        prompt_tokens: chat.prompt_tokens,
     })
 }
 
-fn count(contract: &Contract, class: &Class) {
+fn count_answer(contract: &Contract, class: &Class) {
     let customer = contract.customer.to_string();
     counter!("gentian_answers_total", "customer" => customer, "class" => class.name.to_string()).increment(1);
 }
 
-fn work(ask: &Ask, class: &Class, arrived: Tick) -> Work {
+fn admission_request(chat: &CheckedChat, class: &Class, arrived: Tick) -> AdmissionRequest {
     let target = class.targets.first_token_ms.unwrap_or(class.targets.whole_answer_ms);
-    Work {
-        target: Target::Model(ask.chat.model.clone()),
-        tokens: (ask.prompt_tokens + ask.chat.max_tokens) as f64,
-        latest: arrived + Duration::from_millis(target),
-        shed: class.shed,
+    AdmissionRequest {
+        target: Target::Model(chat.request.model.clone()),
+        tokens: (chat.prompt_tokens + chat.request.max_tokens) as f64,
+        deadline: arrived + Duration::from_millis(target),
+        shed_priority: class.shed,
     }
 }
 
-fn stream(run: &Run<'_>, caller: &Caller<'_>) -> Answered {
+fn serve_stream(run: &ChatRun<'_>, caller: &CallerRequest<'_>) -> Response {
     let stream = caller.connection.stream();
-    let mut events = Events::new(stream, &caller.head, caller.keep, run.id, &run.ask.chat.model);
-    let ended = close(run, run.drive(&mut Search::default(), &mut events));
+    let mut events = SseStream::new(stream, &caller.head, caller.keep_alive, run.id, &run.chat.request.model);
+    let ended = record_end(run, run.run_attempts(&mut EngineSearch::default(), &mut events));
     let sent = match ended {
-        Ended::CallerGone => {
+        RunEnd::CallerGone => {
             counter!("gentian_callers_gone_total").increment(1);
-            return Answered::Streamed(false);
+            return Response::Streamed(false);
         }
-        Ended::Failed(problem) if !events.is_begun() => return problem.into(),
-        Ended::Moved if !events.is_begun() => return Answered::Reply(moved(run)),
-        Ended::Failed(problem) => events.fail(&problem),
-        Ended::Moved => events.moved(&resume(run.id, run.journal.len())),
-        Ended::Whole(usage) => events.end(&usage, finish(run)),
+        RunEnd::Failed(problem) if !events.is_started() => return problem.into(),
+        RunEnd::TakenOver if !events.is_started() => return Response::Reply(moved_reply(run)),
+        RunEnd::Failed(problem) => events.fail(&problem),
+        RunEnd::TakenOver => events.end_moved(&resume_path(run.id, run.journal.len())),
+        RunEnd::Completed(usage) => events.complete(&usage, finish_reason(run)),
     };
-    Answered::Streamed(sent.is_ok())
+    Response::Streamed(sent.is_ok())
 }
 
-fn whole(run: &Run<'_>) -> Answered {
-    match close(run, run.drive(&mut Search::default(), &mut Nowhere)) {
-        Ended::Whole(usage) => Answered::Reply(completion(run, &usage)),
-        Ended::Moved => Answered::Reply(moved(run)),
-        Ended::Failed(problem) => problem.into(),
-        Ended::CallerGone => {
+fn serve_whole(run: &ChatRun<'_>) -> Response {
+    match record_end(run, run.run_attempts(&mut EngineSearch::default(), &mut DiscardTokens)) {
+        RunEnd::Completed(usage) => Response::Reply(completion(run, &usage)),
+        RunEnd::TakenOver => Response::Reply(moved_reply(run)),
+        RunEnd::Failed(problem) => problem.into(),
+        RunEnd::CallerGone => {
             counter!("gentian_callers_gone_total").increment(1);
-            Answered::Streamed(false)
+            Response::Streamed(false)
         }
     }
 }
 
 /// Records the end of the answer in the burn report and the journal. If a peer took the answer over in the last moment,
 /// it counts as moved.
-fn close(run: &Run<'_>, ended: Ended) -> Ended {
+fn record_end(run: &ChatRun<'_>, ended: RunEnd) -> RunEnd {
     let end = match &ended {
-        Ended::Whole(_) => Some(RequestEnd::Completed),
-        Ended::CallerGone => Some(RequestEnd::CallerGone),
-        Ended::Failed(problem) => problem.burns(),
+        RunEnd::Completed(_) => Some(RequestEnd::Completed),
+        RunEnd::CallerGone => Some(RequestEnd::CallerGone),
+        RunEnd::Failed(problem) => problem.counted_end(),
         // The answer ends at a peer, which does not know when the request arrived.
-        Ended::Moved => None,
+        RunEnd::TakenOver => None,
     };
     if let Some(end) = end {
         run.meter.finish(end, run.entry.clock.now());
     }
-    match run.journal.end(matches!(ended, Ended::Whole(_))) {
+    match run.journal.end(matches!(ended, RunEnd::Completed(_))) {
         Ok(()) => ended,
-        Err(_) => Ended::Moved,
+        Err(_) => RunEnd::TakenOver,
     }
 }
 
-fn finish(run: &Run<'_>) -> &'static str {
-    if run.journal.len() as u64 >= run.ask.chat.max_tokens {
+fn finish_reason(run: &ChatRun<'_>) -> &'static str {
+    if run.journal.len() as u64 >= run.chat.request.max_tokens {
         "length"
     } else {
         "stop"
     }
 }
 
-fn completion(run: &Run<'_>, usage: &Usage) -> Reply {
+fn completion(run: &ChatRun<'_>, usage: &Usage) -> Reply {
     let message = json!({"role": "assistant", "content": run.journal.text()});
-    let choice = json!({"index": 0, "finish_reason": finish(run), "message": message});
+    let choice = json!({"index": 0, "finish_reason": finish_reason(run), "message": message});
     let body = json!({"id": run.id, "object": "chat.completion", "created": wall_ms() / 1_000,
-        "model": run.ask.chat.model, "choices": [choice], "usage": usage});
-    Reply::new(200, "application/json", body.to_string().into_bytes()).with(REQUEST_ID_HEADER, run.id.as_str())
+        "model": run.chat.request.model, "choices": [choice], "usage": usage});
+    Reply::new(200, "application/json", body.to_string().into_bytes()).with_header(REQUEST_ID_HEADER, run.id.as_str())
 }
 
 /// Builds the response that tells a caller where to fetch an answer that a peer continues.
-fn moved(run: &Run<'_>) -> Reply {
-    let resume = resume(run.id, 0);
+fn moved_reply(run: &ChatRun<'_>) -> Reply {
+    let resume = resume_path(run.id, 0);
     let body = json!({"id": run.id, "moved": {"resume": resume}});
     Reply::new(202, "application/json", body.to_string().into_bytes())
-        .with(REQUEST_ID_HEADER, run.id.as_str())
-        .with("Location", resume)
-        .with("Retry-After", "1")
+        .with_header(REQUEST_ID_HEADER, run.id.as_str())
+        .with_header("Location", resume)
+        .with_header("Retry-After", "1")
 }
 
-fn resume(id: &RequestId, from: usize) -> String {
+fn resume_path(id: &RequestId, from: usize) -> String {
     format!("/v1/requests/{id}?from={from}")
 }
--- a/crates/entry/src/callers/ask.rs
+++ b/crates/entry/src/callers/checked_chat.rs
@@ -7,14 +7,14 @@
 use upstream::engine::{ChatRequest, Message};
 
 /// Most tokens that a caller may request for one answer.
-pub(crate) const MAX_TOKENS: u64 = 32_768;
+pub(crate) const MAX_ANSWER_TOKENS: u64 = 32_768;
 /// Token limit of an answer if the caller sets none.
-const DEFAULT_TOKENS: u64 = 1_024;
+const DEFAULT_ANSWER_TOKENS: u64 = 1_024;
 /// Most messages in one request.
 const MAX_MESSAGES: usize = 1_024;
 /// Fields that the system sets itself and drops from callers' bodies: they would change the order in which engines
 /// serve requests, or how an answer is resumed.
-const OURS: [&str; 5] = [
+const SYSTEM_FIELDS: [&str; 5] = [
     "priority",
     "continue_final_message",
     "add_generation_prompt",
@@ -22,7 +22,7 @@
     "kv_transfer_params",
 ];
 /// Fields that are rejected, because the answer would not be the plain text of one choice.
-const UNSUPPORTED: [&str; 8] = [
+const UNSUPPORTED_FIELDS: [&str; 8] = [
     "tools",
     "tool_choice",
     "functions",
@@ -35,22 +35,22 @@
 
 /// A validated chat completion request.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct CheckedChat {
     /// The request to send to engines.
-    pub(crate) chat: ChatRequest,
+    pub(crate) request: ChatRequest,
     /// Estimated length of the prompt, in tokens.
     pub(crate) prompt_tokens: u64,
 }
 
 /// Why a body is not a valid chat completion request.
 #[derive(Debug, Display, Error)]
-pub(crate) enum BadAsk {
+pub(crate) enum InvalidChat {
     /// The body is not a JSON object.
     #[display("the body is no chat completion request: {_0}")]
     Json(serde_json::Error),
     /// A field has the wrong type.
     #[display("{field}: {source}")]
-    Type {
+    FieldType {
         /// Name of the field.
         field: &'static str,
         /// Why its value could not be deserialized.
@@ -58,7 +58,7 @@
     },
     /// A field has a value that is not allowed.
     #[display("{field}: {value} is not allowed, expected {allowed}")]
-    Field {
+    FieldValue {
         /// Name of the field.
         field: &'static str,
         /// The value, as text.
@@ -69,14 +69,14 @@
 }
 
 #[derive(Deserialize)]
-struct Said {
+struct RawMessage {
     role: String,
-    content: Content,
+    content: RawContent,
 }
 
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Content {
+enum RawContent {
     Text(String),
     Parts(Vec<TextPart>),
 }
@@ -86,96 +86,109 @@
     text: String,
 }
 
-impl Ask {
+impl CheckedChat {
     /// Parses and validates a caller's body.
     ///
     /// # Errors
     /// Returns the first field that is missing, has the wrong type or is out of range.
-    pub(crate) fn read(bytes: &[u8]) -> Result<Self, BadAsk> {
-        let mut body: Map<String, Value> = serde_json::from_slice(bytes).map_err(BadAsk::Json)?;
-        let model: String = take(&mut body, "model")?.unwrap_or_default();
-        check(!model.is_empty(), "model", &"nothing", "the name of a model")?;
-        let messages: Vec<Said> = take(&mut body, "messages")?.unwrap_or_default();
+    pub(crate) fn parse(bytes: &[u8]) -> Result<Self, InvalidChat> {
+        let mut body: Map<String, Value> = serde_json::from_slice(bytes).map_err(InvalidChat::Json)?;
+        let model: String = take_field(&mut body, "model")?.unwrap_or_default();
+        require(!model.is_empty(), "model", &"nothing", "the name of a model")?;
+        let messages: Vec<RawMessage> = take_field(&mut body, "messages")?.unwrap_or_default();
         let count = messages.len();
-        check(
+        require(
             (1..=MAX_MESSAGES).contains(&count),
             "messages",
             &count,
             format!("1 to {MAX_MESSAGES} messages"),
         )?;
-        let n: u64 = take(&mut body, "n")?.unwrap_or(1);
-        check(n == 1, "n", &n, "1 choice")?;
-        let newer: Option<u64> = take(&mut body, "max_completion_tokens")?;
-        let max_tokens = take(&mut body, "max_tokens")?.or(newer).unwrap_or(DEFAULT_TOKENS);
-        check(
-            (1..=MAX_TOKENS).contains(&max_tokens),
+        let choices: u64 = take_field(&mut body, "n")?.unwrap_or(1);
+        require(choices == 1, "n", &choices, "1 choice")?;
+        let newer: Option<u64> = take_field(&mut body, "max_completion_tokens")?;
+        let max_tokens = take_field(&mut body, "max_tokens")?
+            .or(newer)
+            .unwrap_or(DEFAULT_ANSWER_TOKENS);
+        require(
+            (1..=MAX_ANSWER_TOKENS).contains(&max_tokens),
             "max_tokens",
             &max_tokens,
-            format!("1 to {MAX_TOKENS}"),
+            format!("1 to {MAX_ANSWER_TOKENS}"),
         )?;
-        let messages = messages.into_iter().map(message).collect::<Result<Vec<_>, _>>()?;
+        let messages = messages
+            .into_iter()
+            .map(checked_message)
+            .collect::<Result<Vec<_>, _>>()?;
         let words = |message: &Message| message.content.split_whitespace().count() as u64;
         let prompt_tokens = messages.iter().map(words).sum();
-        check(
+        require(
             messages.iter().any(|message| !message.content.is_empty()),
             "messages",
             &"no content",
             "a message that says something",
         )?;
-        let chat = ChatRequest {
+        let request = ChatRequest {
             model,
             messages,
             max_tokens,
-            stream: take(&mut body, "stream")?.unwrap_or_default(),
+            stream: take_field(&mut body, "stream")?.unwrap_or_default(),
             add_generation_prompt: true,
-            other: passed_on(body)?,
+            other: forwarded_fields(body)?,
             ..ChatRequest::default()
         };
-        Ok(Self { chat, prompt_tokens })
+        Ok(Self { request, prompt_tokens })
     }
 }
 
 /// Removes a field from the body and deserializes it; `null` counts as absent.
-fn take<T: DeserializeOwned>(body: &mut Map<String, Value>, field: &'static str) -> Result<Option<T>, BadAsk> {
+fn take_field<T: DeserializeOwned>(
+    body: &mut Map<String, Value>,
+    field: &'static str,
+) -> Result<Option<T>, InvalidChat> {
     let value = body.remove(field).unwrap_or(Value::Null);
-    serde_json::from_value(value).map_err(|source| BadAsk::Type { field, source })
+    serde_json::from_value(value).map_err(|source| InvalidChat::FieldType { field, source })
 }
 
-fn message(said: Said) -> Result<Message, BadAsk> {
-    check(
-        matches!(said.role.as_str(), "system" | "developer" | "user" | "assistant"),
+fn checked_message(message: RawMessage) -> Result<Message, InvalidChat> {
+    require(
+        matches!(message.role.as_str(), "system" | "developer" | "user" | "assistant"),
         "messages.role",
-        &said.role,
+        &message.role,
         "system, developer, user or assistant",
     )?;
-    let content = match said.content {
-        Content::Text(text) => text,
-        Content::Parts(parts) => parts.into_iter().map(|part| part.text).collect(),
+    let content = match message.content {
+        RawContent::Text(text) => text,
+        RawContent::Parts(parts) => parts.into_iter().map(|part| part.text).collect(),
     };
     Ok(Message {
-        role: said.role,
+        role: message.role,
         content,
     })
 }
 
-fn passed_on(mut other: Map<String, Value>) -> Result<Map<String, Value>, BadAsk> {
-    for field in OURS {
+fn forwarded_fields(mut other: Map<String, Value>) -> Result<Map<String, Value>, InvalidChat> {
+    for field in SYSTEM_FIELDS {
         other.remove(field);
     }
-    for field in UNSUPPORTED {
+    for field in UNSUPPORTED_FIELDS {
         let given = other
             .get(field)
             .is_some_and(|value| !matches!(value, Value::Null | Value::Bool(false)));
-        check(!given, field, &"a value", "the field to be left out")?;
+        require(!given, field, &"a value", "the field to be left out")?;
     }
     Ok(other)
 }
 
-fn check(good: bool, field: &'static str, value: &dyn std::fmt::Display, allowed: impl ToString) -> Result<(), BadAsk> {
-    if good {
+fn require(
+    valid: bool,
+    field: &'static str,
+    value: &dyn std::fmt::Display,
+    allowed: impl ToString,
+) -> Result<(), InvalidChat> {
+    if valid {
         return Ok(());
     }
-    Err(BadAsk::Field {
+    Err(InvalidChat::FieldValue {
         field,
         value: value.to_string(),
         allowed: allowed.to_string(),
--- a/crates/entry/src/callers/http/connection.rs
+++ b/crates/entry/src/callers/http/connection.rs
@@ -7,16 +7,19 @@
 use chunked_transfer::Decoder;
 use derive_more::{Display, Error, From};
 
-use super::{BODY_TIME, BadHead, HEAD_TIME, Head, IDLE_TIME, Length, MAX_BODY, MAX_HEAD, SEND_TIME};
+use super::{
+    BODY_TIMEOUT, BodyLength, HEAD_TIMEOUT, Head, IDLE_TIMEOUT, InvalidHead, MAX_BODY_BYTES, MAX_HEAD_BYTES,
+    SEND_TIMEOUT,
+};
 
 /// Longest time that one read blocks.
-const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+const READ_TIMEOUT: Duration = Duration::from_millis(250);
 /// Buffer size of one read, in bytes.
-const PIECE: usize = 8 * 1024;
+const READ_BYTES: usize = 8 * 1024;
 /// Most bytes of a refused body that are read and discarded before the connection is closed.
-const LINGER_BYTES: usize = 256 * 1024;
+const MAX_DISCARD_BYTES: usize = 256 * 1024;
 /// Longest time for which a refused body is read and discarded.
-const LINGER_TIME: Duration = Duration::from_millis(500);
+const MAX_DISCARD_TIME: Duration = Duration::from_millis(500);
 
 /// A connection with a buffer of bytes that were read and not used yet.
 #[derive(Debug)]
@@ -27,22 +30,22 @@
 
 /// Why no complete request was received.
 #[derive(Debug, Display, Error, From)]
-pub(in crate::callers) enum Broken {
+pub(in crate::callers) enum ReadError {
     /// The caller closed the connection or was idle for too long.
     #[display("the connection ended")]
-    Ended,
+    Closed,
     /// The request did not arrive within the time limit.
     #[display("the request did not arrive within {} s", _0.as_secs())]
     #[from(skip)]
-    Slow(#[error(not(source))] Duration),
+    TimedOut(#[error(not(source))] Duration),
     /// The head is longer than [`MAX_HEAD_BYTES`].
-    #[display("the head is longer than {MAX_HEAD} bytes")]
+    #[display("the head is longer than {MAX_HEAD_BYTES} bytes")]
     LongHead,
     /// The body is longer than [`MAX_BODY_BYTES`].
-    #[display("the body is longer than {MAX_BODY} bytes")]
+    #[display("the body is longer than {MAX_BODY_BYTES} bytes")]
     LongBody,
     /// The head is not a valid HTTP request.
-    Head(BadHead),
+    Head(InvalidHead),
     /// The body ends early or its chunked encoding is invalid.
     #[display("the body can't be read: {_0}")]
     Body(io::Error),
@@ -55,8 +58,8 @@
     /// Fails if a socket option can't be set.
     pub(in crate::callers) fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(CHECK_INTERVAL))?;
-        stream.set_write_timeout(Some(SEND_TIME))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
+        stream.set_write_timeout(Some(SEND_TIMEOUT))?;
         Ok(Self {
             stream,
             buffer: Vec::new(),
@@ -67,27 +70,27 @@
     ///
     /// # Errors
     /// Fails if the caller closes the connection, sends too slowly or sends an invalid head.
-    pub(in crate::callers) fn head(&mut self) -> Result<Head, Broken> {
+    pub(in crate::callers) fn read_head(&mut self) -> Result<Head, ReadError> {
         if self.buffer.is_empty() {
-            self.first_bytes()?;
+            self.wait_for_request()?;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some((head, length)) = Head::parse(&self.buffer)? {
                 self.buffer.drain(..length);
                 return Ok(head);
             }
-            if self.buffer.len() >= MAX_HEAD {
-                return Err(Broken::LongHead);
+            if self.buffer.len() >= MAX_HEAD_BYTES {
+                return Err(ReadError::LongHead);
             }
-            if begun.elapsed() > HEAD_TIME {
-                return Err(Broken::Slow(HEAD_TIME));
+            if started.elapsed() > HEAD_TIMEOUT {
+                return Err(ReadError::TimedOut(HEAD_TIMEOUT));
             }
-            match read_more(&self.stream, &mut self.buffer) {
-                Ok(0) => return Err(Broken::Ended),
+            match read_available(&self.stream, &mut self.buffer) {
+                Ok(0) => return Err(ReadError::Closed),
                 Ok(_) => {}
-                Err(error) if is_pause(&error) => {}
-                Err(_) => return Err(Broken::Ended),
+                Err(error) if is_no_data(&error) => {}
+                Err(_) => return Err(ReadError::Closed),
             }
         }
     }
@@ -96,15 +99,15 @@
     ///
     /// Most connections are idle, so their threads block for the whole idle time; waking each of them several times a
     /// second would cost more than the requests.
-    fn first_bytes(&mut self) -> Result<(), Broken> {
+    fn wait_for_request(&mut self) -> Result<(), ReadError> {
         let read = self
             .stream
-            .set_read_timeout(Some(IDLE_TIME))
-            .and_then(|()| read_more(&self.stream, &mut self.buffer))
-            .and_then(|count| self.stream.set_read_timeout(Some(CHECK_INTERVAL)).map(|()| count));
+            .set_read_timeout(Some(IDLE_TIMEOUT))
+            .and_then(|()| read_available(&self.stream, &mut self.buffer))
+            .and_then(|count| self.stream.set_read_timeout(Some(READ_TIMEOUT)).map(|()| count));
         match read {
             Ok(count) if count > 0 => Ok(()),
-            _ => Err(Broken::Ended),
+            _ => Err(ReadError::Closed),
         }
     }
 
@@ -112,33 +115,35 @@
     ///
     /// # Errors
     /// Fails if the body is too long, arrives too slowly or ends early.
-    pub(in crate::callers) fn body(&mut self, head: &Head) -> Result<Vec<u8>, Broken> {
-        if matches!(head.length, Length::Bytes(length) if length > MAX_BODY) {
-            return Err(Broken::LongBody);
+    pub(in crate::callers) fn read_body(&mut self, head: &Head) -> Result<Vec<u8>, ReadError> {
+        if matches!(head.body_length, BodyLength::Bytes(length) if length > MAX_BODY_BYTES) {
+            return Err(ReadError::LongBody);
         }
         if head.expects_continue() {
             (&self.stream)
                 .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
-                .map_err(|_gone| Broken::Ended)?;
+                .map_err(|_gone| ReadError::Closed)?;
         }
-        let mut source = Source {
+        let mut source = BodyReader {
             stream: &self.stream,
             buffer: &mut self.buffer,
-            until: Instant::now() + BODY_TIME,
+            deadline: Instant::now() + BODY_TIMEOUT,
         };
         let mut body = Vec::new();
-        let read = match head.length {
-            Length::Bytes(length) => (&mut source).take(length).read_to_end(&mut body),
-            Length::Chunked => Decoder::new(&mut source).take(MAX_BODY + 1).read_to_end(&mut body),
+        let read = match head.body_length {
+            BodyLength::Bytes(length) => (&mut source).take(length).read_to_end(&mut body),
+            BodyLength::Chunked => Decoder::new(&mut source)
+                .take(MAX_BODY_BYTES + 1)
+                .read_to_end(&mut body),
         };
         match read {
-            Err(error) if error.kind() == ErrorKind::TimedOut => return Err(Broken::Slow(BODY_TIME)),
-            Err(error) => return Err(Broken::Body(error)),
-            Ok(_) if body.len() as u64 > MAX_BODY => return Err(Broken::LongBody),
+            Err(error) if error.kind() == ErrorKind::TimedOut => return Err(ReadError::TimedOut(BODY_TIMEOUT)),
+            Err(error) => return Err(ReadError::Body(error)),
+            Ok(_) if body.len() as u64 > MAX_BODY_BYTES => return Err(ReadError::LongBody),
             Ok(_) => {}
         }
-        match head.length {
-            Length::Bytes(length) if (body.len() as u64) < length => Err(Broken::Ended),
+        match head.body_length {
+            BodyLength::Bytes(length) if (body.len() as u64) < length => Err(ReadError::Closed),
             _ => Ok(body),
         }
     }
@@ -151,19 +156,19 @@
     /// Closes a connection on which part of a body was not read.
     ///
     /// Closing it with unread data would reset the connection, and the caller could lose the response.
-    pub(in crate::callers) fn linger(self) {
+    pub(in crate::callers) fn discard_and_close(self) {
         if self.stream.shutdown(std::net::Shutdown::Write).is_err() {
             return;
         }
-        let until = Instant::now() + LINGER_TIME;
+        let until = Instant::now() + MAX_DISCARD_TIME;
         let mut taken = 0;
         let mut buffer = Vec::new();
-        while taken < LINGER_BYTES && Instant::now() < until {
+        while taken < MAX_DISCARD_BYTES && Instant::now() < until {
             buffer.clear();
-            match read_more(&self.stream, &mut buffer) {
+            match read_available(&self.stream, &mut buffer) {
                 Ok(0) => return,
                 Ok(count) => taken += count,
-                Err(error) if is_pause(&error) => {}
+                Err(error) if is_no_data(&error) => {}
                 Err(_) => return,
             }
         }
@@ -172,9 +177,9 @@
 
 /// A second handle of a connection that detects whether the caller has closed it.
 #[derive(Debug)]
-pub(in crate::callers) struct PeerDemand(TcpStream);
+pub(in crate::callers) struct CallerProbe(TcpStream);
 
-impl PeerDemand {
+impl CallerProbe {
     /// Creates the handle for a connection.
     ///
     /// # Errors
@@ -189,32 +194,32 @@
         if self.0.set_nonblocking(true).is_err() {
             return true;
         }
-        let seen = self.0.peek(&mut [0]);
+        let peeked = self.0.peek(&mut [0]);
         let restored = self.0.set_nonblocking(false);
-        match seen {
+        match peeked {
             Ok(count) => count == 0 || restored.is_err(),
-            Err(error) => !is_pause(&error) || restored.is_err(),
+            Err(error) => !is_no_data(&error) || restored.is_err(),
         }
     }
 }
 
 /// Reads the rest of a request, first from the buffer, until a deadline.
-struct Source<'a> {
+struct BodyReader<'a> {
     stream: &'a TcpStream,
     buffer: &'a mut Vec<u8>,
-    until: Instant,
+    deadline: Instant,
 }
 
-impl Read for Source<'_> {
+impl Read for BodyReader<'_> {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         while self.buffer.is_empty() {
-            if Instant::now() >= self.until {
+            if Instant::now() >= self.deadline {
                 return Err(ErrorKind::TimedOut.into());
             }
-            match read_more(self.stream, self.buffer) {
+            match read_available(self.stream, self.buffer) {
                 Ok(0) => return Ok(0),
                 Ok(_) => {}
-                Err(error) if is_pause(&error) => {}
+                Err(error) if is_no_data(&error) => {}
                 Err(error) => return Err(error),
             }
         }
@@ -225,14 +230,14 @@
     }
 }
 
-fn read_more(mut stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
-    let mut piece = [0; PIECE];
+fn read_available(mut stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
+    let mut piece = [0; READ_BYTES];
     let count = stream.read(&mut piece)?;
     buffer.extend_from_slice(&piece[..count]);
     Ok(count)
 }
 
-fn is_pause(error: &io::Error) -> bool {
+fn is_no_data(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
--- a/crates/entry/src/callers/http/head.rs
+++ b/crates/entry/src/callers/http/head.rs
@@ -14,16 +14,16 @@
     /// Header names and values in the order sent.
     pub(in crate::callers) headers: Vec<(String, String)>,
     /// Length of the body.
-    pub(in crate::callers) length: Length,
+    pub(in crate::callers) body_length: BodyLength,
     /// Whether the caller supports chunked responses (HTTP/1.1).
-    pub(in crate::callers) chunks: bool,
+    pub(in crate::callers) accepts_chunks: bool,
     /// Whether the connection stays open for another request.
-    pub(in crate::callers) keep: bool,
+    pub(in crate::callers) keep_alive: bool,
 }
 
 /// How the length of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::callers) enum Length {
+pub(in crate::callers) enum BodyLength {
     /// By a number of bytes; zero without a body.
     Bytes(u64),
     /// By the chunked transfer encoding.
@@ -32,10 +32,10 @@
 
 /// Why a head is not a valid HTTP request.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub(in crate::callers) enum BadHead {
+pub(in crate::callers) enum InvalidHead {
     /// It has more than [`MAX_HEADERS`] headers.
     #[display("more than {MAX_HEADERS} headers")]
-    TooMany,
+    TooManyHeaders,
     /// It does not parse as HTTP/1.x.
     #[display("not an HTTP/1.1 request")]
     Syntax,
@@ -52,29 +52,29 @@
     ///
     /// # Errors
     /// Fails if the bytes can't be the beginning of a valid request.
-    pub(in crate::callers) fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, BadHead> {
+    pub(in crate::callers) fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, InvalidHead> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         let length = match parsed.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(httparse::Error::TooManyHeaders) => return Err(BadHead::TooMany),
-            Err(_) => return Err(BadHead::Syntax),
+            Err(httparse::Error::TooManyHeaders) => return Err(InvalidHead::TooManyHeaders),
+            Err(_) => return Err(InvalidHead::Syntax),
         };
         let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version) else {
-            return Err(BadHead::Syntax);
+            return Err(InvalidHead::Syntax);
         };
         let text = |header: &httparse::Header<'_>| {
-            let value = std::str::from_utf8(header.value).map_err(|_cause| BadHead::Text)?;
+            let value = std::str::from_utf8(header.value).map_err(|_cause| InvalidHead::Text)?;
             Ok((header.name.to_owned(), value.to_owned()))
         };
         let headers = parsed.headers.iter().map(text).collect::<Result<Vec<_>, _>>()?;
         let head = Self {
             method: method.to_owned(),
             target: target.to_owned(),
-            length: body_length(&headers)?,
-            chunks: version == 1,
-            keep: keeps(version, &headers),
+            body_length: parse_body_length(&headers)?,
+            accepts_chunks: version == 1,
+            keep_alive: keeps_alive(version, &headers),
             headers,
         };
         Ok(Some((head, length)))
@@ -82,7 +82,7 @@
 
     /// Returns the first value of a header; the name is case-insensitive.
     pub(in crate::callers) fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
     /// Returns the path without the query.
@@ -96,7 +96,7 @@
     }
 
     /// Returns the bearer key of the `Authorization` header.
-    pub(in crate::callers) fn bearer(&self) -> Option<&str> {
+    pub(in crate::callers) fn bearer_key(&self) -> Option<&str> {
         let (scheme, key) = self.header("Authorization")?.split_once(' ')?;
         scheme.eq_ignore_ascii_case("Bearer").then_some(key.trim())
     }
@@ -108,7 +108,7 @@
     }
 }
 
-fn find<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
     found.map(|(_, value)| value.as_str())
 }
@@ -117,26 +117,29 @@
 ///
 /// If a head gives two lengths, a proxy and this server may disagree where the body ends, and a caller could smuggle a
 /// request into another caller's connection. So anything but a single valid length is rejected.
-fn body_length(headers: &[(String, String)]) -> Result<Length, BadHead> {
-    let all = |name: &'static str| {
+fn parse_body_length(headers: &[(String, String)]) -> Result<BodyLength, InvalidHead> {
+    let values = |name: &'static str| {
         headers
             .iter()
             .filter(move |(known, _)| known.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.trim())
     };
-    let lengths: Vec<&str> = all("Content-Length").collect();
-    let codings: Vec<&str> = all("Transfer-Encoding").collect();
+    let lengths: Vec<&str> = values("Content-Length").collect();
+    let codings: Vec<&str> = values("Transfer-Encoding").collect();
     match (lengths.as_slice(), codings.as_slice()) {
-        ([], []) => Ok(Length::Bytes(0)),
-        ([length], []) if length.bytes().all(|byte| byte.is_ascii_digit()) => {
-            length.parse().map(Length::Bytes).map_err(|_cause| BadHead::Length)
-        }
-        ([], [coding]) if coding.eq_ignore_ascii_case("chunked") => Ok(Length::Chunked),
-        _ => Err(BadHead::Length),
+        ([], []) => Ok(BodyLength::Bytes(0)),
+        ([length], []) if length.bytes().all(|byte| byte.is_ascii_digit()) => length
+            .parse()
+            .map(BodyLength::Bytes)
+            .map_err(|_cause| InvalidHead::Length),
+        ([], [coding]) if coding.eq_ignore_ascii_case("chunked") => Ok(BodyLength::Chunked),
+        _ => Err(InvalidHead::Length),
     }
 }
 
-fn keeps(version: u8, headers: &[(String, String)]) -> bool {
-    let connection = find(headers, "Connection").unwrap_or_default().to_ascii_lowercase();
+fn keeps_alive(version: u8, headers: &[(String, String)]) -> bool {
+    let connection = find_header(headers, "Connection")
+        .unwrap_or_default()
+        .to_ascii_lowercase();
     version == 1 && !connection.contains("close")
 }
--- a/crates/entry/src/callers/http/reply.rs
+++ b/crates/entry/src/callers/http/reply.rs
@@ -17,10 +17,10 @@
 
 /// A response whose body is sent in pieces.
 #[derive(Debug)]
-pub(in crate::callers) struct Chunks<'a> {
+pub(in crate::callers) struct ChunkedReply<'a> {
     stream: &'a TcpStream,
-    framed: bool,
-    frame: Vec<u8>,
+    is_chunked: bool,
+    chunk_buffer: Vec<u8>,
 }
 
 impl Reply {
@@ -31,11 +31,15 @@
             headers: Vec::new(),
             body,
         };
-        reply.with("Content-Type", media)
+        reply.with_header("Content-Type", media)
     }
 
     /// Adds a header; a value with control characters is left out, because it could break the framing.
-    pub(in crate::callers) fn with(mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) -> Self {
+    pub(in crate::callers) fn with_header(
+        mut self,
+        name: impl Into<Cow<'static, str>>,
+        value: impl Into<String>,
+    ) -> Self {
         let value = value.into();
         if !value.bytes().any(|byte| byte.is_ascii_control()) {
             self.headers.push((name.into(), value));
@@ -48,7 +52,7 @@
     /// # Errors
     /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn send(&self, mut stream: &TcpStream, head: Option<&Head>, keep: bool) -> io::Result<()> {
-        let mut bytes = start(self.status, &self.headers, keep);
+        let mut bytes = head_bytes(self.status, &self.headers, keep);
         let empty = matches!(self.status, 100..200 | 204 | 304);
         if !empty {
             write!(bytes, "Content-Length: {}\r\n", self.body.len())?;
@@ -61,7 +65,7 @@
     }
 }
 
-impl<'a> Chunks<'a> {
+impl<'a> ChunkedReply<'a> {
     /// Sends the head; the pieces of the body follow.
     ///
     /// # Errors
@@ -72,8 +76,8 @@
         headers: &[(Cow<'static, str>, String)],
         keep: bool,
     ) -> io::Result<Self> {
-        let mut bytes = start(200, headers, keep && head.chunks);
-        let framing: &[u8] = if head.chunks {
+        let mut bytes = head_bytes(200, headers, keep && head.accepts_chunks);
+        let framing: &[u8] = if head.accepts_chunks {
             b"Transfer-Encoding: chunked\r\n\r\n"
         } else {
             b"\r\n"
@@ -82,8 +86,8 @@
         stream.write_all(&bytes)?;
         Ok(Self {
             stream,
-            framed: head.chunks,
-            frame: Vec::new(),
+            is_chunked: head.accepts_chunks,
+            chunk_buffer: Vec::new(),
         })
     }
 
@@ -91,15 +95,15 @@
     ///
     /// # Errors
     /// Fails if the connection is closed or the write times out.
-    pub(in crate::callers) fn piece(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if !self.framed {
+    pub(in crate::callers) fn send_piece(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if !self.is_chunked {
             return self.stream.write_all(bytes);
         }
-        self.frame.clear();
-        write!(self.frame, "{:x}\r\n", bytes.len())?;
-        self.frame.extend_from_slice(bytes);
-        self.frame.extend_from_slice(b"\r\n");
-        self.stream.write_all(&self.frame)
+        self.chunk_buffer.clear();
+        write!(self.chunk_buffer, "{:x}\r\n", bytes.len())?;
+        self.chunk_buffer.extend_from_slice(bytes);
+        self.chunk_buffer.extend_from_slice(b"\r\n");
+        self.stream.write_all(&self.chunk_buffer)
     }
 
     /// Ends the body.
@@ -107,7 +111,7 @@
     /// # Errors
     /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn end(mut self) -> io::Result<()> {
-        if self.framed {
+        if self.is_chunked {
             self.stream.write_all(b"0\r\n\r\n")
         } else {
             Ok(())
@@ -115,8 +119,8 @@
     }
 }
 
-fn start(status: u16, headers: &[(Cow<'static, str>, String)], keep: bool) -> Vec<u8> {
-    let mut text = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+fn head_bytes(status: u16, headers: &[(Cow<'static, str>, String)], keep: bool) -> Vec<u8> {
+    let mut text = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         // Writing to a string never fails.
         let _ = write!(text, "{name}: {value}\r\n");
@@ -127,7 +131,7 @@
     text.into_bytes()
 }
 
-const fn reason(status: u16) -> &'static str {
+const fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -1,15 +1,15 @@
 //! The HTTP server for callers: one thread accepts connections, and each connection has its own thread, up to a bound.
 
-mod ask;
 mod chat;
+mod checked_chat;
 mod http;
+mod monitor;
 mod problem;
-mod requests;
+mod request_counts;
+mod resume;
 mod run;
 mod service;
-mod shared;
 mod sse;
-mod watch;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -20,51 +20,51 @@
 use metrics::counter;
 use socket2::{Domain, SockRef, Socket, TcpKeepalive, Type};
 
-use crate::Entry;
+use crate::EntryHost;
 use http::{Connection, Head, Reply};
 use problem::Problem;
-use shared::Counted;
+use request_counts::CountGuard;
 
+pub use request_counts::RequestCounts;
 pub use run::adopt;
-pub use shared::Shared;
 
 /// Stack size of a connection's thread, in bytes.
-const STACK: usize = 512 * 1024;
+const STACK_BYTES: usize = 512 * 1024;
 /// Longest time between two checks of the stop flag.
-const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(50);
 /// Time after which a thread without a connection exits.
-const IDLE: Duration = Duration::from_secs(10);
+const THREAD_IDLE_TIME: Duration = Duration::from_secs(10);
 /// Length of the kernel's queue of connections that wait to be accepted.
-const BACKLOG: i32 = 1_024;
+const LISTEN_BACKLOG: i32 = 1_024;
 /// Idle time before, and interval between, TCP keep-alive probes.
-const PROBE: Duration = Duration::from_secs(10);
+const KEEPALIVE_TIME: Duration = Duration::from_secs(10);
 
 /// A request whose head was read, with its connection.
 #[derive(Debug)]
-struct Caller<'a> {
+struct CallerRequest<'a> {
     connection: &'a mut Connection,
     head: Head,
-    is_read: bool,
-    keep: bool,
+    body_read: bool,
+    keep_alive: bool,
 }
 
 /// The response to a request.
 #[derive(Debug)]
-enum Answered {
+enum Response {
     /// A response that is still to be sent.
     Reply(Reply),
     /// A response that was streamed; `true` if its end was sent.
     Streamed(bool),
 }
 
-impl From<Problem> for Answered {
+impl From<Problem> for Response {
     fn from(problem: Problem) -> Self {
         Self::Reply(problem.reply())
     }
 }
 
 /// An accepted connection and the guard that counts it.
-type Passed = (TcpStream, Counted);
+type CountedConnection = (TcpStream, CountGuard);
 
 /// Opens the listening socket for callers.
 ///
@@ -76,7 +76,7 @@
     socket.bind(&address.into())?;
     // The standard library uses a backlog of 128. In a larger burst the kernel drops the rest, and those callers retry
     // the handshake only after a second.
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
@@ -84,42 +84,53 @@
 ///
 /// # Errors
 /// Fails if a socket option can't be set.
-pub fn accept(entry: &Arc<Entry>, listener: &TcpListener) -> std::io::Result<()> {
+pub fn accept(entry: &Arc<EntryHost>, listener: &TcpListener) -> std::io::Result<()> {
     // Accepted connections inherit these options.
     let socket = SockRef::from(listener);
-    socket.set_read_timeout(Some(CHECK_INTERVAL))?;
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(PROBE).with_interval(PROBE))?;
+    socket.set_read_timeout(Some(ACCEPT_TIMEOUT))?;
+    socket.set_tcp_keepalive(
+        &TcpKeepalive::new()
+            .with_time(KEEPALIVE_TIME)
+            .with_interval(KEEPALIVE_TIME),
+    )?;
     // A channel without capacity: a connection goes to a thread that is already waiting, or else to a new thread.
-    let (ring, idle) = bounded(0);
+    let (queue, idle) = bounded(0);
     while !entry.stop.load(Ordering::Relaxed) {
         match listener.accept() {
-            Ok((stream, _)) => open(entry, stream, &ring, &idle),
+            Ok((stream, _)) => dispatch(entry, stream, &queue, &idle),
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
             // A connection that was reset before the accept, or a lack of file descriptors, must not end the loop.
             Err(_) => {
                 counter!("gentian_accept_errors_total").increment(1);
-                std::thread::sleep(CHECK_INTERVAL);
+                std::thread::sleep(ACCEPT_TIMEOUT);
             }
         }
     }
     Ok(())
 }
 
-fn open(entry: &Arc<Entry>, stream: TcpStream, ring: &Sender<Passed>, idle: &Receiver<Passed>) {
-    let Some(place) = entry.callers.connect(entry.settings.connections) else {
-        return turn_away(&stream);
+fn dispatch(
+    entry: &Arc<EntryHost>,
+    stream: TcpStream,
+    queue: &Sender<CountedConnection>,
+    idle: &Receiver<CountedConnection>,
+) {
+    let Some(guard) = entry.request_counts.count_connection(entry.settings.connections) else {
+        return refuse(&stream);
     };
-    let Err(TrySendError::Full(first) | TrySendError::Disconnected(first)) = ring.try_send((stream, place)) else {
+    let Err(TrySendError::Full(first) | TrySendError::Disconnected(first)) = queue.try_send((stream, guard)) else {
         return;
     };
     let (entry, idle) = (Arc::clone(entry), idle.clone());
-    let thread = std::thread::Builder::new().name("caller".to_owned()).stack_size(STACK);
+    let thread = std::thread::Builder::new()
+        .name("caller".to_owned())
+        .stack_size(STACK_BYTES);
     let spawned = thread.spawn(move || {
         let mut next = Some(first);
-        while let Some((stream, place)) = next {
-            converse(&entry, stream);
-            drop(place);
-            next = idle.recv_timeout(IDLE).ok();
+        while let Some((stream, guard)) = next {
+            serve_connection(&entry, stream);
+            drop(guard);
+            next = idle.recv_timeout(THREAD_IDLE_TIME).ok();
         }
     });
     if spawned.is_err() {
@@ -128,62 +139,64 @@
 }
 
 /// Refuses a connection on the accepting thread.
-fn turn_away(stream: &TcpStream) {
+fn refuse(stream: &TcpStream) {
     counter!("gentian_refused_total", "cause" => "connections").increment(1);
     let problem = Problem::overloaded(Duration::from_secs(1));
     // The response fits the empty send buffer of a new connection, so this never blocks.
     let _ = problem.reply().send(stream, None, false);
 }
 
-fn converse(entry: &Entry, stream: TcpStream) {
+fn serve_connection(entry: &EntryHost, stream: TcpStream) {
     let Ok(mut connection) = Connection::new(stream) else {
         return;
     };
     loop {
-        let head = match connection.head() {
+        let head = match connection.read_head() {
             Ok(head) => head,
-            Err(broken) => {
-                if let Some(problem) = problem::of_broken(&broken) {
+            Err(error) => {
+                if let Some(problem) = problem::from_read_error(&error) {
                     counter!("gentian_refused_total", "cause" => "malformed").increment(1);
                     // A failure means that the caller is gone.
                     let _ = problem.reply().send(connection.stream(), None, false);
-                    connection.linger();
+                    connection.discard_and_close();
                 }
                 return;
             }
         };
-        let work = entry.callers.begin();
-        let is_read = head.length == http::Length::Bytes(0);
-        let keep = head.keep && !entry.leaving.load(Ordering::Relaxed);
-        let mut caller = Caller {
+        let open_request = entry.request_counts.count_request();
+        let body_read = head.body_length == http::BodyLength::Bytes(0);
+        let keep_alive = head.keep_alive && !entry.leaving.load(Ordering::Relaxed);
+        let mut caller = CallerRequest {
             connection: &mut connection,
             head,
-            is_read,
-            keep,
+            body_read,
+            keep_alive,
         };
-        let answered = answer(entry, &mut caller);
-        let keep = caller.keep && caller.is_read;
-        let sent = match answered {
-            Answered::Reply(reply) => reply.send(caller.connection.stream(), Some(&caller.head), keep).is_ok(),
-            Answered::Streamed(ended) => ended && caller.head.chunks,
+        let response = route(entry, &mut caller);
+        let keep_alive = caller.keep_alive && caller.body_read;
+        let sent = match response {
+            Response::Reply(reply) => reply
+                .send(caller.connection.stream(), Some(&caller.head), keep_alive)
+                .is_ok(),
+            Response::Streamed(ended) => ended && caller.head.accepts_chunks,
         };
-        let unread = !caller.is_read;
-        drop(work);
+        let unread = !caller.body_read;
+        drop(open_request);
         if unread {
-            return connection.linger();
+            return connection.discard_and_close();
         }
-        if !(sent && keep) {
+        if !(sent && keep_alive) {
             return;
         }
     }
 }
 
-fn answer(entry: &Entry, caller: &mut Caller<'_>) -> Answered {
+fn route(entry: &EntryHost, caller: &mut CallerRequest<'_>) -> Response {
     let path = caller.head.path().to_owned();
     if let Some(id) = path.strip_prefix("/v1/requests/") {
         return match caller.head.method.as_str() {
-            "GET" | "HEAD" => requests::answer(entry, caller, id),
-            _ => Problem::method("GET").into(),
+            "GET" | "HEAD" => resume::answer(entry, caller, id),
+            _ => Problem::method_not_allowed("GET").into(),
         };
     }
     if entry.refusing.load(Ordering::Relaxed) {
@@ -193,7 +206,7 @@
     if path == "/v1/chat/completions" {
         return match caller.head.method.as_str() {
             "POST" => chat::answer(entry, caller),
-            _ => Problem::method("POST").into(),
+            _ => Problem::method_not_allowed("POST").into(),
         };
     }
     if path.starts_with("/services/") {
@@ -202,22 +215,22 @@
     Problem::not_found("there is no such path").into()
 }
 
-impl Caller<'_> {
+impl CallerRequest<'_> {
     /// Reads the body; called only after the caller was authenticated.
-    fn body(&mut self, entry: &Entry) -> Result<Vec<u8>, Problem> {
-        if self.is_read {
+    fn body(&mut self, entry: &EntryHost) -> Result<Vec<u8>, Problem> {
+        if self.body_read {
             return Ok(Vec::new());
         }
         // Slow senders can take only these slots, so that requests without a body are still served.
         let _reader = entry
-            .callers
-            .reader(entry.settings.connections / 2)
+            .request_counts
+            .count_reader(entry.settings.connections / 2)
             .ok_or_else(|| Problem::overloaded(Duration::from_secs(1)))?;
         let body = self
             .connection
-            .body(&self.head)
-            .map_err(|broken| problem::of_broken(&broken).unwrap_or_else(|| Problem::bad_request(broken)))?;
-        self.is_read = true;
+            .read_body(&self.head)
+            .map_err(|error| problem::from_read_error(&error).unwrap_or_else(|| Problem::bad_request(error)))?;
+        self.body_read = true;
         Ok(body)
     }
 }
--- a/crates/entry/src/callers/problem.rs
+++ b/crates/entry/src/callers/problem.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use telemetry::burn::{RequestEnd, RequestMeter};
 
-use super::http::{Broken, Reply};
+use super::http::{ReadError, Reply};
 use crate::admission::Refusal;
 
 /// Response header that says whether a refused request was run.
@@ -15,10 +15,10 @@
 
 /// Whether a refused or failed request was run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(super) enum Run {
+pub(super) enum Execution {
     /// It certainly was not run.
     #[display("not-run")]
-    Not,
+    NotRun,
     /// It may have run.
     #[display("unknown")]
     Unknown,
@@ -30,7 +30,7 @@
     status: u16,
     kind: &'static str,
     detail: String,
-    run: Run,
+    execution: Execution,
     retry_after: Option<Duration>,
     allow: Option<&'static str>,
 }
@@ -41,14 +41,14 @@
             status,
             kind,
             detail: detail.to_string(),
-            run: Run::Not,
+            execution: Execution::NotRun,
             retry_after: None,
             allow: None,
         }
     }
 
     /// Returns how the burn report counts the error; errors of the caller itself are not counted.
-    pub(super) const fn burns(&self) -> Option<RequestEnd> {
+    pub(super) const fn counted_end(&self) -> Option<RequestEnd> {
         match self.status {
             429 => Some(RequestEnd::Limited),
             503 => Some(RequestEnd::Refused),
@@ -57,14 +57,14 @@
         }
     }
 
-    fn unknown(self) -> Self {
+    fn possibly_run(self) -> Self {
         Self {
-            run: Run::Unknown,
+            execution: Execution::Unknown,
             ..self
         }
     }
 
-    fn after(self, wait: Duration) -> Self {
+    fn retry_after(self, wait: Duration) -> Self {
         Self {
             retry_after: Some(wait),
             ..self
@@ -84,7 +84,7 @@
         Self::new(404, "not-found", detail)
     }
 
-    pub(super) fn method(allowed: &'static str) -> Self {
+    pub(super) fn method_not_allowed(allowed: &'static str) -> Self {
         let problem = Self::new(405, "method", format!("this path takes {allowed} only"));
         Self {
             allow: Some(allowed),
@@ -93,7 +93,7 @@
     }
 
     pub(super) fn too_slow(detail: impl ToString) -> Self {
-        Self::new(408, "too-slow", detail).after(Duration::from_secs(1))
+        Self::new(408, "too-slow", detail).retry_after(Duration::from_secs(1))
     }
 
     pub(super) fn too_large(detail: impl ToString) -> Self {
@@ -105,61 +105,61 @@
         Self::new(422, "key-reused", detail)
     }
 
-    pub(super) fn long_head(detail: impl ToString) -> Self {
+    pub(super) fn head_too_long(detail: impl ToString) -> Self {
         Self::new(431, "long-head", detail)
     }
 
     pub(super) fn overloaded(wait: Duration) -> Self {
         let detail = "the request could not be on time and was not run";
-        Self::new(503, "overloaded", detail).after(wait)
+        Self::new(503, "overloaded", detail).retry_after(wait)
     }
 
     pub(super) fn leaving() -> Self {
         let detail = "this entry host is leaving and takes nothing new; another one does";
-        Self::new(503, "leaving", detail).after(Duration::from_secs(1))
+        Self::new(503, "leaving", detail).retry_after(Duration::from_secs(1))
     }
 
     pub(super) fn no_quorum() -> Self {
         let detail = "calls that must run at most once can't be claimed now";
-        Self::new(503, "no-quorum", detail).after(Duration::from_secs(2))
+        Self::new(503, "no-quorum", detail).retry_after(Duration::from_secs(2))
     }
 
-    pub(super) fn under_way() -> Self {
+    pub(super) fn still_running() -> Self {
         let detail = "an earlier request under the key has not ended yet";
         Self::new(409, "under-way", detail)
-            .unknown()
-            .after(Duration::from_secs(1))
+            .possibly_run()
+            .retry_after(Duration::from_secs(1))
     }
 
     pub(super) fn unknown_outcome(detail: impl ToString) -> Self {
-        Self::new(504, "unknown-outcome", detail).unknown()
+        Self::new(504, "unknown-outcome", detail).possibly_run()
     }
 
-    pub(super) fn broken(detail: impl ToString) -> Self {
+    pub(super) fn upstream_failed(detail: impl ToString) -> Self {
         Self::new(502, "upstream-failed", detail)
-            .unknown()
-            .after(Duration::from_secs(1))
+            .possibly_run()
+            .retry_after(Duration::from_secs(1))
     }
 
     /// Returns the problem details object.
     pub(super) fn body(&self) -> serde_json::Value {
         json!({"type": format!("/problems/{}", self.kind), "title": self.kind, "status": self.status,
-            "detail": self.detail, "outcome": self.run.to_string()})
+            "detail": self.detail, "outcome": self.execution.to_string()})
     }
 
     /// Returns the HTTP response.
     pub(super) fn reply(&self) -> Reply {
         let body = self.body().to_string().into_bytes();
-        let mut reply =
-            Reply::new(self.status, "application/problem+json", body).with(OUTCOME_HEADER, self.run.to_string());
+        let mut reply = Reply::new(self.status, "application/problem+json", body)
+            .with_header(OUTCOME_HEADER, self.execution.to_string());
         if let Some(wait) = self.retry_after {
-            reply = reply.with("Retry-After", wait.as_secs_f64().ceil().max(1.0).to_string());
+            reply = reply.with_header("Retry-After", wait.as_secs_f64().ceil().max(1.0).to_string());
         }
         if self.status == 401 {
-            reply = reply.with("WWW-Authenticate", "Bearer");
+            reply = reply.with_header("WWW-Authenticate", "Bearer");
         }
         match self.allow {
-            Some(allowed) => reply.with("Allow", allowed),
+            Some(allowed) => reply.with_header("Allow", allowed),
             None => reply,
         }
     }
@@ -169,29 +169,31 @@
     fn from(refusal: Refusal) -> Self {
         if refusal.limited {
             let detail = "the customer's limit is used up and the request was not run";
-            return Self::new(429, "limit", detail).after(refusal.retry_after);
+            return Self::new(429, "limit", detail).retry_after(refusal.retry_after);
         }
         Self::overloaded(refusal.retry_after)
     }
 }
 
 /// Counts an error in the burn report and returns it.
-pub(super) fn counted(problem: Problem, meter: &RequestMeter<'_>, now: Tick) -> Problem {
-    if let Some(end) = problem.burns() {
+pub(super) fn count_problem(problem: Problem, meter: &RequestMeter<'_>, now: Tick) -> Problem {
+    if let Some(end) = problem.counted_end() {
         meter.finish(end, now);
     }
     problem
 }
 
 /// Returns the response to a request that could not be read completely; `None` if the caller is gone.
-pub(super) fn of_broken(broken: &Broken) -> Option<Problem> {
-    match broken {
-        Broken::Ended => None,
-        Broken::Slow(_) => Some(Problem::too_slow(broken)),
-        Broken::LongHead => Some(Problem::long_head(broken)),
-        Broken::LongBody => Some(Problem::too_large(broken)),
-        Broken::Head(head) if *head == super::http::BadHead::TooMany => Some(Problem::long_head(head)),
-        Broken::Head(head) => Some(Problem::bad_request(head)),
-        Broken::Body(_) => Some(Problem::bad_request(broken)),
+pub(super) fn from_read_error(error: &ReadError) -> Option<Problem> {
+    match error {
+        ReadError::Closed => None,
+        ReadError::TimedOut(_) => Some(Problem::too_slow(error)),
+        ReadError::LongHead => Some(Problem::head_too_long(error)),
+        ReadError::LongBody => Some(Problem::too_large(error)),
+        ReadError::Head(head) if *head == super::http::InvalidHead::TooManyHeaders => {
+            Some(Problem::head_too_long(head))
+        }
+        ReadError::Head(head) => Some(Problem::bad_request(head)),
+        ReadError::Body(_) => Some(Problem::bad_request(error)),
     }
 }
--- a/crates/entry/src/callers/run/adopted.rs
+++ b/crates/entry/src/callers/run/adopted.rs
@@ -7,33 +7,33 @@
 use slog::info;
 use wire::entry::Handover;
 
-use super::{Ended, Nowhere, Run, Search};
-use crate::Entry;
-use crate::callers::ask::Ask;
+use super::{ChatRun, DiscardTokens, EngineSearch, RunEnd};
+use crate::EntryHost;
 use crate::callers::chat;
-use crate::callers::shared::Counted;
-use crate::callers::watch::{Limits, Watch};
+use crate::callers::checked_chat::CheckedChat;
+use crate::callers::monitor::{RequestMonitor, WaitLimits};
+use crate::callers::request_counts::CountGuard;
 use crate::journal::Journal;
 
 /// Stack size of the thread of an adopted request, in bytes.
-const STACK: usize = 512 * 1024;
+const STACK_BYTES: usize = 512 * 1024;
 
 /// Takes over a request from a peer and continues it; returns whether this host has it now.
 ///
 /// A peer that lost the reply sends the handover again. The request is then known here and must not be run twice.
-pub fn adopt(entry: &Arc<Entry>, handover: &Handover) -> bool {
+pub fn adopt(entry: &Arc<EntryHost>, handover: &Handover) -> bool {
     if entry.leaving.load(std::sync::atomic::Ordering::Relaxed) {
         return false;
     }
-    let Ok(ask) = Ask::read(handover.body.as_bytes()) else {
+    let Ok(chat) = CheckedChat::parse(handover.body.as_bytes()) else {
         return false;
     };
-    let Some(work) = entry.callers.adopt(entry.settings.connections) else {
+    let Some(guard) = entry.request_counts.count_adopted(entry.settings.connections) else {
         counter!("gentian_refused_total", "cause" => "adoptions").increment(1);
         return false;
     };
     let owner = handover.owner.clone();
-    let Some(journal) = entry.journals.open_new(&handover.request, owner, &ask.chat) else {
+    let Some(journal) = entry.journals.open_new(&handover.request, owner, &chat.request) else {
         return true;
     };
     for token in &handover.tokens {
@@ -41,35 +41,37 @@
         let _ = journal.push(token);
     }
     let (shared, id) = (Arc::clone(entry), handover.request.clone());
-    let thread = std::thread::Builder::new().name("adopted".to_owned()).stack_size(STACK);
-    let spawned = thread.spawn(move || go_on(&shared, &id, &ask, &journal, &work));
+    let thread = std::thread::Builder::new()
+        .name("adopted".to_owned())
+        .stack_size(STACK_BYTES);
+    let spawned = thread.spawn(move || run_adopted(&shared, &id, &chat, &journal, &guard));
     spawned.is_ok()
 }
 
-fn go_on(entry: &Entry, id: &RequestId, ask: &Ask, journal: &Arc<Journal>, _work: &Counted) {
+fn run_adopted(entry: &EntryHost, id: &RequestId, chat: &CheckedChat, journal: &Arc<Journal>, _guard: &CountGuard) {
     let now = entry.clock.now();
-    let view = entry.current.view();
+    let view = entry.config.view();
     let customer = journal.customer();
     let class = view
         .config
         .contracts
         .get(&customer)
-        .and_then(|contract| chat::class(contract, ask));
+        .and_then(|contract| chat::request_class(contract, chat));
     let ended = class.map(|class| {
-        let limits = Limits::new(&class.targets, ask.prompt_tokens, now);
-        let watch = Watch::new(entry.clock.clone(), None, Arc::clone(journal), limits);
-        let run = Run {
+        let limits = WaitLimits::new(&class.targets, chat.prompt_tokens, now);
+        let watch = RequestMonitor::new(entry.clock.clone(), None, Arc::clone(journal), limits);
+        let run = ChatRun {
             entry,
             id,
             customer,
-            ask,
+            chat,
             journal: Arc::clone(journal),
-            watch: Arc::new(watch),
-            meter: entry.burn.start_meter(&journal.customer(), class, now),
+            monitor: Arc::new(watch),
+            meter: entry.burn_counts.start_meter(&journal.customer(), class, now),
         };
-        run.drive(&mut Search::adopted(), &mut Nowhere)
+        run.run_attempts(&mut EngineSearch::adopted(), &mut DiscardTokens)
     });
-    let whole = matches!(ended, Some(Ended::Whole(_)));
+    let whole = matches!(ended, Some(RunEnd::Completed(_)));
     // If the request was handed on to another peer, it ends there.
     let _ = journal.end(whole);
     entry.journals.end(id, entry.clock.now());
--- a/crates/entry/src/callers/service.rs
+++ b/crates/entry/src/callers/service.rs
@@ -14,15 +14,15 @@
 
 use super::http::{Head, Reply};
 use super::problem::{self, Problem};
-use super::{Answered, Caller};
-use crate::Entry;
-use crate::admission::Work;
+use super::{CallerRequest, Response};
+use crate::EntryHost;
+use crate::admission::AdmissionRequest;
 use crate::attempt::{Attempt, Sent};
-use crate::claims::{self, Keyed, Verdict};
-use crate::fleet::Ask;
+use crate::claims::{self, ClaimResult, KeyedCall};
+use crate::upstreams::RouteRequest;
 
 /// Request headers that are forwarded to a service.
-const PASSED: [&str; 9] = [
+const FORWARDED_HEADERS: [&str; 9] = [
     "Accept",
     "Accept-Language",
     "Content-Encoding",
@@ -34,51 +34,51 @@
     IDEMPOTENCY_HEADER,
 ];
 /// Methods that are forwarded.
-const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
+const FORWARDED_METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
 /// Longest idempotency key, in bytes.
-const MAX_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// Shortest timeout of one attempt at an idempotent call.
-const MIN_ATTEMPT: Duration = Duration::from_millis(100);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Statuses after which an idempotent call is retried at another upstream.
-const ELSEWHERE: [u16; 3] = [502, 503, 504];
+const RETRY_STATUSES: [u16; 3] = [502, 503, 504];
 
-pub(super) fn answer(entry: &Entry, caller: &mut Caller<'_>) -> Answered {
+pub(super) fn answer(entry: &EntryHost, caller: &mut CallerRequest<'_>) -> Response {
     match serve(entry, caller) {
-        Ok((id, answer)) => Answered::Reply(reply(&id, answer)),
+        Ok((id, answer)) => Response::Reply(reply(&id, answer)),
         Err(refusal) => refusal.into(),
     }
 }
 
-fn serve(entry: &Entry, caller: &mut Caller<'_>) -> Result<(RequestId, ServiceAnswer), Problem> {
+fn serve(entry: &EntryHost, caller: &mut CallerRequest<'_>) -> Result<(RequestId, ServiceAnswer), Problem> {
     let arrived = entry.clock.now();
-    let view = entry.current.view();
+    let view = entry.config.view();
     let (contract, _) = caller
         .head
-        .bearer()
+        .bearer_key()
         .and_then(|key| view.account(key))
         .ok_or_else(Problem::unauthorized)?;
     let target = caller.head.target.clone();
-    let (service, path) = split(&target);
-    check(&caller.head, &path)?;
+    let (service, path) = split_target(&target);
+    check_forwardable(&caller.head, &path)?;
     if !view.config.upstreams.values().any(|spec| spec.serves_service(service)) {
         return Err(Problem::not_found(format!("there is no service {service}")));
     }
     let body = caller.body(entry)?;
-    let class = class(contract, &caller.head, service, &path)?;
-    let whole = Duration::from_millis(class.targets.whole_answer_ms);
-    let work = Work {
+    let class = request_class(contract, &caller.head, service, &path)?;
+    let time_limit = Duration::from_millis(class.targets.whole_answer_ms);
+    let request = AdmissionRequest {
         target: Target::Service(service.to_owned()),
         tokens: 1.0,
-        latest: arrived + whole,
-        shed: class.shed,
+        deadline: arrived + time_limit,
+        shed_priority: class.shed,
     };
-    let meter = entry.burn.start_meter(&contract.customer, class, arrived);
-    let admitted = entry.admission.enter(contract, &work);
-    let _permit = admitted.map_err(|refusal| problem::counted(refusal.into(), &meter, entry.clock.now()))?;
+    let meter = entry.burn_counts.start_meter(&contract.customer, class, arrived);
+    let admitted = entry.admission.admit(contract, &request);
+    let _permit = admitted.map_err(|refusal| problem::count_problem(refusal.into(), &meter, entry.clock.now()))?;
     meter.record_admission(entry.clock.now());
-    let headers = passed(&caller.head);
-    let id = entry.request_id();
-    let run = Run {
+    let headers = forwarded_headers(&caller.head);
+    let id = entry.new_request_id();
+    let run = ServiceRun {
         entry,
         service,
         contract,
@@ -90,14 +90,14 @@
             headers: &headers,
             body: &body,
         },
-        until: Instant::now() + whole.saturating_sub(entry.clock.now().since(arrived)),
+        deadline: Instant::now() + time_limit.saturating_sub(entry.clock.now().since(arrived)),
         meter,
     };
     let answer = match class.repeat {
-        Repeat::Idempotent => run.repeatable(),
-        Repeat::AtMostOnce => run.once(caller.head.header(IDEMPOTENCY_HEADER)),
+        Repeat::Idempotent => run.run_idempotent(),
+        Repeat::AtMostOnce => run.run_once(caller.head.header(IDEMPOTENCY_HEADER)),
     };
-    let answer = answer.map_err(|failure| problem::counted(failure, &run.meter, entry.clock.now()))?;
+    let answer = answer.map_err(|failure| problem::count_problem(failure, &run.meter, entry.clock.now()))?;
     let end = if answer.status < 500 {
         RequestEnd::Completed
     } else {
@@ -110,7 +110,7 @@
 }
 
 /// Splits a request target into the service's name and the path below it.
-fn split(target: &str) -> (&str, String) {
+fn split_target(target: &str) -> (&str, String) {
     let rest = target.strip_prefix("/services/").unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, below) = rest.split_at(end);
@@ -120,22 +120,22 @@
     (service, format!("/{below}"))
 }
 
-fn class<'a>(contract: &'a Contract, head: &Head, service: &str, path: &str) -> Result<&'a Class, Problem> {
-    let asked = contract::Request {
+fn request_class<'a>(contract: &'a Contract, head: &Head, service: &str, path: &str) -> Result<&'a Class, Problem> {
+    let request = contract::Request {
         service: Some(service),
         method: &head.method,
         route: path.split('?').next().unwrap_or_default(),
         model: None,
         prompt_tokens: 0,
     };
-    let found = contract.class_of(&asked);
+    let found = contract.class_of(&request);
     found.ok_or_else(|| Problem::not_found("the contract has no class for this"))
 }
 
 /// Rejects methods and paths that the HTTP client would not forward unchanged.
-fn check(head: &Head, path: &str) -> Result<(), Problem> {
-    if !METHODS.contains(&head.method.as_str()) {
-        return Err(Problem::method("GET, HEAD, POST, PUT, PATCH, DELETE"));
+fn check_forwardable(head: &Head, path: &str) -> Result<(), Problem> {
+    if !FORWARDED_METHODS.contains(&head.method.as_str()) {
+        return Err(Problem::method_not_allowed("GET, HEAD, POST, PUT, PATCH, DELETE"));
     }
     if path.parse::<ureq::http::uri::PathAndQuery>().is_err() {
         return Err(Problem::bad_request("the path holds characters that must be encoded"));
@@ -143,95 +143,99 @@
     Ok(())
 }
 
-fn passed(head: &Head) -> Vec<(String, String)> {
-    PASSED
+fn forwarded_headers(head: &Head) -> Vec<(String, String)> {
+    FORWARDED_HEADERS
         .iter()
         .filter_map(|name| head.header(name).map(|value| ((*name).to_owned(), value.to_owned())))
         .collect()
 }
 
 /// An admitted call.
-struct Run<'a> {
-    entry: &'a Entry,
+struct ServiceRun<'a> {
+    entry: &'a EntryHost,
     service: &'a str,
     contract: &'a Contract,
     class: &'a Class,
     id: &'a RequestId,
     call: ServiceCall<'a>,
-    until: Instant,
+    deadline: Instant,
     meter: RequestMeter<'a>,
 }
 
-impl Run<'_> {
+impl ServiceRun<'_> {
     /// Sends an idempotent call and retries it at other upstreams within the retry budget.
-    fn repeatable(&self) -> Result<ServiceAnswer, Problem> {
+    fn run_idempotent(&self) -> Result<ServiceAnswer, Problem> {
         let mut tried = Vec::new();
         let mut last = None;
-        while Instant::now() < self.until
+        while Instant::now() < self.deadline
             && let Some(spec) = self.choose(&tried)
         {
-            let sent = self.send(&spec, self.part_of_time());
-            let free = sent.not_run();
+            let sent = self.send(&spec, self.attempt_timeout());
+            let not_run = sent.not_run();
             match sent.into_answer() {
-                Ok(answer) if !ELSEWHERE.contains(&answer.status) => {
+                Ok(answer) if !RETRY_STATUSES.contains(&answer.status) => {
                     if tried.is_empty() {
-                        self.entry.retries.lock().succeeded();
+                        self.entry.retry_budget.lock().succeeded();
                     }
                     return Ok(answer);
                 }
                 result => last = Some(result),
             }
             tried.push(spec.id);
-            if !free && !self.entry.retries.lock().take() {
+            if !not_run && !self.entry.retry_budget.lock().take() {
                 counter!("gentian_retries_refused_total").increment(1);
                 break;
             }
         }
-        ended(last)
+        final_result(last)
     }
 
     /// Returns the timeout of one attempt: half of the time that is left, so that a stalled upstream leaves time for
     /// another attempt.
-    fn part_of_time(&self) -> Duration {
-        let left = self.until.saturating_duration_since(Instant::now());
-        (left / 2).max(MIN_ATTEMPT).min(left.max(Duration::from_millis(1)))
+    fn attempt_timeout(&self) -> Duration {
+        let left = self.deadline.saturating_duration_since(Instant::now());
+        (left / 2)
+            .max(MIN_ATTEMPT_TIMEOUT)
+            .min(left.max(Duration::from_millis(1)))
     }
 
     /// Claims a call that must run at most once, and sends it only if the claim is granted.
-    fn once(&self, key: Option<&str>) -> Result<ServiceAnswer, Problem> {
-        let key = key.filter(|key| !key.is_empty() && key.len() <= MAX_KEY);
+    fn run_once(&self, key: Option<&str>) -> Result<ServiceAnswer, Problem> {
+        let key = key.filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
         let key = key.ok_or_else(|| Problem::bad_request("an Idempotency-Key of 1 to 256 bytes is needed"))?;
-        let keyed = Keyed {
+        let keyed = KeyedCall {
             customer: &self.contract.customer,
             key,
             request: self.id,
         };
-        let digest = claims::digest(self.call.method, self.call.path, self.call.body);
-        let revision = self.entry.current.revision();
-        let verdict = claims::claim(&self.entry.state, revision, &keyed, &digest, self.until);
-        match claims::ask_if_unknown(self.entry, self.service, &keyed, verdict) {
-            Verdict::Granted => self.send_claimed(&keyed),
-            Verdict::Done(Outcome::Answered { status, media, body }) => Ok(ServiceAnswer {
+        let digest = claims::call_digest(self.call.method, self.call.path, self.call.body);
+        let revision = self.entry.config.revision();
+        let verdict = claims::claim(&self.entry.state_client, revision, &keyed, &digest, self.deadline);
+        match claims::resolve_unknown(self.entry, self.service, &keyed, verdict) {
+            ClaimResult::Granted => self.send_claimed(&keyed),
+            ClaimResult::Done(Outcome::Answered { status, media, body }) => Ok(ServiceAnswer {
                 status,
                 media,
                 headers: Vec::new(),
                 body,
             }),
-            Verdict::Done(Outcome::NotRun) | Verdict::Unavailable => Err(Problem::no_quorum()),
-            Verdict::Done(Outcome::Unknown) => Err(Problem::unknown_outcome("the earlier call's outcome is unknown")),
-            Verdict::Mismatch => Err(Problem::key_reused()),
-            Verdict::Running => Err(Problem::under_way()),
+            ClaimResult::Done(Outcome::NotRun) | ClaimResult::Unavailable => Err(Problem::no_quorum()),
+            ClaimResult::Done(Outcome::Unknown) => {
+                Err(Problem::unknown_outcome("the earlier call's outcome is unknown"))
+            }
+            ClaimResult::Mismatch => Err(Problem::key_reused()),
+            ClaimResult::Running => Err(Problem::still_running()),
         }
     }
 
-    fn send_claimed(&self, keyed: &Keyed<'_>) -> Result<ServiceAnswer, Problem> {
+    fn send_claimed(&self, keyed: &KeyedCall<'_>) -> Result<ServiceAnswer, Problem> {
         let mut tried = Vec::new();
         let mut outcome = Outcome::NotRun;
         let mut result = Err(Problem::overloaded(Duration::from_secs(1)));
-        while Instant::now() < self.until
+        while Instant::now() < self.deadline
             && let Some(spec) = self.choose(&tried)
         {
-            let sent = self.send(&spec, self.until.saturating_duration_since(Instant::now()));
+            let sent = self.send(&spec, self.deadline.saturating_duration_since(Instant::now()));
             outcome = sent.outcome();
             if sent.not_run() {
                 tried.push(spec.id);
@@ -240,7 +244,7 @@
             result = sent.into_answer().map_err(Problem::unknown_outcome);
             break;
         }
-        if !claims::settle(&self.entry.state, self.entry.current.revision(), keyed, &outcome) {
+        if !claims::settle(&self.entry.state_client, self.entry.config.revision(), keyed, &outcome) {
             counter!("gentian_outcomes_unrecorded_total").increment(1);
         }
         result
@@ -248,30 +252,30 @@
 
     fn choose(&self, tried: &[UpstreamId]) -> Option<UpstreamSpec> {
         let entry = self.entry;
-        let view = entry.current.view();
-        let ask = Ask {
+        let view = entry.config.view();
+        let ask = RouteRequest {
             target: &Target::Service(self.service.to_owned()),
             prefix: &Prefix::default(),
             need: RequestNeed::default(),
             tried,
         };
-        let choice = entry.fleet.choose(&view, &ask, entry.clock.now())?;
+        let choice = entry.upstreams.choose(&view, &ask, entry.clock.now())?;
         view.config.upstreams.get(&choice.chosen).cloned()
     }
 
     fn send(&self, spec: &UpstreamSpec, timeout: Duration) -> Attempt<Sent> {
         let entry = self.entry;
-        let _visit = entry.fleet.visit(&spec.id, entry.clock.now());
+        let _visit = entry.upstreams.start_request(&spec.id, entry.clock.now());
         self.meter.record_attempt(&spec.host);
-        let sent = Attempt::new(spec.address).send(&entry.services, &self.call, timeout);
-        let good = sent.status().is_some_and(|status| status < 500);
+        let sent = Attempt::new(spec.address).send(&entry.service_client, &self.call, timeout);
+        let succeeded = sent.status().is_some_and(|status| status < 500);
         let now = entry.clock.now();
-        entry.fleet.ended(&spec.id, good, now);
+        entry.upstreams.record_result(&spec.id, succeeded, now);
         if let Some(error) = sent.error() {
-            self.meter.record_failure(!entry.fleet.hosts.takes_work(&spec.host));
-            entry.fleet.hosts.failed(&spec.host, error, now);
+            self.meter.record_failure(!entry.upstreams.hosts.takes_work(&spec.host));
+            entry.upstreams.hosts.record_failure(&spec.host, error, now);
         }
-        if !good {
+        if !succeeded {
             counter!("gentian_attempts_failed_total", "class" => self.class.name.to_string()).increment(1);
         }
         sent
@@ -279,19 +283,19 @@
 }
 
 /// Returns the last response or failure of an idempotent call.
-fn ended(last: Option<Result<ServiceAnswer, UpstreamError>>) -> Result<ServiceAnswer, Problem> {
+fn final_result(last: Option<Result<ServiceAnswer, UpstreamError>>) -> Result<ServiceAnswer, Problem> {
     match last {
         None => Err(Problem::overloaded(Duration::from_secs(1))),
         Some(Ok(answer)) => Ok(answer),
         Some(Err(error)) if error.fate == upstream::Fate::NotRun => Err(Problem::overloaded(Duration::from_secs(1))),
-        Some(Err(error)) => Err(Problem::broken(error)),
+        Some(Err(error)) => Err(Problem::upstream_failed(error)),
     }
 }
 
 fn reply(id: &RequestId, answer: ServiceAnswer) -> Reply {
-    let reply = Reply::new(answer.status, &answer.media, answer.body).with(REQUEST_ID_HEADER, id.as_str());
+    let reply = Reply::new(answer.status, &answer.media, answer.body).with_header(REQUEST_ID_HEADER, id.as_str());
     answer
         .headers
         .into_iter()
-        .fold(reply, |reply, (name, value)| reply.with(name, value))
+        .fold(reply, |reply, (name, value)| reply.with_header(name, value))
 }
--- a/crates/entry/src/callers/sse.rs
+++ b/crates/entry/src/callers/sse.rs
@@ -8,26 +8,26 @@
 use telemetry::clock::wall_ms;
 use upstream::engine::{REQUEST_ID_HEADER, Usage};
 
-use super::http::{Chunks, Head};
+use super::http::{ChunkedReply, Head};
 use super::problem::Problem;
-use super::run::Sink;
+use super::run::TokenSink;
 
 /// A streamed response. Its head is sent with the first token, so that an error before that still gets its own status.
 #[derive(Debug)]
-pub(super) struct Events<'a> {
+pub(super) struct SseStream<'a> {
     stream: &'a TcpStream,
     head: &'a Head,
     keep: bool,
     id: &'a RequestId,
-    prefix: String,
-    line: Vec<u8>,
-    out: Option<Chunks<'a>>,
+    event_prefix: String,
+    event_buffer: Vec<u8>,
+    chunks: Option<ChunkedReply<'a>>,
 }
 
-impl<'a> Events<'a> {
+impl<'a> SseStream<'a> {
     pub(super) fn new(stream: &'a TcpStream, head: &'a Head, keep: bool, id: &'a RequestId, model: &str) -> Self {
         // All events of the answer begin alike, so their common part is formatted once.
-        let prefix = format!(
+        let event_prefix = format!(
             "{{\"id\":{},\"object\":\"chat.completion.chunk\",\"created\":{},\"model\":{},\"choices\":",
             json!(id),
             wall_ms() / 1_000,
@@ -38,73 +38,73 @@
             head,
             keep,
             id,
-            prefix,
-            line: Vec::new(),
-            out: None,
+            event_prefix,
+            event_buffer: Vec::new(),
+            chunks: None,
         }
     }
 
     /// Returns whether the head was sent.
-    pub(super) const fn is_begun(&self) -> bool {
-        self.out.is_some()
+    pub(super) const fn is_started(&self) -> bool {
+        self.chunks.is_some()
     }
 
     /// Ends a complete answer with the finish reason, the usage and the end marker.
-    pub(super) fn end(mut self, usage: &Usage, finish: &str) -> io::Result<()> {
-        let prefix = std::mem::take(&mut self.prefix);
-        self.event(&format!(
+    pub(super) fn complete(mut self, usage: &Usage, finish: &str) -> io::Result<()> {
+        let prefix = std::mem::take(&mut self.event_prefix);
+        self.send_event(&format!(
             "{prefix}[{{\"index\":0,\"delta\":{{}},\"finish_reason\":\"{finish}\"}}]}}"
         ))?;
-        self.event(&format!("{prefix}[],\"usage\":{}}}", json!(usage)))?;
-        self.event("[DONE]")?;
+        self.send_event(&format!("{prefix}[],\"usage\":{}}}", json!(usage)))?;
+        self.send_event("[DONE]")?;
         self.finish()
     }
 
     /// Ends an incomplete answer with an error event.
     pub(super) fn fail(mut self, problem: &Problem) -> io::Result<()> {
-        self.event(&json!({"error": problem.body()}).to_string())?;
+        self.send_event(&json!({"error": problem.body()}).to_string())?;
         self.finish()
     }
 
     /// Ends a stream whose answer a peer continues, with the path to resume from.
-    pub(super) fn moved(mut self, resume: &str) -> io::Result<()> {
-        self.event(&json!({"moved": {"resume": resume}}).to_string())?;
+    pub(super) fn end_moved(mut self, resume: &str) -> io::Result<()> {
+        self.send_event(&json!({"moved": {"resume": resume}}).to_string())?;
         self.finish()
     }
 
-    fn event(&mut self, data: &str) -> io::Result<()> {
+    fn send_event(&mut self, data: &str) -> io::Result<()> {
         let text = format!("data: {data}\n\n");
-        self.out()?.piece(text.as_bytes())
+        self.started_chunks()?.send_piece(text.as_bytes())
     }
 
     fn finish(self) -> io::Result<()> {
-        self.out.map_or(Ok(()), Chunks::end)
+        self.chunks.map_or(Ok(()), ChunkedReply::end)
     }
 
-    fn out(&mut self) -> io::Result<&mut Chunks<'a>> {
-        if self.out.is_none() {
+    fn started_chunks(&mut self) -> io::Result<&mut ChunkedReply<'a>> {
+        if self.chunks.is_none() {
             let headers = [
                 ("Content-Type".into(), "text/event-stream".to_owned()),
                 ("Cache-Control".into(), "no-store".to_owned()),
                 (REQUEST_ID_HEADER.into(), self.id.to_string()),
             ];
-            self.out = Some(Chunks::begin(self.stream, self.head, &headers, self.keep)?);
+            self.chunks = Some(ChunkedReply::begin(self.stream, self.head, &headers, self.keep)?);
         }
-        Ok(self.out.as_mut().expect("it was put there just before"))
+        Ok(self.chunks.as_mut().expect("inserted above"))
     }
 }
 
-impl Sink for Events<'_> {
+impl TokenSink for SseStream<'_> {
     fn token(&mut self, token: &str) -> io::Result<()> {
-        let mut line = std::mem::take(&mut self.line);
+        let mut line = std::mem::take(&mut self.event_buffer);
         line.clear();
         line.extend_from_slice(b"data: ");
-        line.extend_from_slice(self.prefix.as_bytes());
+        line.extend_from_slice(self.event_prefix.as_bytes());
         line.extend_from_slice(b"[{\"index\":0,\"delta\":{\"content\":");
         serde_json::to_writer(&mut line, token)?;
         line.extend_from_slice(b"},\"finish_reason\":null}]}\n\n");
-        let sent = self.out()?.piece(&line);
-        self.line = line;
+        let sent = self.started_chunks()?.send_piece(&line);
+        self.event_buffer = line;
         sent
     }
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -9,21 +9,21 @@
 use wire::client::StateClient;
 use wire::state::{Claim, Claimed, Outcome, Settle, Settled, Unavailable};
 
-use crate::Entry;
+use crate::EntryHost;
 
 /// The Raft group that holds all claims.
-const GROUP: u32 = 0;
+const CLAIM_GROUP: u32 = 0;
 /// Pause before asking again for a claim that is undecided or held by another request.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Attempts to learn whether a claim was written before it is given back; together they take about as long as a leader
 /// election.
-const CLAIM_TRIES: u32 = 50;
+const MAX_UNDECIDED_TRIES: u32 = 50;
 /// Timeout of asking a service for the outcome of a call.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The result of claiming a call.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum ClaimResult {
     /// This request holds the claim; the call may be sent once.
     Granted,
     /// An earlier request under the key ended with this outcome.
@@ -38,7 +38,7 @@
 
 /// Identifies a call by customer and idempotency key, and the request that makes it.
 #[derive(Clone, Copy, Debug)]
-pub struct Keyed<'a> {
+pub struct KeyedCall<'a> {
     /// The customer; keys of different customers are independent.
     pub customer: &'a CustomerId,
     /// The caller's idempotency key.
@@ -49,7 +49,7 @@
 
 /// Returns the digest by which two calls under one key are compared.
 #[must_use]
-pub fn digest(method: &str, path: &str, body: &[u8]) -> String {
+pub fn call_digest(method: &str, path: &str, body: &[u8]) -> String {
     let mut hash = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
         hash.update((part.len() as u64).to_le_bytes());
@@ -58,39 +58,45 @@
     format!("{:x}", hash.finalize())
 }
 
-/// Claims a call; waits until `until` for an earlier one under the same key.
-pub fn claim(state: &StateClient, revision: Revision, call: &Keyed<'_>, digest: &str, until: Instant) -> Verdict {
-    let ask = Claim {
-        group: GROUP,
+/// Claims a call; waits until `deadline` for an earlier one under the same key.
+pub fn claim(
+    state: &StateClient,
+    revision: Revision,
+    call: &KeyedCall<'_>,
+    digest: &str,
+    deadline: Instant,
+) -> ClaimResult {
+    let request = Claim {
+        group: CLAIM_GROUP,
         customer: call.customer.clone(),
         key: call.key.to_owned(),
         digest: digest.to_owned(),
         request: call.request.clone(),
-        hold_ms: until.saturating_duration_since(Instant::now()).as_millis() as u64,
+        hold_ms: deadline.saturating_duration_since(Instant::now()).as_millis() as u64,
     };
-    let mut undecided = 0;
+    let mut undecided_tries = 0;
     loop {
-        match state.claim(revision, &ask) {
+        match state.claim(revision, &request) {
             // The hold time of the claim is over and the group now treats the outcome as unknown, so the call must not
             // be sent.
-            Ok(Claimed::Granted) if Instant::now() >= until => return give_back(state, call),
-            Ok(Claimed::Granted) => return Verdict::Granted,
-            Ok(Claimed::Done(outcome)) => return Verdict::Done(outcome),
-            Ok(Claimed::Mismatch) => return Verdict::Mismatch,
-            Ok(Claimed::Running(_)) if Instant::now() < until => std::thread::sleep(PAUSE),
-            Ok(Claimed::Running(_)) => return Verdict::Running,
+            Ok(Claimed::Granted) if Instant::now() >= deadline => return give_back(state, call),
+            Ok(Claimed::Granted) => return ClaimResult::Granted,
+            Ok(Claimed::Done(outcome)) => return ClaimResult::Done(outcome),
+            Ok(Claimed::Mismatch) => return ClaimResult::Mismatch,
+            Ok(Claimed::Running(_)) if Instant::now() < deadline => std::thread::sleep(RETRY_PAUSE),
+            Ok(Claimed::Running(_)) => return ClaimResult::Running,
             // The claim was not written, so it need not be given back.
             Ok(Claimed::Unavailable(Unavailable::NotLeader { .. } | Unavailable::NoQuorum { .. })) => {
-                return Verdict::Unavailable;
+                return ClaimResult::Unavailable;
             }
             // The claim may have been written. Nothing was sent under it, and the request id is unique, so asking again
             // returns the same claim.
             Ok(Claimed::Unavailable(Unavailable::Undecided { .. })) | Err(_) => {
-                undecided += 1;
-                if undecided >= CLAIM_TRIES || Instant::now() >= until {
+                undecided_tries += 1;
+                if undecided_tries >= MAX_UNDECIDED_TRIES || Instant::now() >= deadline {
                     return give_back(state, call);
                 }
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_PAUSE);
             }
         }
     }
@@ -99,29 +105,31 @@
 /// Releases a claim under which nothing was sent, so that the caller can retry with the same key.
 ///
 /// Otherwise the caller would be told that the call was not run, but on the retry that its outcome is unknown.
-fn give_back(state: &StateClient, call: &Keyed<'_>) -> Verdict {
-    if !state.settle_later(settle_of(call, &Outcome::NotRun)) {
+fn give_back(state: &StateClient, call: &KeyedCall<'_>) -> ClaimResult {
+    if !state.settle_later(settle_request(call, &Outcome::NotRun)) {
         counter!("gentian_claims_not_given_back_total").increment(1);
     }
-    Verdict::Unavailable
+    ClaimResult::Unavailable
 }
 
 /// Records an outcome; if the state group has no leader, it is recorded in the background.
 ///
 /// Returns whether it was recorded or queued for recording.
-pub fn settle(state: &StateClient, revision: Revision, call: &Keyed<'_>, outcome: &Outcome) -> bool {
-    let ask = settle_of(call, outcome);
-    match state.settle(revision, &ask) {
+pub fn settle(state: &StateClient, revision: Revision, call: &KeyedCall<'_>, outcome: &Outcome) -> bool {
+    let request = settle_request(call, outcome);
+    match state.settle(revision, &request) {
         Ok(Settled::Stored) => true,
         Ok(Settled::NotHeld) => false,
-        Ok(Settled::Unavailable(_)) | Err(_) => state.settle_later(ask),
+        Ok(Settled::Unavailable(_)) | Err(_) => state.settle_later(request),
     }
 }
 
 /// Replaces an unknown outcome by the one that the service reports, if it can.
-pub fn ask_if_unknown(entry: &Entry, service: &str, call: &Keyed<'_>, verdict: Verdict) -> Verdict {
-    match verdict {
-        Verdict::Done(Outcome::Unknown) => Verdict::Done(ask_service(entry, service, call).unwrap_or(Outcome::Unknown)),
+pub fn resolve_unknown(entry: &EntryHost, service: &str, call: &KeyedCall<'_>, result: ClaimResult) -> ClaimResult {
+    match result {
+        ClaimResult::Done(Outcome::Unknown) => {
+            ClaimResult::Done(query_outcome(entry, service, call).unwrap_or(Outcome::Unknown))
+        }
         other => other,
     }
 }
@@ -130,9 +138,9 @@
 ///
 /// Only a successful response counts. A service that doesn't know the key may still be about to run the call, so the
 /// outcome stays unknown and the call is never sent again.
-fn ask_service(entry: &Entry, service: &str, call: &Keyed<'_>) -> Option<Outcome> {
-    let view = entry.current.view();
-    let tells = |spec: &&UpstreamSpec| {
+fn query_outcome(entry: &EntryHost, service: &str, call: &KeyedCall<'_>) -> Option<Outcome> {
+    let view = entry.config.view();
+    let reports = |spec: &&UpstreamSpec| {
         spec.serves_service(service)
             && matches!(
                 spec.kind,
@@ -142,15 +150,15 @@
                 }
             )
     };
-    let specs = view.config.upstreams.values().filter(tells);
-    let path = format!("/outcomes/{}", escape(call.key));
-    let ask = ServiceCall {
+    let specs = view.config.upstreams.values().filter(reports);
+    let path = format!("/outcomes/{}", percent_encode(call.key));
+    let request = ServiceCall {
         method: "GET",
         path: &path,
         headers: &[],
         body: &[],
     };
-    let mut answers = specs.filter_map(|spec| entry.services.send(spec.address, &ask, ASK_TIMEOUT).ok());
+    let mut answers = specs.filter_map(|spec| entry.service_client.send(spec.address, &request, OUTCOME_TIMEOUT).ok());
     let answer = answers.find(|answer| answer.status < 300)?;
     let outcome = Outcome::Answered {
         status: answer.status,
@@ -158,15 +166,15 @@
         body: answer.body,
     };
     counter!("gentian_outcomes_told_total").increment(1);
-    if !settle(&entry.state, view.config.revision, call, &outcome) {
+    if !settle(&entry.state_client, view.config.revision, call, &outcome) {
         counter!("gentian_outcomes_unrecorded_total").increment(1);
     }
     Some(outcome)
 }
 
-fn settle_of(call: &Keyed<'_>, outcome: &Outcome) -> Settle {
+fn settle_request(call: &KeyedCall<'_>, outcome: &Outcome) -> Settle {
     Settle {
-        group: GROUP,
+        group: CLAIM_GROUP,
         customer: call.customer.clone(),
         key: call.key.to_owned(),
         request: call.request.clone(),
@@ -175,7 +183,7 @@
 }
 
 /// Percent-encodes a key as a single path segment.
-fn escape(key: &str) -> String {
+fn percent_encode(key: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     let part = |byte| {
         if plain(byte) {
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -18,24 +18,24 @@
 use upstream::service::ServiceClient;
 use wire::client::{CallError, RpcRuntime, StateClient};
 
+use crate::active_config::{ActiveConfig, ConfigView};
 use crate::admission::Admission;
-use crate::callers::Shared;
-use crate::current::{Current, View};
-use crate::exchange::Live;
-use crate::fleet::Fleet;
+use crate::callers::RequestCounts;
+use crate::exchange::LiveHosts;
 use crate::journal::Journals;
-use crate::peers::Peers;
-use crate::rescue::Rescue;
+use crate::peers::PeerClients;
+use crate::rescue::StreamRescue;
 use crate::settings::Settings;
+use crate::upstreams::Upstreams;
 
 /// Timeout of connecting to an upstream.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Retries that each successful first attempt adds to the budget.
-const RETRY_SHARE: f64 = 0.2;
+const RETRIES_PER_SUCCESS: f64 = 0.2;
 
 /// The shared state of an entry host.
 #[derive(Debug)]
-pub struct Entry {
+pub struct EntryHost {
     /// Validated settings.
     pub settings: Settings,
     /// Monotonic clock that all ticks come from.
@@ -43,121 +43,121 @@
     /// Root logger.
     pub logger: Logger,
     /// The active configuration.
-    pub current: Arc<Current>,
+    pub config: Arc<ActiveConfig>,
     /// Admission control of requests.
     pub admission: Admission,
     /// Runtime state of the upstreams.
-    pub fleet: Fleet,
+    pub upstreams: Upstreams,
     /// The entry hosts that are live, set by the digest exchange.
-    pub live: ArcSwap<Live>,
+    pub live_hosts: ArcSwap<LiveHosts>,
     /// Answers by request id, open and recently ended.
     pub journals: Journals,
     /// Counts for the burn report.
-    pub burn: RequestCounters,
+    pub burn_counts: RequestCounters,
     /// Client of the state group.
-    pub state: StateClient,
+    pub state_client: StateClient,
     /// Client for the KV cache transfer of engines.
-    pub engines: EngineClient,
+    pub engine_client: EngineClient,
     /// Clients of the other entry hosts.
-    pub peers: Peers,
+    pub peers: PeerClients,
     /// Counters of callers' connections and requests.
-    pub callers: Shared,
+    pub request_counts: RequestCounts,
     /// Running attempts that may have to move off a leaving host.
-    pub rescue: Rescue,
+    pub rescue: StreamRescue,
     /// Retry budget of all requests.
-    pub retries: Mutex<RetryBudget>,
+    pub retry_budget: Mutex<RetryBudget>,
     /// Client of plain services.
-    pub services: ServiceClient,
+    pub service_client: ServiceClient,
     /// Whether this host is leaving. Readiness is then false, but requests are served until the load balancer has
     /// noticed.
     pub leaving: AtomicBool,
     /// Whether new requests are refused.
     pub refusing: AtomicBool,
-    going: Mutex<Option<Going>>,
+    announced_end: Mutex<Option<AnnouncedEnd>>,
     /// Whether a life-cycle event of this host asks the process to leave.
-    pub told: AtomicBool,
+    pub leave_requested: AtomicBool,
     /// Whether all threads must exit.
     pub stop: AtomicBool,
     started_ms: u64,
-    requests: AtomicU64,
+    next_request: AtomicU64,
 }
 
 /// The announced end of this host.
 #[derive(Clone, Copy, Debug)]
-struct Going {
-    noticed: Tick,
-    gone: Tick,
+struct AnnouncedEnd {
+    noticed_at: Tick,
+    gone_at: Tick,
 }
 
-impl Entry {
+impl EntryHost {
     /// Creates the shared state.
     ///
     /// # Errors
     /// Fails if no client can be created for an address of the state group or of a peer.
     pub fn new(settings: Settings, logger: Logger, calls: &RpcRuntime) -> Result<Self, CallError> {
         let clock = Clock::start();
-        let state = StateClient::new(calls, &settings.node, &settings.state)?;
+        let state_client = StateClient::new(calls, &settings.node, &settings.state)?;
         let rules = RoutingRules {
             routing: settings.routing,
             without: settings.without.clone(),
         };
-        let fleet = Fleet::new(clock.clone(), rules, settings.data_center.clone());
+        let upstreams = Upstreams::new(clock.clone(), rules, settings.data_center.clone());
         let admission = Admission::new(clock.clone(), settings.running, settings.waiting);
         let others = settings.peers.iter().filter(|peer| **peer != settings.inner);
-        admission.refresh(&View::default(), others.count() as u32 + 1, 0);
-        let live = Live::new(&settings.data_center, &settings.node);
+        admission.apply_config(&ConfigView::default(), others.count() as u32 + 1, 0);
+        let live = LiveHosts::new(&settings.data_center, &settings.node);
         Ok(Self {
             admission,
-            live: ArcSwap::from_pointee(live),
+            live_hosts: ArcSwap::from_pointee(live),
             clock,
             logger,
-            current: Arc::default(),
-            fleet,
+            config: Arc::default(),
+            upstreams,
             journals: Journals::default(),
-            burn: RequestCounters::default(),
-            state,
-            engines: EngineClient::new(CONNECT),
-            peers: Peers::new(calls, &settings.node, &settings.peers)?,
-            callers: Shared::default(),
-            rescue: Rescue::default(),
-            retries: Mutex::new(RetryBudget::new(RETRY_SHARE)),
-            services: ServiceClient::new(CONNECT),
+            burn_counts: RequestCounters::default(),
+            state_client,
+            engine_client: EngineClient::new(CONNECT_TIMEOUT),
+            peers: PeerClients::new(calls, &settings.node, &settings.peers)?,
+            request_counts: RequestCounts::default(),
+            rescue: StreamRescue::default(),
+            retry_budget: Mutex::new(RetryBudget::new(RETRIES_PER_SUCCESS)),
+            service_client: ServiceClient::new(CONNECT_TIMEOUT),
             leaving: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
-            going: Mutex::new(None),
+            announced_end: Mutex::new(None),
             settings,
-            told: AtomicBool::new(false),
+            leave_requested: AtomicBool::new(false),
             stop: AtomicBool::new(false),
             started_ms: wall_ms(),
-            requests: AtomicU64::new(0),
+            next_request: AtomicU64::new(0),
         })
     }
 
     /// Records that this host will be gone after `left`; an earlier end replaces a later one.
-    pub fn will_go(&self, left: Duration) {
-        let noticed = self.clock.now();
-        let gone = noticed + left;
-        let mut going = self.going.lock();
-        if going.is_none_or(|known| gone < known.gone) {
-            *going = Some(Going { noticed, gone });
+    pub fn announce_end(&self, left: Duration) {
+        let noticed_at = self.clock.now();
+        let gone_at = noticed_at + left;
+        let mut announced = self.announced_end.lock();
+        if announced.is_none_or(|known| gone_at < known.gone_at) {
+            *announced = Some(AnnouncedEnd { noticed_at, gone_at });
         }
     }
 
     /// Returns the announced end of this host, if there is one.
     pub fn gone_at(&self) -> Option<Tick> {
-        self.going.lock().map(|going| going.gone)
+        self.announced_end.lock().map(|announced| announced.gone_at)
     }
 
     /// Returns when the end of this host was announced; without an announcement, the current time.
     pub fn noticed_at(&self) -> Tick {
-        self.going
+        self.announced_end
             .lock()
-            .map_or_else(|| self.clock.now(), |going| going.noticed)
+            .map_or_else(|| self.clock.now(), |announced| announced.noticed_at)
     }
 
     /// Returns whether all threads must exit.
     #[must_use]
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
@@ -174,8 +174,8 @@
     }
 
     /// Creates a request id that no other entry host and no earlier process of this one has used.
-    pub fn request_id(&self) -> RequestId {
-        let count = self.requests.fetch_add(1, Ordering::Relaxed);
+    pub fn new_request_id(&self) -> RequestId {
+        let count = self.next_request.fetch_add(1, Ordering::Relaxed);
         RequestId::from(format!("{}-{:x}-{count}", self.settings.node, self.started_ms))
     }
 }
--- a/crates/entry/src/exchange/peers.rs
+++ b/crates/entry/src/exchange/peers.rs
@@ -9,55 +9,55 @@
 use policy::limits::Bucket;
 use wire::digest::{DigestAck, GossipDigest};
 
-use super::Live;
+use super::LiveHosts;
 
 /// Budget for sending in bytes a second, with the headers of IP and UDP; about as many are received.
-pub(super) const BYTES: f64 = 2_200.0;
+pub(super) const BYTES_PER_S: f64 = 2_200.0;
 /// Assumed size of a digest in bytes until one was sent.
-const GUESS: f64 = 200.0;
+const INITIAL_DIGEST_BYTES: f64 = 200.0;
 /// Number of own digests whose send time is remembered.
-const REMEMBERED: usize = 128;
+const MAX_SEND_TIMES: usize = 128;
 /// Lower and upper bound of the silence after which a peer counts as dead.
-const SILENCE: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(20));
+const SILENCE_BOUNDS: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(20));
 /// Digests to peers of the own data centre for each one to a peer of another.
-const NEAR_TURNS: usize = 3;
+const NEAR_PER_FAR: usize = 3;
 
 /// The peers from the settings.
 #[derive(Debug)]
-pub(super) struct Peers {
-    all: Vec<Peer>,
+pub(super) struct PeerTable {
+    peers: Vec<PeerState>,
     rank: u32,
     sequence: u64,
-    times: VecDeque<(u64, Tick)>,
+    send_times: VecDeque<(u64, Tick)>,
     budget: Bucket,
-    turns: usize,
-    cycle: Duration,
+    picks: usize,
+    full_cycle: Duration,
 }
 
 #[derive(Debug)]
-struct Peer {
+struct PeerState {
     address: SocketAddr,
     node: Option<(NodeId, DataCenter)>,
-    heard: Option<DigestAck>,
-    heard_at: Option<Tick>,
-    hosts: u32,
+    newest: Option<DigestAck>,
+    received_at: Option<Tick>,
+    host_count: u32,
     leaving: bool,
     /// Whether the peer needs a loan that this host could give.
-    owed: bool,
+    wants_loan: bool,
     sent_at: Option<Tick>,
-    size: f64,
+    digest_bytes: f64,
 }
 
 /// Why a received digest is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stale {
+pub(super) enum DropReason {
     /// The sender's address is not in the settings.
-    Stranger,
+    UnknownSender,
     /// A newer digest of the sender, or one of a later process there, was received before.
-    Old,
+    Outdated,
 }
 
-impl Peers {
+impl PeerTable {
     /// Creates the state for the peers in the settings; `own` is left out if it is among them.
     pub(super) fn new(addresses: &[SocketAddr], own: SocketAddr, now: Tick) -> Self {
         let mut others: Vec<SocketAddr> = addresses.iter().copied().filter(|address| *address != own).collect();
@@ -65,32 +65,32 @@
         others.dedup();
         let rank = others.iter().filter(|address| **address < own).count() as u32;
         Self {
-            all: others.into_iter().map(Peer::new).collect(),
+            peers: others.into_iter().map(PeerState::new).collect(),
             rank,
             sequence: 0,
-            times: VecDeque::new(),
-            budget: Bucket::new(BYTES, now),
-            turns: 0,
-            cycle: Duration::ZERO,
+            send_times: VecDeque::new(),
+            budget: Bucket::new(BYTES_PER_S, now),
+            picks: 0,
+            full_cycle: Duration::ZERO,
         }
     }
 
     /// Returns the number of entry hosts in this host's settings, including itself.
-    pub(super) fn configured(&self) -> u32 {
-        self.all.len() as u32 + 1
+    pub(super) fn configured_hosts(&self) -> u32 {
+        self.peers.len() as u32 + 1
     }
 
     /// Returns the number of entry hosts among which limits are divided.
     ///
     /// While settings are rolled out, hosts have different numbers. The largest number that a live peer announces
     /// counts; otherwise the larger parts of hosts with the smaller number would make the sum exceed the limit.
-    pub(super) fn hosts(&self, now: Tick) -> u32 {
-        let heard = self
-            .all
+    pub(super) fn limit_hosts(&self, now: Tick) -> u32 {
+        let received = self
+            .peers
             .iter()
             .filter(|peer| self.is_live(peer, now))
-            .map(|peer| peer.hosts);
-        heard.chain([self.configured()]).max().unwrap_or(1)
+            .map(|peer| peer.host_count);
+        received.chain([self.configured_hosts()]).max().unwrap_or(1)
     }
 
     /// Returns the rank of this host among all entry hosts, ordered by address.
@@ -99,18 +99,18 @@
     }
 
     /// Starts a round with a new sequence number.
-    pub(super) fn begin(&mut self, now: Tick) {
+    pub(super) fn start_round(&mut self, now: Tick) {
         self.sequence += 1;
-        self.turns = 0;
-        if self.times.len() >= REMEMBERED {
-            self.times.pop_front();
+        self.picks = 0;
+        if self.send_times.len() >= MAX_SEND_TIMES {
+            self.send_times.pop_front();
         }
-        self.times.push_back((self.sequence, now));
+        self.send_times.push_back((self.sequence, now));
     }
 
     /// Records that a peer needs a loan that this host could give.
-    pub(super) fn owe(&mut self, peer: u32) {
-        self.all[peer as usize].owed = true;
+    pub(super) fn mark_borrower(&mut self, peer: u32) {
+        self.peers[peer as usize].wants_loan = true;
     }
 
     /// Returns the peer that gets the next digest of this round, or `None` when the budget is used up.
@@ -118,72 +118,84 @@
     /// Every second digest goes to a peer that waits for a loan. With hundreds of hosts, the regular digests reach a
     /// peer too seldom to renew a loan before its lease ends; a borrower asks some of its peers, and those must answer
     /// at once.
-    pub(super) fn next_due(&mut self, place: &DataCenter, now: Tick) -> Option<usize> {
-        self.turns += 1;
-        let near = !(self.turns / 2).is_multiple_of(NEAR_TURNS + 1);
-        let longest = |near: bool| {
-            let waiting = (0..self.all.len()).filter(|at| self.all[*at].sent_at != Some(now));
-            let side = waiting.filter(|at| self.is_near(*at, place) == near);
-            side.min_by_key(|at| self.all[*at].sent_at)
+    pub(super) fn next_peer(&mut self, data_center: &DataCenter, now: Tick) -> Option<usize> {
+        self.picks += 1;
+        let local = !(self.picks / 2).is_multiple_of(NEAR_PER_FAR + 1);
+        let longest_waiting = |local: bool| {
+            let waiting = (0..self.peers.len()).filter(|index| self.peers[*index].sent_at != Some(now));
+            let candidates = waiting.filter(|index| self.is_local(*index, data_center) == local);
+            candidates.min_by_key(|index| self.peers[*index].sent_at)
         };
-        let owed = || {
-            let waiting = (0..self.all.len()).filter(|at| self.all[*at].sent_at != Some(now) && self.all[*at].owed);
-            waiting.min_by_key(|at| self.all[*at].sent_at)
+        let borrower = || {
+            let waiting = (0..self.peers.len())
+                .filter(|index| self.peers[*index].sent_at != Some(now) && self.peers[*index].wants_loan);
+            waiting.min_by_key(|index| self.peers[*index].sent_at)
         };
-        let first = if self.turns.is_multiple_of(2) { owed() } else { None };
-        let peer = first.or_else(|| longest(near)).or_else(|| longest(!near))?;
-        self.budget.take(self.all[peer].size, now).ok().map(|()| peer)
+        let preferred = if self.picks.is_multiple_of(2) { borrower() } else { None };
+        let peer = preferred
+            .or_else(|| longest_waiting(local))
+            .or_else(|| longest_waiting(!local))?;
+        self.budget.take(self.peers[peer].digest_bytes, now).ok().map(|()| peer)
     }
 
     /// Records a digest that was sent to a peer, with its size in bytes.
-    pub(super) fn sent(&mut self, peer: usize, bytes: usize, now: Tick) {
-        let peer = &mut self.all[peer];
-        self.budget.correct(peer.size - bytes as f64);
-        peer.size = bytes as f64;
-        peer.owed = false;
+    pub(super) fn record_sent(&mut self, peer: usize, bytes: usize, now: Tick) {
+        let peer = &mut self.peers[peer];
+        self.budget.correct(peer.digest_bytes - bytes as f64);
+        peer.digest_bytes = bytes as f64;
+        peer.wants_loan = false;
         if let Some(before) = peer.sent_at.replace(now) {
-            self.cycle = now.since(before);
+            self.full_cycle = now.since(before);
         }
     }
 
     /// Records a received digest and returns the index of its sender.
-    pub(super) fn hear(&mut self, from: SocketAddr, digest: &GossipDigest, now: Tick) -> Result<u32, Stale> {
-        let at = self.all.binary_search_by_key(&from, |peer| peer.address);
-        let at = at.map_err(|_missing| Stale::Stranger)?;
-        let peer = &mut self.all[at];
-        let heard = DigestAck {
+    pub(super) fn record_digest(
+        &mut self,
+        from: SocketAddr,
+        digest: &GossipDigest,
+        now: Tick,
+    ) -> Result<u32, DropReason> {
+        let index = self.peers.binary_search_by_key(&from, |peer| peer.address);
+        let index = index.map_err(|_missing| DropReason::UnknownSender)?;
+        let peer = &mut self.peers[index];
+        let received = DigestAck {
             incarnation: digest.incarnation,
             sequence: digest.sequence,
         };
-        let newest = |heard: DigestAck| (heard.incarnation, heard.sequence);
+        let newest = |received: DigestAck| (received.incarnation, received.sequence);
         // The parts of a split digest have the same sequence number, so an equal one is not old.
-        if peer.heard.is_some_and(|before| newest(before) > newest(heard)) {
-            return Err(Stale::Old);
+        if peer.newest.is_some_and(|before| newest(before) > newest(received)) {
+            return Err(DropReason::Outdated);
         }
-        peer.heard = Some(heard);
-        peer.heard_at = Some(now);
-        peer.hosts = digest.hosts;
+        peer.newest = Some(received);
+        peer.received_at = Some(now);
+        peer.host_count = digest.hosts;
         peer.leaving = digest.leaving;
         peer.node = Some((digest.from.clone(), digest.place.clone()));
-        Ok(at as u32)
+        Ok(index as u32)
     }
 
     /// Returns the live entry hosts, without those that are leaving.
-    pub(super) fn live(&self, node: &NodeId, place: &DataCenter, now: Tick) -> Live {
-        let mut live = Live::new(place, node);
-        for peer in self.all.iter().filter(|peer| self.is_live(peer, now) && !peer.leaving) {
-            if let Some((node, place)) = &peer.node {
-                live.add(place, node);
+    pub(super) fn live_hosts(&self, node: &NodeId, data_center: &DataCenter, now: Tick) -> LiveHosts {
+        let mut live = LiveHosts::new(data_center, node);
+        for peer in self
+            .peers
+            .iter()
+            .filter(|peer| self.is_live(peer, now) && !peer.leaving)
+        {
+            if let Some((node, data_center)) = &peer.node {
+                live.add(data_center, node);
             }
         }
-        live.cycle = self.cycle.max(Duration::from_millis(100));
+        live.cycle = self.full_cycle.max(Duration::from_millis(100));
         // Rounded to whole seconds, because any difference counts as a change of the live hosts.
         live.cycle = Duration::from_secs(live.cycle.as_secs() + 1);
         live
     }
 
-    pub(super) fn sent_at(&self, sequence: u64) -> Option<Tick> {
-        let found = self.times.iter().find(|(number, _)| *number == sequence);
+    pub(super) fn send_time(&self, sequence: u64) -> Option<Tick> {
+        let found = self.send_times.iter().find(|(number, _)| *number == sequence);
         found.map(|(_, at)| *at)
     }
 
@@ -192,44 +204,44 @@
     }
 
     pub(super) const fn count(&self) -> usize {
-        self.all.len()
+        self.peers.len()
     }
 
     pub(super) fn address(&self, peer: usize) -> SocketAddr {
-        self.all[peer].address
+        self.peers[peer].address
     }
 
-    pub(super) fn heard(&self, peer: usize) -> Option<DigestAck> {
-        self.all[peer].heard
+    pub(super) fn newest_received(&self, peer: usize) -> Option<DigestAck> {
+        self.peers[peer].newest
     }
 
     pub(super) fn last_sent(&self, peer: usize) -> Option<Tick> {
-        self.all[peer].sent_at
+        self.peers[peer].sent_at
     }
 
-    pub(super) fn is_near(&self, peer: usize, place: &DataCenter) -> bool {
-        let node = self.all[peer].node.as_ref();
-        node.is_some_and(|(_, its)| its == place)
+    pub(super) fn is_local(&self, peer: usize, data_center: &DataCenter) -> bool {
+        let node = self.peers[peer].node.as_ref();
+        node.is_some_and(|(_, peer_center)| peer_center == data_center)
     }
 
-    fn is_live(&self, peer: &Peer, now: Tick) -> bool {
-        let silence = (3 * self.cycle).clamp(SILENCE.0, SILENCE.1);
-        peer.heard_at.is_some_and(|at| now.since(at) < silence)
+    fn is_live(&self, peer: &PeerState, now: Tick) -> bool {
+        let max_silence = (3 * self.full_cycle).clamp(SILENCE_BOUNDS.0, SILENCE_BOUNDS.1);
+        peer.received_at.is_some_and(|at| now.since(at) < max_silence)
     }
 }
 
-impl Peer {
+impl PeerState {
     const fn new(address: SocketAddr) -> Self {
         Self {
             address,
             node: None,
-            heard: None,
-            heard_at: None,
-            hosts: 0,
+            newest: None,
+            received_at: None,
+            host_count: 0,
             leaving: false,
-            owed: false,
+            wants_loan: false,
             sent_at: None,
-            size: GUESS,
+            digest_bytes: INITIAL_DIGEST_BYTES,
         }
     }
 }
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -16,134 +16,141 @@
 use upstream::cloud::{CloudClient, ReclaimNotice};
 use wire::entry::{self as wire_entry, HostSignal};
 
-use crate::{Entry, drain};
+use crate::{EntryHost, drain};
 
 /// Longest time from a reclaim notice at the cloud API until no new work is sent to the host.
-pub const BOUND: Duration = Duration::from_secs(2);
+pub const MAX_NOTICE_DELAY: Duration = Duration::from_secs(2);
 /// Pause between two requests to the cloud API.
-const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of a request to the cloud API.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const CLOUD_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of requests to the cloud API between two removals of old hosts.
-const FORGET: u64 = 240;
-const _: () = assert!(CHECK_INTERVAL.as_millis() + TIMEOUT.as_millis() < BOUND.as_millis());
+const POLLS_PER_CLEANUP: u64 = 240;
+const _: () = assert!(POLL_INTERVAL.as_millis() + CLOUD_TIMEOUT.as_millis() < MAX_NOTICE_DELAY.as_millis());
 
 /// The state of all hosts that events were received for.
 #[derive(Debug, Default)]
-pub struct Hosts {
-    lives: Mutex<HostStates>,
+pub struct HostTracker {
+    states: Mutex<HostStates>,
 }
 
-impl Hosts {
+impl HostTracker {
     /// Applies an event that another process or the cloud reported; returns whether it made the host start to leave.
-    pub fn hear(&self, sign: &HostSignal, now: Tick) -> bool {
-        let life = self.take(&sign.host, sign.incarnation, from_wire(sign.sign), now);
-        matches!(life, Some(AnyHostState::Leaving(_)))
+    pub fn apply_signal(&self, signal: &HostSignal, now: Tick) -> bool {
+        let state = self.apply_event(&signal.host, signal.incarnation, signal_event(signal.sign), now);
+        matches!(state, Some(AnyHostState::Leaving(_)))
     }
 
     /// Records that an upstream on a host responded.
-    pub fn answered(&self, host: &HostSpec, now: Tick) {
-        self.take(&host.id, host.incarnation, HostEvent::Answered, now);
+    pub fn record_response(&self, host: &HostSpec, now: Tick) {
+        self.apply_event(&host.id, host.incarnation, HostEvent::Answered, now);
     }
 
     /// Records that a call to an upstream on a host failed. Only a failure to connect says anything about the host.
-    pub fn failed(&self, host: &HostSpec, error: &UpstreamError, now: Tick) {
+    pub fn record_failure(&self, host: &HostSpec, error: &UpstreamError, now: Tick) {
         if !error.connected {
-            self.take(&host.id, host.incarnation, HostEvent::Refused, now);
+            self.apply_event(&host.id, host.incarnation, HostEvent::Refused, now);
         }
     }
 
     /// Returns whether new work may be sent to a host.
     #[must_use]
     pub fn takes_work(&self, host: &HostSpec) -> bool {
-        self.lives.lock().takes_work(&host.id, host.incarnation)
+        self.states.lock().takes_work(&host.id, host.incarnation)
     }
 
     /// Returns the life-cycle stage of a host.
     #[must_use]
-    pub fn stage(&self, host: &HostSpec) -> AnyHostState {
-        self.lives.lock().stage(&host.id, host.incarnation)
+    pub fn state(&self, host: &HostSpec) -> AnyHostState {
+        self.states.lock().stage(&host.id, host.incarnation)
     }
 
     /// Returns whether any host has an announced end that is in the future or passed less than [`MAX_NOTICE_DELAY`]
     /// ago.
     #[must_use]
-    pub fn any_ends(&self, now: Tick) -> bool {
-        let lives = self.lives.lock();
-        let ends = |life: &AnyHostState| match life {
-            AnyHostState::Leaving(life) => life.gone_at().is_some_and(|at| now.since(at) < BOUND),
+    pub fn any_ending(&self, now: Tick) -> bool {
+        let states = self.states.lock();
+        let ends = |state: &AnyHostState| match state {
+            AnyHostState::Leaving(state) => state.gone_at().is_some_and(|at| now.since(at) < MAX_NOTICE_DELAY),
             _ => false,
         };
-        lives.iter().any(|(_, life)| ends(life))
+        states.iter().any(|(_, state)| ends(state))
     }
 
     /// Returns name, incarnation and stage of every host that events were received for.
     #[must_use]
     pub fn list(&self) -> Vec<(HostId, u64, String)> {
-        let lives = self.lives.lock();
-        let rows = lives
+        let states = self.states.lock();
+        let rows = states
             .iter()
-            .map(|(host, life)| (host.clone(), life.incarnation(), life.to_string()));
+            .map(|(host, state)| (host.clone(), state.incarnation(), state.to_string()));
         rows.collect()
     }
 
-    fn take(&self, host: &HostId, incarnation: u64, sign: HostEvent, now: Tick) -> Option<AnyHostState> {
-        let life = self.lives.lock().apply_event(host, incarnation, sign, now)?;
-        counter!("gentian_host_stages_total", "stage" => life.to_string()).increment(1);
-        Some(life)
+    fn apply_event(&self, host: &HostId, incarnation: u64, event: HostEvent, now: Tick) -> Option<AnyHostState> {
+        let state = self.states.lock().apply_event(host, incarnation, event, now)?;
+        counter!("gentian_host_stages_total", "stage" => state.to_string()).increment(1);
+        Some(state)
     }
 
     /// Removes hosts that are in no configuration and whose end is long past.
-    fn forget(&self, known: &HashSet<&HostId>, now: Tick) {
-        const MEMORY: Duration = Duration::from_hours(1);
-        let fresh = |life: &AnyHostState| match life {
-            AnyHostState::Leaving(life) => life.gone_at().is_none_or(|at| now.since(at) < MEMORY),
+    fn remove_old(&self, known: &HashSet<&HostId>, now: Tick) {
+        const ENDED_HOST_AGE: Duration = Duration::from_hours(1);
+        let recent = |state: &AnyHostState| match state {
+            AnyHostState::Leaving(state) => state.gone_at().is_none_or(|at| now.since(at) < ENDED_HOST_AGE),
             _ => false,
         };
-        self.lives
+        self.states
             .lock()
-            .retain(|host, life| known.contains(host) || fresh(life));
+            .retain(|host, state| known.contains(host) || recent(state));
     }
 }
 
 /// Reads reclaim notices from the cloud API and drains from the configuration until the process stops.
-pub fn watch(entry: &Entry) {
-    let clients = entry.settings.cloud.iter().map(|peer| CloudClient::new(*peer, TIMEOUT));
+pub fn watch_hosts(entry: &EntryHost) {
+    let clients = entry
+        .settings
+        .cloud
+        .iter()
+        .map(|peer| CloudClient::new(*peer, CLOUD_TIMEOUT));
     let clients: Vec<CloudClient> = clients.collect();
-    let mut looks: u64 = 0;
+    let mut polls: u64 = 0;
     while !entry.stop.load(Ordering::Relaxed) {
         if !clients.is_empty() {
             // One address per iteration, so that one that doesn't respond can't delay the others beyond the bound.
-            look(entry, &clients[looks as usize % clients.len()]);
+            poll_cloud(entry, &clients[polls as usize % clients.len()]);
         }
-        let view = entry.current.view();
+        let view = entry.config.view();
         for (host, incarnation) in &view.config.drains {
-            let sign = HostEvent::Leaves { left: None };
-            entry.fleet.hosts.take(host, *incarnation, sign, entry.clock.now());
+            let event = HostEvent::Leaves { left: None };
+            entry
+                .upstreams
+                .hosts
+                .apply_event(host, *incarnation, event, entry.clock.now());
         }
-        if looks.is_multiple_of(FORGET) {
+        if polls.is_multiple_of(POLLS_PER_CLEANUP) {
             let known = view.config.upstreams.values().map(|spec| &spec.host.id).collect();
-            entry.fleet.hosts.forget(&known, entry.clock.now());
+            entry.upstreams.hosts.remove_old(&known, entry.clock.now());
         }
-        looks += 1;
-        std::thread::sleep(CHECK_INTERVAL);
+        polls += 1;
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn look(entry: &Entry, cloud: &CloudClient) {
+fn poll_cloud(entry: &EntryHost, cloud: &CloudClient) {
     let Ok(notices) = cloud.notices() else {
         counter!("gentian_cloud_failures_total").increment(1);
         return;
     };
     let now = entry.clock.now();
     for notice in notices {
-        let sign = from_notice(notice);
-        entry.fleet.sign(&sign, now);
-        drain::hear(entry, &sign);
+        let signal = notice_signal(notice);
+        entry.upstreams.apply_signal(&signal, now);
+        drain::handle_signal(entry, &signal);
     }
 }
 
-fn from_notice(notice: ReclaimNotice) -> HostSignal {
+fn notice_signal(notice: ReclaimNotice) -> HostSignal {
     HostSignal {
         host: notice.host,
         incarnation: notice.incarnation,
@@ -153,8 +160,8 @@
     }
 }
 
-const fn from_wire(sign: wire_entry::Sign) -> HostEvent {
-    match sign {
+const fn signal_event(signal: wire_entry::Sign) -> HostEvent {
+    match signal {
         wire_entry::Sign::Notice { left_ms } => HostEvent::Leaves {
             left: Some(Duration::from_millis(left_ms)),
         },
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -1,13 +1,13 @@
 //! The tokens generated so far for each request, so that a caller can resume by request id.
 
-mod kept;
+mod table;
 
 use contract::{AccountName, CustomerId};
 use parking_lot::{Condvar, Mutex};
 use policy::route::Choice;
 use upstream::engine::ChatRequest;
 
-pub use kept::Journals;
+pub use table::Journals;
 
 /// Separates customer and account. Names can't contain it, so that two different accounts never give the same text.
 const SEPARATOR: char = ' ';
@@ -23,15 +23,15 @@
 pub struct Journal {
     /// The customer and account that made the request, joined by [`owner`].
     pub owner: String,
-    part: Mutex<Made>,
+    answer: Mutex<AnswerText>,
     choices: Mutex<Vec<Choice>>,
-    place: Mutex<Place>,
-    moved: Condvar,
+    location: Mutex<Location>,
+    handover_done: Condvar,
 }
 
 /// Where the answer is generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Location {
     /// In this process.
     Here,
     /// In transfer: a peer is being asked to continue it.
@@ -42,41 +42,41 @@
 
 /// All tokens as one string with the end offset of each; a string for each token would take five times the memory.
 #[derive(Debug, Default)]
-struct Made {
+struct AnswerText {
     text: String,
     ends: Vec<u32>,
-    ask: Option<ChatRequest>,
-    whole: bool,
+    request: Option<ChatRequest>,
+    complete: bool,
     failed: bool,
 }
 
 /// The part of an answer from some token on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct AnswerPart {
     /// The tokens in order.
     pub tokens: Vec<String>,
     /// Whether the answer is complete.
-    pub whole: bool,
+    pub complete: bool,
     /// Whether the answer ended incomplete.
     pub failed: bool,
 }
 
 /// The error of an operation on an answer that a peer has taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moved;
+pub struct TakenOver;
 
 impl Journal {
-    fn new(owner: String, ask: &ChatRequest) -> Self {
-        let made = Made {
-            ask: Some(ask.clone()),
-            ..Made::default()
+    fn new(owner: String, request: &ChatRequest) -> Self {
+        let answer = AnswerText {
+            request: Some(request.clone()),
+            ..AnswerText::default()
         };
         Self {
             owner,
-            part: Mutex::new(made),
+            answer: Mutex::new(answer),
             choices: Mutex::default(),
-            place: Mutex::new(Place::Here),
-            moved: Condvar::new(),
+            location: Mutex::new(Location::Here),
+            handover_done: Condvar::new(),
         }
     }
 
@@ -94,12 +94,12 @@
     ///
     /// # Errors
     /// Fails if a peer has taken over the answer.
-    pub fn push(&self, token: &str) -> Result<(), Moved> {
-        let _place = self.settled()?;
-        let mut made = self.part.lock();
-        made.text.push_str(token);
-        let end = made.text.len() as u32;
-        made.ends.push(end);
+    pub fn push(&self, token: &str) -> Result<(), TakenOver> {
+        let _location = self.lock_here()?;
+        let mut answer = self.answer.lock();
+        answer.text.push_str(token);
+        let end = answer.text.len() as u32;
+        answer.ends.push(end);
         Ok(())
     }
 
@@ -107,12 +107,12 @@
     ///
     /// # Errors
     /// Fails if a peer has taken over the answer.
-    pub fn end(&self, whole: bool) -> Result<(), Moved> {
-        let _place = self.settled()?;
-        let mut made = self.part.lock();
-        made.whole = whole;
-        made.failed = !whole;
-        made.ask = None;
+    pub fn end(&self, complete: bool) -> Result<(), TakenOver> {
+        let _location = self.lock_here()?;
+        let mut answer = self.answer.lock();
+        answer.complete = complete;
+        answer.failed = !complete;
+        answer.request = None;
         Ok(())
     }
 
@@ -122,33 +122,33 @@
     /// answer is now generated elsewhere.
     pub fn hand_over(&self, to_peer: impl FnOnce(&ChatRequest, Vec<String>) -> bool) -> bool {
         {
-            let mut place = self.place.lock();
-            if *place != Place::Here {
-                return *place == Place::Elsewhere;
+            let mut location = self.location.lock();
+            if *location != Location::Here {
+                return *location == Location::Elsewhere;
             }
-            *place = Place::Moving;
+            *location = Location::Moving;
         }
-        let ask = self.part.lock().ask.clone();
-        let taken = ask.is_some_and(|ask| to_peer(&ask, self.from(0).tokens));
-        *self.place.lock() = if taken { Place::Elsewhere } else { Place::Here };
-        self.moved.notify_all();
-        taken
+        let request = self.answer.lock().request.clone();
+        let accepted = request.is_some_and(|request| to_peer(&request, self.part_from(0).tokens));
+        *self.location.lock() = if accepted { Location::Elsewhere } else { Location::Here };
+        self.handover_done.notify_all();
+        accepted
     }
 
     /// Returns whether a peer has taken over the answer.
     #[must_use]
-    pub fn is_moved(&self) -> bool {
-        *self.place.lock() == Place::Elsewhere
+    pub fn is_elsewhere(&self) -> bool {
+        *self.location.lock() == Location::Elsewhere
     }
 
     /// Returns whether the answer has not ended yet.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.part.lock().ask.is_some()
+        self.answer.lock().request.is_some()
     }
 
     /// Records the routing decision of an attempt.
-    pub fn chose(&self, choice: Choice) {
+    pub fn record_choice(&self, choice: Choice) {
         self.choices.lock().push(choice);
     }
 
@@ -160,28 +160,28 @@
 
     /// Returns the answer from a token position on.
     #[must_use]
-    pub fn from(&self, position: usize) -> Part {
-        let made = self.part.lock();
-        let starts = std::iter::once(0).chain(made.ends.iter().copied());
-        let spans = starts.zip(made.ends.iter().copied()).skip(position);
-        let tokens = spans.map(|(start, end)| made.text[start as usize..end as usize].to_owned());
-        Part {
+    pub fn part_from(&self, position: usize) -> AnswerPart {
+        let answer = self.answer.lock();
+        let starts = std::iter::once(0).chain(answer.ends.iter().copied());
+        let spans = starts.zip(answer.ends.iter().copied()).skip(position);
+        let tokens = spans.map(|(start, end)| answer.text[start as usize..end as usize].to_owned());
+        AnswerPart {
             tokens: tokens.collect(),
-            whole: made.whole,
-            failed: made.failed,
+            complete: answer.complete,
+            failed: answer.failed,
         }
     }
 
     /// Returns the answer so far as one string.
     #[must_use]
     pub fn text(&self) -> String {
-        self.part.lock().text.clone()
+        self.answer.lock().text.clone()
     }
 
     /// Returns the number of tokens so far.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.part.lock().ends.len()
+        self.answer.lock().ends.len()
     }
 
     /// Returns whether no token was generated yet.
@@ -191,21 +191,21 @@
     }
 
     /// Returns the memory that the journal takes after the answer has ended, in bytes.
-    fn size(&self) -> usize {
-        let made = self.part.lock();
+    fn memory_bytes(&self) -> usize {
+        let answer = self.answer.lock();
         let weighed: usize = self.choices.lock().iter().map(|choice| choice.weighed.len() + 1).sum();
-        size_of::<Self>() + made.text.capacity() + made.ends.capacity() * 4 + weighed * 96
+        size_of::<Self>() + answer.text.capacity() + answer.ends.capacity() * 4 + weighed * 96
     }
 
-    fn settled(&self) -> Result<parking_lot::MutexGuard<'_, Place>, Moved> {
-        let mut place = self.place.lock();
-        while *place == Place::Moving {
-            self.moved.wait(&mut place);
+    fn lock_here(&self) -> Result<parking_lot::MutexGuard<'_, Location>, TakenOver> {
+        let mut location = self.location.lock();
+        while *location == Location::Moving {
+            self.handover_done.wait(&mut location);
         }
-        if *place == Place::Elsewhere {
-            Err(Moved)
+        if *location == Location::Elsewhere {
+            Err(TakenOver)
         } else {
-            Ok(place)
+            Ok(location)
         }
     }
 }
--- a/crates/entry/src/journal/kept.rs
+++ b/crates/entry/src/journal/table.rs
@@ -13,11 +13,11 @@
 use super::Journal;
 
 /// Most ended requests whose journals are kept.
-pub const KEPT: usize = 4_096;
+pub const MAX_ENDED: usize = 4_096;
 /// Most memory of ended requests' journals, in bytes.
-pub const KEPT_BYTES: usize = 16 * 1024 * 1024;
+pub const MAX_ENDED_BYTES: usize = 16 * 1024 * 1024;
 /// Longest time for which the journal of an ended request is kept.
-pub const KEPT_TIME: Duration = Duration::from_mins(10);
+pub const MAX_ENDED_AGE: Duration = Duration::from_mins(10);
 
 /// The journals of an entry host.
 #[derive(Debug, Default)]
@@ -27,13 +27,13 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    all: HashMap<RequestId, Arc<Journal>>,
-    ended: VecDeque<Ended>,
+    journals: HashMap<RequestId, Arc<Journal>>,
+    ended: VecDeque<EndedJournal>,
     bytes: usize,
 }
 
 #[derive(Debug)]
-struct Ended {
+struct EndedJournal {
     request: RequestId,
     at: Tick,
     bytes: usize,
@@ -41,62 +41,62 @@
 
 impl Journals {
     /// Opens the journal of a request.
-    pub fn open(&self, request: &RequestId, owner: String, ask: &ChatRequest) -> Arc<Journal> {
-        let journal = Arc::new(Journal::new(owner, ask));
-        self.inner.lock().all.insert(request.clone(), Arc::clone(&journal));
+    pub fn open(&self, request: &RequestId, owner: String, body: &ChatRequest) -> Arc<Journal> {
+        let journal = Arc::new(Journal::new(owner, body));
+        self.inner.lock().journals.insert(request.clone(), Arc::clone(&journal));
         journal
     }
 
     /// Opens the journal of a request; returns `None` if there is one already.
-    pub fn open_new(&self, request: &RequestId, owner: String, ask: &ChatRequest) -> Option<Arc<Journal>> {
+    pub fn open_new(&self, request: &RequestId, owner: String, body: &ChatRequest) -> Option<Arc<Journal>> {
         let mut inner = self.inner.lock();
-        if inner.all.contains_key(request) {
+        if inner.journals.contains_key(request) {
             return None;
         }
-        let journal = Arc::new(Journal::new(owner, ask));
-        inner.all.insert(request.clone(), Arc::clone(&journal));
+        let journal = Arc::new(Journal::new(owner, body));
+        inner.journals.insert(request.clone(), Arc::clone(&journal));
         Some(journal)
     }
 
     /// Records that a request ended, and drops the oldest ended journals that exceed the bounds.
     pub fn end(&self, request: &RequestId, now: Tick) {
         let mut inner = self.inner.lock();
-        let Some(bytes) = inner.all.get(request).map(|journal| journal.size()) else {
+        let Some(bytes) = inner.journals.get(request).map(|journal| journal.memory_bytes()) else {
             return;
         };
         inner.bytes += bytes;
-        inner.ended.push_back(Ended {
+        inner.ended.push_back(EndedJournal {
             request: request.clone(),
             at: now,
             bytes,
         });
-        inner.trim(now);
+        inner.drop_oldest(now);
         gauge!("gentian_journal_bytes").set(inner.bytes as f64);
     }
 
     /// Finds the journal of a request.
     #[must_use]
     pub fn find(&self, request: &RequestId) -> Option<Arc<Journal>> {
-        self.inner.lock().all.get(request).cloned()
+        self.inner.lock().journals.get(request).cloned()
     }
 
     /// Returns every request whose answer has not ended yet.
     #[must_use]
-    pub fn open_ones(&self) -> Vec<(RequestId, Arc<Journal>)> {
+    pub fn open_journals(&self) -> Vec<(RequestId, Arc<Journal>)> {
         let inner = self.inner.lock();
-        let open = inner.all.iter().filter(|(_, journal)| journal.is_open());
+        let open = inner.journals.iter().filter(|(_, journal)| journal.is_open());
         open.map(|(id, journal)| (id.clone(), Arc::clone(journal))).collect()
     }
 }
 
 impl Inner {
-    fn trim(&mut self, now: Tick) {
+    fn drop_oldest(&mut self, now: Tick) {
         while let Some(oldest) = self.ended.front()
-            && (self.ended.len() > KEPT || self.bytes > KEPT_BYTES || now.since(oldest.at) > KEPT_TIME)
+            && (self.ended.len() > MAX_ENDED || self.bytes > MAX_ENDED_BYTES || now.since(oldest.at) > MAX_ENDED_AGE)
             && let Some(oldest) = self.ended.pop_front()
         {
             self.bytes -= oldest.bytes;
-            self.all.remove(&oldest.request);
+            self.journals.remove(&oldest.request);
         }
     }
 }
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -9,9 +9,9 @@
 use anyhow::Context;
 use contract::settings::{self, Sheet};
 use entry::cli::Options;
-use entry::rpc::Rpc;
+use entry::rpc::EntryRpcHandler;
 use entry::settings::Settings;
-use entry::{Entry, burn, callers, current, drain, exchange, fleet, hosts, ops, rescue};
+use entry::{EntryHost, active_config, burn, callers, drain, exchange, hosts, ops, rescue, upstreams};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use slog::{info, warn};
 use telemetry::scrape::MetricsExporter;
@@ -20,11 +20,11 @@
 use wire::entry::EntryRpcServer;
 
 /// Timeout of an internal RPC.
-const TIMEOUT: Duration = Duration::from_secs(2);
-const STEP: Duration = Duration::from_millis(50);
+const RPC_TIMEOUT: Duration = Duration::from_secs(2);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const OPS_THREADS: usize = 4;
 /// Longest wait at shutdown for outcomes that are still to be recorded in the state group.
-const FLUSH: Duration = Duration::from_secs(10);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn main() -> ExitCode {
     ended("gentian-entry", run(&argh::from_env()))
@@ -36,12 +36,12 @@
         return Ok(());
     };
     let logger = log::start(settings.log, "gentian-entry", settings.node.as_str());
-    let calls = RpcRuntime::start(2, TIMEOUT)?;
-    let entry = Arc::new(Entry::new(settings, logger, &calls)?);
+    let calls = RpcRuntime::start(2, RPC_TIMEOUT)?;
+    let entry = Arc::new(EntryHost::new(settings, logger, &calls)?);
     serve(&entry, &calls)
 }
 
-fn serve(entry: &Arc<Entry>, calls: &RpcRuntime) -> anyhow::Result<()> {
+fn serve(entry: &Arc<EntryHost>, calls: &RpcRuntime) -> anyhow::Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
     signal_hook::flag::register(SIGINT, Arc::clone(&stop))?;
@@ -51,79 +51,76 @@
     let ops = start_ops(entry, scrape)?;
     let inner = calls.wait(jsonrpsee::server::Server::builder().build(entry.settings.inner))?;
     let inner_address = inner.local_addr()?;
-    let rpc = Rpc::new(Arc::clone(entry));
+    let rpc = EntryRpcHandler::new(Arc::clone(entry));
     let handle = calls.wait(async { inner.start(rpc.into_rpc()) });
-    start_duties(entry)?;
-    let (rememberer, remembering) = (Arc::clone(entry), calls.clone());
-    let remember = move || burn::remember(&rememberer, &remembering, inner_address);
-    thread::Builder::new().name("burn".to_owned()).spawn(remember)?;
+    start_threads(entry)?;
+    let (shared, runtime) = (Arc::clone(entry), calls.clone());
+    let back_up = move || burn::back_up_peer(&shared, &runtime, inner_address);
+    thread::Builder::new().name("burn".to_owned()).spawn(back_up)?;
     start_exchange(entry, inner_address)?;
     info!(entry.logger, "serving"; "callers" => %listener.local_addr()?, "ops" => %ops,
         "inner" => %inner_address);
     thread::scope(|scope| {
         let acceptor = scope.spawn(|| callers::accept(entry, &listener));
-        let told = || stop.load(Ordering::Relaxed) || entry.told.load(Ordering::Relaxed);
-        while !told() && !acceptor.is_finished() {
-            thread::sleep(STEP);
+        let must_stop = || stop.load(Ordering::Relaxed) || entry.leave_requested.load(Ordering::Relaxed);
+        while !must_stop() && !acceptor.is_finished() {
+            thread::sleep(STOP_CHECK_INTERVAL);
         }
-        drain::leave(entry);
-        burn::hand_over(entry, calls, inner_address);
+        drain::drain(entry);
+        burn::send_counts(entry, calls, inner_address);
         entry.stop.store(true, Ordering::Relaxed);
     });
     // Stopping fails only if the server has stopped already.
     let _ = handle.stop();
-    if !entry.state.flush(FLUSH) {
-        warn!(
-            entry.logger,
-            "outcomes are left unrecorded, as the state group has no leader"
-        );
+    if !entry.state_client.flush(FLUSH_TIMEOUT) {
+        warn!(entry.logger, "outcomes left unrecorded: the state group has no leader");
     }
     info!(entry.logger, "stopped");
     log::finish();
     Ok(())
 }
 
-fn start_ops(entry: &Arc<Entry>, scrape: MetricsExporter) -> anyhow::Result<std::net::SocketAddr> {
+fn start_ops(entry: &Arc<EntryHost>, scrape: MetricsExporter) -> anyhow::Result<std::net::SocketAddr> {
     let shared = Arc::clone(entry);
     let listen = entry.settings.ops;
-    let server = rouille::Server::new(listen, move |request| ops::answer(&shared, &scrape, request))
+    let server = rouille::Server::new(listen, move |request| ops::respond(&shared, &scrape, request))
         .map_err(|error| anyhow::anyhow!("listen on {listen}: {error}"))?
         .pool_size(OPS_THREADS);
     let address = server.server_addr();
     let entry = Arc::clone(entry);
     thread::Builder::new().name("ops".to_owned()).spawn(move || {
         while !entry.stop.load(Ordering::Relaxed) {
-            server.poll_timeout(STEP);
+            server.poll_timeout(STOP_CHECK_INTERVAL);
         }
     })?;
     Ok(address)
 }
 
-fn start_duties(entry: &Arc<Entry>) -> std::io::Result<()> {
+fn start_threads(entry: &Arc<EntryHost>) -> std::io::Result<()> {
     let learner = Arc::clone(entry);
     thread::Builder::new()
         .name("learner".to_owned())
-        .spawn(move || current::follow(&learner))?;
+        .spawn(move || active_config::watch_state(&learner))?;
     rescue::start(entry)?;
     let watcher = Arc::clone(entry);
     thread::Builder::new()
         .name("hosts".to_owned())
-        .spawn(move || hosts::watch(&watcher))?;
+        .spawn(move || hosts::watch_hosts(&watcher))?;
     let poller = Arc::clone(entry);
     // The result is dropped: starting the poller threads fails only if the system has no threads left.
     thread::Builder::new()
         .name("loads".to_owned())
-        .spawn(move || fleet::poll::run(&poller))?;
+        .spawn(move || upstreams::poll::run(&poller))?;
     let reader = Arc::clone(entry);
     thread::Builder::new()
         .name("events".to_owned())
-        .spawn(move || fleet::events::run(&reader))?;
+        .spawn(move || upstreams::events::run(&reader))?;
     Ok(())
 }
 
 /// Starts the digest exchange with the other entry hosts.
-fn start_exchange(entry: &Arc<Entry>, own: std::net::SocketAddr) -> anyhow::Result<()> {
-    let socket = exchange::open(own).map_err(|error| anyhow::anyhow!("open UDP {own}: {error}"))?;
+fn start_exchange(entry: &Arc<EntryHost>, own: std::net::SocketAddr) -> anyhow::Result<()> {
+    let socket = exchange::open(own).map_err(|error| anyhow::anyhow!("bind UDP socket at {own}: {error}"))?;
     let entry = Arc::clone(entry);
     thread::Builder::new()
         .name("exchange".to_owned())
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -6,8 +6,8 @@
 //! host and its attempt loop replays it, so that correct answers never depend on this module.
 
 mod copy;
-mod kept;
-mod ride;
+mod ended;
+mod tracked;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -22,121 +22,132 @@
 use policy::prefix::Prefix;
 use policy::rescue::{MoveRates, Stream, StreamAction, plan};
 
-use crate::Entry;
+use crate::EntryHost;
 use crate::settings::KvExport;
-use kept::{Kept, KeptAnswers};
-use ride::{Aboard, Stage};
-pub use ride::{Boarding, Move, Ride};
+use ended::{EndedAnswer, EndedAnswers};
+pub use tracked::{AttemptInfo, StreamMove, TrackedAttempt};
+use tracked::{AttemptRecord, MoveStage};
 
 /// Pause between two checks of the running attempts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Number of threads that copy KV cache.
-const COPIERS: usize = 8;
+const COPY_THREADS: usize = 8;
 /// Assumed time to prefill one token; decides whether a replay would miss a latency target.
-const PREFILL: Duration = Duration::from_micros(250);
+const PREFILL_PER_TOKEN: Duration = Duration::from_micros(250);
 /// Assumed time to export the KV cache of one token until an export was measured.
-const EXPORT: Duration = Duration::from_micros(130);
+const EXPORT_PER_TOKEN: Duration = Duration::from_micros(130);
 /// Weight of the newest measurement in the moving average of the export time.
-const NEWEST: f64 = 0.3;
+const NEWEST_WEIGHT: f64 = 0.3;
 
 /// A KV cache copy for a copier thread.
 #[derive(Debug)]
-enum Job {
+enum CopyJob {
     /// The cache of a running stream.
     Stream(RequestId),
     /// The cache of an answer that ended, for the next turn of its conversation.
-    Ended(Box<Kept>),
+    Ended(Box<EndedAnswer>),
 }
 
 /// The running attempts, recently ended answers and the measured export time.
 #[derive(Debug, Default)]
-pub struct Rescue {
-    aboard: Mutex<HashMap<RequestId, Aboard>>,
-    changed: Condvar,
-    kept: Mutex<KeptAnswers>,
+pub struct StreamRescue {
+    attempts: Mutex<HashMap<RequestId, AttemptRecord>>,
+    copy_ended: Condvar,
+    ended: Mutex<EndedAnswers>,
     /// Seconds to export the KV cache of one token; absent until an export was measured.
-    export: Mutex<Option<f64>>,
+    export_seconds: Mutex<Option<f64>>,
 }
 
-impl Rescue {
+impl StreamRescue {
     /// Returns whether the cache of any stream is being imported into another engine.
     #[must_use]
     pub fn is_importing(&self) -> bool {
-        self.aboard.lock().values().any(|one| one.stage == Stage::Importing)
+        self.attempts
+            .lock()
+            .values()
+            .any(|attempt| attempt.stage == MoveStage::Importing)
     }
 
     /// Records an answer that ended; `prefix` is what the engine now has in its cache.
-    pub fn keep(&self, id: &RequestId, spec: &UpstreamSpec, prefix: Prefix) {
-        self.kept.lock().push(id, spec, prefix);
+    pub fn remember_answer(&self, id: &RequestId, spec: &UpstreamSpec, prefix: Prefix) {
+        self.ended.lock().push(id, spec, prefix);
     }
 
     fn rates(&self, export: bool) -> MoveRates {
-        let measured = self.export.lock().map(Duration::from_secs_f64);
+        let measured = self.export_seconds.lock().map(Duration::from_secs_f64);
         MoveRates {
-            export: export.then(|| measured.unwrap_or(EXPORT)),
-            prefill: PREFILL,
+            export: export.then(|| measured.unwrap_or(EXPORT_PER_TOKEN)),
+            prefill: PREFILL_PER_TOKEN,
         }
     }
 
-    fn measured(&self, tokens: u64, took: Duration) {
+    fn record_export(&self, tokens: u64, took: Duration) {
         let new = took.as_secs_f64() / tokens.max(1) as f64;
-        let mut export = self.export.lock();
-        *export = Some(export.map_or(new, |known| known * (1.0 - NEWEST) + new * NEWEST));
+        let mut export = self.export_seconds.lock();
+        *export = Some(export.map_or(new, |known| known * (1.0 - NEWEST_WEIGHT) + new * NEWEST_WEIGHT));
     }
 
     /// Decides about every stream on a leaving host and returns the copies that can start now.
-    fn look(&self, entry: &Entry, now: Tick) -> Vec<Job> {
+    fn plan_copies(&self, entry: &EntryHost, now: Tick) -> Vec<CopyJob> {
         // Most of the time no host leaves, and the checks below would waste processor time.
-        if !entry.fleet.hosts.any_ends(now) {
+        if !entry.upstreams.hosts.any_ending(now) {
             return Vec::new();
         }
-        let mut aboard = self.aboard.lock();
-        let mut busy = exporting(&aboard);
-        busy.extend(self.kept.lock().copying());
-        let streams = self.look_streams(&mut aboard, &mut busy, entry, now);
-        let mut jobs: Vec<Job> = streams.into_iter().map(Job::Stream).collect();
+        let mut attempts = self.attempts.lock();
+        let mut busy = exporting_engines(&attempts);
+        busy.extend(self.ended.lock().copying_engines());
+        let streams = self.plan_streams(&mut attempts, &mut busy, entry, now);
+        let mut jobs: Vec<CopyJob> = streams.into_iter().map(CopyJob::Stream).collect();
         if let Some(export) = self.rates(entry.settings.kv_export == KvExport::All).export {
             // Ended answers use only the links that no stream needs now.
-            let ended = self.kept.lock().take(&entry.fleet.hosts, export, now, &mut busy);
-            jobs.extend(ended.into_iter().map(|kept| Job::Ended(Box::new(kept))));
+            let ended = self
+                .ended
+                .lock()
+                .take_copyable(&entry.upstreams.hosts, export, now, &mut busy);
+            jobs.extend(ended.into_iter().map(|answer| CopyJob::Ended(Box::new(answer))));
         }
         jobs
     }
 
-    fn look_streams(
+    fn plan_streams(
         &self,
-        aboard: &mut HashMap<RequestId, Aboard>,
+        attempts: &mut HashMap<RequestId, AttemptRecord>,
         busy: &mut HashSet<UpstreamId>,
-        entry: &Entry,
+        entry: &EntryHost,
         now: Tick,
     ) -> Vec<RequestId> {
-        let hosts = &entry.fleet.hosts;
-        let mut ids = Vec::new();
+        let hosts = &entry.upstreams.hosts;
+        let mut requests = Vec::new();
         let mut streams = Vec::new();
-        for (id, one) in aboard.iter().filter(|(_, one)| one.stage == Stage::Riding) {
+        for (id, attempt) in attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.stage == MoveStage::Running)
+        {
             // A host that an operator drains has no announced end; its streams finish there.
-            if let AnyHostState::Leaving(life) = hosts.stage(&one.spec.host)
-                && let Some(gone_at) = life.gone_at()
+            if let AnyHostState::Leaving(state) = hosts.state(&attempt.spec.host)
+                && let Some(gone_at) = state.gone_at()
             {
-                ids.push(id.clone());
-                streams.push(one.stream(gone_at, now));
+                requests.push(id.clone());
+                streams.push(attempt.stream(gone_at, now));
             }
         }
         if streams.is_empty() {
             return Vec::new();
         }
         let mut copies = Vec::new();
-        let steps = plan(
-            &numbered(&streams),
+        let actions = plan(
+            &numbered_sources(&streams),
             &self.rates(entry.settings.kv_export != KvExport::Off),
         );
-        for (at, how) in steps {
-            let Some(one) = aboard.get_mut(&ids[at]) else { continue };
-            match how {
-                StreamAction::Replay => one.ask(None, StreamAction::Replay),
-                StreamAction::Export if busy.insert(one.spec.id.clone()) => {
-                    one.stage = Stage::Exporting;
-                    copies.push(ids[at].clone());
+        for (index, action) in actions {
+            let Some(attempt) = attempts.get_mut(&requests[index]) else {
+                continue;
+            };
+            match action {
+                StreamAction::Replay => attempt.request_move(None, StreamAction::Replay),
+                StreamAction::Export if busy.insert(attempt.spec.id.clone()) => {
+                    attempt.stage = MoveStage::Exporting;
+                    copies.push(requests[index].clone());
                 }
                 StreamAction::Export | StreamAction::Finish => {}
             }
@@ -145,25 +156,27 @@
     }
 
     /// Returns a copy that can't start yet to where it came from.
-    fn put_back(&self, job: Job) {
+    fn put_back(&self, job: CopyJob) {
         match job {
-            Job::Stream(id) => {
-                if let Some(one) = self.aboard.lock().get_mut(&id) {
-                    one.stage = Stage::Riding;
+            CopyJob::Stream(id) => {
+                if let Some(attempt) = self.attempts.lock().get_mut(&id) {
+                    attempt.stage = MoveStage::Running;
                 }
             }
-            Job::Ended(kept) => self.kept.lock().put_back(*kept),
+            CopyJob::Ended(answer) => self.ended.lock().put_back(*answer),
         }
     }
 }
 
-fn exporting(aboard: &HashMap<RequestId, Aboard>) -> HashSet<UpstreamId> {
-    let busy = aboard.values().filter(|one| one.stage == Stage::Exporting);
-    busy.map(|one| one.spec.id.clone()).collect()
+fn exporting_engines(attempts: &HashMap<RequestId, AttemptRecord>) -> HashSet<UpstreamId> {
+    let busy = attempts
+        .values()
+        .filter(|attempt| attempt.stage == MoveStage::Exporting);
+    busy.map(|attempt| attempt.spec.id.clone()).collect()
 }
 
 /// Replaces the source engines by numbers, so that the plan needs no names.
-fn numbered(streams: &[Stream<&UpstreamId>]) -> Vec<Stream<usize>> {
+fn numbered_sources(streams: &[Stream<&UpstreamId>]) -> Vec<Stream<usize>> {
     let mut numbers = HashMap::new();
     let number = |stream: &Stream<&UpstreamId>| {
         let next = numbers.len();
@@ -184,9 +197,9 @@
 ///
 /// # Errors
 /// Fails if a thread can't be started.
-pub fn start(entry: &Arc<Entry>) -> std::io::Result<()> {
-    let (ring, jobs) = bounded::<Job>(COPIERS);
-    for _ in 0..COPIERS {
+pub fn start(entry: &Arc<EntryHost>) -> std::io::Result<()> {
+    let (queue, jobs) = bounded::<CopyJob>(COPY_THREADS);
+    for _ in 0..COPY_THREADS {
         let (entry, jobs) = (Arc::clone(entry), jobs.clone());
         std::thread::Builder::new()
             .name("copier".to_owned())
@@ -195,16 +208,16 @@
     let entry = Arc::clone(entry);
     std::thread::Builder::new()
         .name("rescue".to_owned())
-        .spawn(move || watch(&entry, &ring))?;
+        .spawn(move || watch_attempts(&entry, &queue))?;
     Ok(())
 }
 
-fn watch(entry: &Entry, ring: &Sender<Job>) {
-    while !entry.stopping() {
-        for job in entry.rescue.look(entry, entry.clock.now()) {
-            if let Err(refused) = ring.try_send(job) {
+fn watch_attempts(entry: &EntryHost, queue: &Sender<CopyJob>) {
+    while !entry.is_stopping() {
+        for job in entry.rescue.plan_copies(entry, entry.clock.now()) {
+            if let Err(rejected) = queue.try_send(job) {
                 counter!("gentian_rescue_copies_waiting_total").increment(1);
-                entry.rescue.put_back(refused.into_inner());
+                entry.rescue.put_back(rejected.into_inner());
             }
         }
         std::thread::sleep(CHECK_INTERVAL);
--- a/crates/entry/src/rescue/copy.rs
+++ b/crates/entry/src/rescue/copy.rs
@@ -10,38 +10,43 @@
 use slog::warn;
 use upstream::kv::{ExportScope, ExportedCache};
 
-use super::{Job, Kept, Stage};
-use crate::Entry;
-use crate::fleet::Ask;
+use super::{CopyJob, EndedAnswer, MoveStage};
+use crate::EntryHost;
+use crate::upstreams::RouteRequest;
 
 /// Timeout of one export and of one import.
-const TIMEOUT: Duration = Duration::from_secs(20);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Engines that are tried as the target of one copy.
-const TARGETS: usize = 3;
+const MAX_TARGETS: usize = 3;
 
 /// Runs a copy job.
-pub(super) fn run(entry: &Entry, job: Job) {
+pub(super) fn run(entry: &EntryHost, job: CopyJob) {
     match job {
-        Job::Stream(id) => stream(entry, &id),
-        Job::Ended(kept) => {
-            ended(entry, &kept);
-            entry.rescue.kept.lock().done(&kept);
+        CopyJob::Stream(id) => copy_stream(entry, &id),
+        CopyJob::Ended(answer) => {
+            copy_ended(entry, &answer);
+            entry.rescue.ended.lock().copy_done(&answer);
         }
     }
 }
 
 /// Copies the cache of an ended answer; the next turn of the conversation is then routed to the copy.
-fn ended(entry: &Entry, kept: &Kept) {
+fn copy_ended(entry: &EntryHost, answer: &EndedAnswer) {
     let began = entry.clock.now();
-    let what = ExportScope::Request(kept.id.clone());
-    let Ok(exported) = entry.engines.export(kept.spec.address, &what, TIMEOUT) else {
+    let scope = ExportScope::Request(answer.id.clone());
+    let Ok(exported) = entry
+        .engine_client
+        .export(answer.spec.address, &scope, TRANSFER_TIMEOUT)
+    else {
         return counter!("gentian_copies_failed_total").increment(1);
     };
-    entry.rescue.measured(exported.tokens, entry.clock.now().since(began));
-    match import(entry, &kept.id, &kept.spec, &exported) {
-        Some(to) => {
+    entry
+        .rescue
+        .record_export(exported.tokens, entry.clock.now().since(began));
+    match import_cache(entry, &answer.id, &answer.spec, &exported) {
+        Some(target) => {
             counter!("gentian_kv_moved_tokens_total").increment(exported.tokens);
-            entry.fleet.holds(&to, &kept.prefix, entry.clock.now());
+            entry.upstreams.record_copy(&target, &answer.prefix, entry.clock.now());
         }
         None => counter!("gentian_copies_failed_total").increment(1),
     }
@@ -49,47 +54,55 @@
 
 /// Copies the cache of a stream and asks the stream to move there. After a failure the stream continues and is decided
 /// about again.
-fn stream(entry: &Entry, id: &RequestId) {
-    let source = entry.rescue.aboard.lock().get(id).map(|one| one.spec.clone());
+fn copy_stream(entry: &EntryHost, id: &RequestId) {
+    let source = entry.rescue.attempts.lock().get(id).map(|attempt| attempt.spec.clone());
     let Some(source) = source else { return };
     let began = entry.clock.now();
     let exported = match entry
-        .engines
-        .export(source.address, &ExportScope::Request(id.clone()), TIMEOUT)
+        .engine_client
+        .export(source.address, &ExportScope::Request(id.clone()), TRANSFER_TIMEOUT)
     {
         Ok(exported) => exported,
         Err(error) => {
-            warn!(entry.logger, "export failed"; "request" => %id, "error" => %error);
-            return give_up(entry, id);
+            warn!(entry.logger, "KV cache export failed"; "request" => %id, "error" => %error);
+            return fail_copy(entry, id);
         }
     };
     let took = entry.clock.now().since(began);
-    entry.rescue.measured(exported.tokens, took);
-    if !step(entry, id, Stage::Importing) {
+    entry.rescue.record_export(exported.tokens, took);
+    if !set_stage(entry, id, MoveStage::Importing) {
         return;
     }
-    match import(entry, id, &source, &exported) {
-        Some(to) => {
+    match import_cache(entry, id, &source, &exported) {
+        Some(target) => {
             counter!("gentian_kv_moved_tokens_total").increment(exported.tokens);
-            arrive(entry, id, to);
+            finish_copy(entry, id, target);
         }
-        None => give_up(entry, id),
+        None => fail_copy(entry, id),
     }
 }
 
 /// Tries one engine after the other until an import succeeds, and returns that engine.
-fn import(entry: &Entry, id: &RequestId, source: &UpstreamSpec, exported: &ExportedCache) -> Option<UpstreamId> {
+fn import_cache(
+    entry: &EntryHost,
+    id: &RequestId,
+    source: &UpstreamSpec,
+    exported: &ExportedCache,
+) -> Option<UpstreamId> {
     let mut avoid = vec![source.id.clone()];
-    for _ in 0..TARGETS {
-        let target = target(entry, source, exported, &avoid)?;
-        match entry.engines.import(target.address, exported, TIMEOUT) {
+    for _ in 0..MAX_TARGETS {
+        let target = choose_target(entry, source, exported, &avoid)?;
+        match entry.engine_client.import(target.address, exported, TRANSFER_TIMEOUT) {
             // The target may have got a reclaim notice meanwhile; then the next engine is tried.
-            Ok(()) if entry.fleet.hosts.takes_work(&target.host) => return Some(target.id),
+            Ok(()) if entry.upstreams.hosts.takes_work(&target.host) => return Some(target.id),
             Ok(()) => counter!("gentian_imports_failed_total", "cause" => "leaving").increment(1),
             Err(error) => {
                 counter!("gentian_imports_failed_total", "cause" => "error").increment(1);
-                warn!(entry.logger, "import failed"; "request" => %id, "error" => %error);
-                entry.fleet.hosts.failed(&target.host, &error, entry.clock.now());
+                warn!(entry.logger, "KV cache import failed"; "request" => %id, "error" => %error);
+                entry
+                    .upstreams
+                    .hosts
+                    .record_failure(&target.host, &error, entry.clock.now());
             }
         }
         avoid.push(target.id);
@@ -98,31 +111,31 @@
 }
 
 /// Chooses the target of a copy: preferably in a zone where no host is leaving, otherwise anywhere.
-fn target(
-    entry: &Entry,
+fn choose_target(
+    entry: &EntryHost,
     source: &UpstreamSpec,
     exported: &ExportedCache,
     avoid: &[UpstreamId],
 ) -> Option<UpstreamSpec> {
-    let view = entry.current.view();
+    let view = entry.config.view();
     let UpstreamKind::Engine { model, .. } = &source.kind else {
         return None;
     };
-    let same = |spec: &&UpstreamSpec| spec.serves_model(model.as_str());
-    let specs: Vec<&UpstreamSpec> = view.config.upstreams.values().filter(same).collect();
-    let left: Vec<_> = specs
+    let same_model = |spec: &&UpstreamSpec| spec.serves_model(model.as_str());
+    let specs: Vec<&UpstreamSpec> = view.config.upstreams.values().filter(same_model).collect();
+    let leaving_zones: Vec<_> = specs
         .iter()
-        .filter(|spec| !entry.fleet.hosts.takes_work(&spec.host))
+        .filter(|spec| !entry.upstreams.hosts.takes_work(&spec.host))
         .map(|spec| &spec.host.zone)
         .chain([&source.host.zone])
         .collect();
-    let in_wave = specs.iter().filter(|spec| left.contains(&&spec.host.zone));
-    let outside: Vec<UpstreamId> = in_wave
+    let affected = specs.iter().filter(|spec| leaving_zones.contains(&&spec.host.zone));
+    let excluded: Vec<UpstreamId> = affected
         .map(|spec| spec.id.clone())
         .chain(avoid.iter().cloned())
         .collect();
     let find = |tried: &[UpstreamId]| {
-        let ask = Ask {
+        let request = RouteRequest {
             target: &Target::Model(model.to_string()),
             prefix: &Prefix::of([]),
             need: RequestNeed {
@@ -132,30 +145,30 @@
             },
             tried,
         };
-        entry.fleet.choose(&view, &ask, entry.clock.now())
+        entry.upstreams.choose(&view, &request, entry.clock.now())
     };
-    let choice = find(&outside).or_else(|| find(avoid))?;
+    let choice = find(&excluded).or_else(|| find(avoid))?;
     view.config.upstreams.get(&choice.chosen).cloned()
 }
 
 /// Sets the stage of a stream; returns whether its attempt still runs.
-fn step(entry: &Entry, id: &RequestId, stage: Stage) -> bool {
-    let mut aboard = entry.rescue.aboard.lock();
-    aboard.get_mut(id).map(|one| one.stage = stage).is_some()
+fn set_stage(entry: &EntryHost, id: &RequestId, stage: MoveStage) -> bool {
+    let mut attempts = entry.rescue.attempts.lock();
+    attempts.get_mut(id).map(|attempt| attempt.stage = stage).is_some()
 }
 
-fn arrive(entry: &Entry, id: &RequestId, to: UpstreamId) {
-    if let Some(one) = entry.rescue.aboard.lock().get_mut(id) {
-        one.ask(Some(to), StreamAction::Export);
+fn finish_copy(entry: &EntryHost, id: &RequestId, target: UpstreamId) {
+    if let Some(attempt) = entry.rescue.attempts.lock().get_mut(id) {
+        attempt.request_move(Some(target), StreamAction::Export);
     }
-    entry.rescue.changed.notify_all();
+    entry.rescue.copy_ended.notify_all();
 }
 
-fn give_up(entry: &Entry, id: &RequestId) {
+fn fail_copy(entry: &EntryHost, id: &RequestId) {
     counter!("gentian_copies_failed_total").increment(1);
-    if let Some(one) = entry.rescue.aboard.lock().get_mut(id) {
-        one.failed += 1;
-        one.stage = Stage::Riding;
+    if let Some(attempt) = entry.rescue.attempts.lock().get_mut(id) {
+        attempt.failed_copies += 1;
+        attempt.stage = MoveStage::Running;
     }
-    entry.rescue.changed.notify_all();
+    entry.rescue.copy_ended.notify_all();
 }
--- a/crates/entry/src/rescue/kept.rs
+++ b/crates/entry/src/rescue/ended.rs
@@ -8,18 +8,18 @@
 use policy::life::AnyHostState;
 use policy::prefix::Prefix;
 
-use crate::hosts::Hosts;
+use crate::hosts::HostTracker;
 
 /// Most ended answers that are remembered.
-const MOST: usize = 2_048;
+const MAX_ANSWERS: usize = 2_048;
 /// Fewest words of prompt and answer that are worth a copy.
-const FEWEST: u64 = 32;
+const MIN_WORDS: u64 = 32;
 /// Safety margin before the announced end of a host.
-const SAFETY: Duration = Duration::from_millis(200);
+const SAFETY_MARGIN: Duration = Duration::from_millis(200);
 
 /// An ended answer and the engine whose cache holds it.
 #[derive(Debug)]
-pub(super) struct Kept {
+pub(super) struct EndedAnswer {
     pub(super) id: RequestId,
     pub(super) spec: UpstreamSpec,
     pub(super) prefix: Prefix,
@@ -27,80 +27,80 @@
 
 /// All remembered answers, and the engines that are being copied from.
 #[derive(Debug, Default)]
-pub(super) struct KeptAnswers {
-    answers: VecDeque<Kept>,
+pub(super) struct EndedAnswers {
+    answers: VecDeque<EndedAnswer>,
     copying: HashSet<UpstreamId>,
 }
 
-impl KeptAnswers {
+impl EndedAnswers {
     /// Adds an answer; it replaces the earlier answer that it continues.
     pub(super) fn push(&mut self, id: &RequestId, spec: &UpstreamSpec, prefix: Prefix) {
-        if prefix.words() < FEWEST {
+        if prefix.words() < MIN_WORDS {
             return;
         }
-        let continues = |old: &Kept| {
+        let continues = |old: &EndedAnswer| {
             let last = old.prefix.blocks().last();
             old.spec.id == spec.id && last.is_some_and(|last| prefix.blocks().contains(last))
         };
-        if let Some(at) = self.answers.iter().position(continues) {
-            self.answers.remove(at);
+        if let Some(index) = self.answers.iter().position(continues) {
+            self.answers.remove(index);
         }
-        self.answers.push_front(Kept {
+        self.answers.push_front(EndedAnswer {
             id: id.clone(),
             spec: spec.clone(),
             prefix,
         });
-        self.answers.truncate(MOST);
+        self.answers.truncate(MAX_ANSWERS);
     }
 
     /// Returns the engines that are being copied from.
-    pub(super) fn copying(&self) -> impl Iterator<Item = UpstreamId> {
+    pub(super) fn copying_engines(&self) -> impl Iterator<Item = UpstreamId> {
         self.copying.iter().cloned()
     }
 
     /// Takes the newest answer of each engine on a leaving host if its copy fits into the time that is left. `busy`
     /// holds the engines that already export.
-    pub(super) fn take(
+    pub(super) fn take_copyable(
         &mut self,
-        hosts: &Hosts,
-        export: Duration,
+        hosts: &HostTracker,
+        per_token: Duration,
         now: Tick,
         busy: &mut HashSet<UpstreamId>,
-    ) -> Vec<Kept> {
+    ) -> Vec<EndedAnswer> {
         let mut taken = Vec::new();
-        let mut rest = VecDeque::with_capacity(self.answers.len());
-        for kept in self.answers.drain(..) {
-            let AnyHostState::Leaving(life) = hosts.stage(&kept.spec.host) else {
-                rest.push_back(kept);
+        let mut others = VecDeque::with_capacity(self.answers.len());
+        for answer in self.answers.drain(..) {
+            let AnyHostState::Leaving(state) = hosts.state(&answer.spec.host) else {
+                others.push_back(answer);
                 continue;
             };
             // A drained host has no announced end; its conversations move with their next turn.
-            let Some(left) = life.gone_at().map(|at| at.since(now)) else {
+            let Some(time_left) = state.gone_at().map(|at| at.since(now)) else {
                 continue;
             };
-            let fits = export.mul_f64(kept.prefix.words() as f64) + SAFETY <= left;
+            let fits = per_token.mul_f64(answer.prefix.words() as f64) + SAFETY_MARGIN <= time_left;
             if !fits {
                 continue;
             }
-            if busy.insert(kept.spec.id.clone()) {
-                self.copying.insert(kept.spec.id.clone());
-                taken.push(kept);
+            if busy.insert(answer.spec.id.clone()) {
+                self.copying.insert(answer.spec.id.clone());
+                taken.push(answer);
             } else {
-                rest.push_back(kept);
+                others.push_back(answer);
             }
         }
-        self.answers = rest;
+        self.answers = others;
         taken
     }
 
     /// Puts an answer back if its copy can't start yet.
-    pub(super) fn put_back(&mut self, kept: Kept) {
-        self.done(&kept);
-        self.answers.push_front(kept);
+    pub(super) fn put_back(&mut self, answer: EndedAnswer) {
+        self.copy_done(&answer);
+        self.answers.push_front(answer);
     }
 
     /// Records that a copy ended.
-    pub(super) fn done(&mut self, kept: &Kept) {
-        self.copying.remove(&kept.spec.id);
+    pub(super) fn copy_done(&mut self, answer: &EndedAnswer) {
+        self.copying.remove(&answer.spec.id);
     }
 }
