--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -240,13 +240,13 @@
     /// # Errors
     /// Returns all settings that are missing or invalid.
     pub fn read(options: &Options, sheet: &mut Sheet) -> Result<Self, Problems> {
-        let some = 1..=4_096;
+        let allowed = 1..=4_096;
         let node = sheet.read::<String>(&NODE, options.node.as_deref()).map(NodeId::from);
         let node = sheet.check(&NODE, node, NodeId::is_valid);
-        let place = sheet
+        let data_center = sheet
             .read::<String>(&DATA_CENTER, options.data_center.as_deref())
             .map(DataCenter::from);
-        let place = sheet.check(&DATA_CENTER, place, DataCenter::is_valid);
+        let data_center = sheet.check(&DATA_CENTER, data_center, DataCenter::is_valid);
         let listen = sheet.read(&LISTEN, options.listen.as_deref());
         let ops = sheet.read(&OPS, options.ops.as_deref());
         let inner = sheet.read(&INNER, options.inner.as_deref());
@@ -258,9 +258,9 @@
         let routing = sheet.read(&ROUTING, options.routing.as_deref());
         let without = sheet.read::<List<Ablation>>(&WITHOUT, options.without.as_deref());
         let running = sheet.read(&RUNNING, options.running.as_deref());
-        let running = sheet.check(&RUNNING, running, |count| some.contains(count));
+        let running = sheet.check(&RUNNING, running, |count| allowed.contains(count));
         let waiting = sheet.read(&WAITING, options.waiting.as_deref());
-        let waiting = sheet.check(&WAITING, waiting, |count| some.contains(count));
+        let waiting = sheet.check(&WAITING, waiting, |count| allowed.contains(count));
         let connections = sheet.read(&CONNECTIONS, options.connections.as_deref());
         let connections = sheet.check(&CONNECTIONS, connections, |count| (16..=16_384).contains(count));
         let host = sheet.read::<String>(&HOST, options.host.as_deref()).map(HostId::from);
@@ -278,7 +278,7 @@
             Some(Self {
                 host: host.unwrap_or_else(|| node.as_str().into()),
                 node,
-                data_center: place?,
+                data_center: data_center?,
                 listen: listen?,
                 ops: ops?,
                 inner: inner?,
--- a/crates/entry/src/fleet/events.rs
+++ b/crates/entry/src/upstreams/events.rs
@@ -13,79 +13,79 @@
 use policy::route::Ablation;
 use upstream::engine::EngineClient;
 
-use super::Fleet;
-use super::index::Row;
-use crate::Entry;
+use super::Upstreams;
+use super::index::Upstream;
+use crate::EntryHost;
 
-const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-const TIMEOUT: Duration = Duration::from_millis(500);
+const READ_INTERVAL: Duration = Duration::from_millis(250);
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// Network budget of reading events, in bytes a second.
-const BUDGET: f64 = 1_000.0;
+const BYTES_PER_S: f64 = 1_000.0;
 /// Network bytes of a response without events, and of each event in it.
-const BYTES: (f64, f64) = (900.0, 66.0);
+const READ_BYTES: (f64, f64) = (900.0, 66.0);
 /// Time after the last request for which an engine is asked.
-const RECENT: Duration = Duration::from_mins(1);
+const RECENT_TIME: Duration = Duration::from_mins(1);
 
 /// Reads cache events until the process stops.
-pub fn run(entry: &Entry) {
-    let client = EngineClient::new(TIMEOUT);
-    let mut budget = Bucket::new(BUDGET, entry.clock.now());
-    while !entry.stopping() {
-        std::thread::sleep(CHECK_INTERVAL);
-        if !entry.fleet.rules.with(Ablation::CacheEvents) {
+pub fn run(entry: &EntryHost) {
+    let client = EngineClient::new(READ_TIMEOUT);
+    let mut budget = Bucket::new(BYTES_PER_S, entry.clock.now());
+    while !entry.is_stopping() {
+        std::thread::sleep(READ_INTERVAL);
+        if !entry.upstreams.rules.with(Ablation::CacheEvents) {
             continue;
         }
         let now = entry.clock.now();
-        let Some(row) = entry.fleet.next_read(now) else {
+        let Some(upstream) = entry.upstreams.next_engine(now) else {
             continue;
         };
-        if budget.take(BYTES.0, now).is_err() {
+        if budget.take(READ_BYTES.0, now).is_err() {
             continue;
         }
-        let after = row.member.state.lock().cursor.after();
-        match client.cache_events(row.spec.address, after, TIMEOUT) {
+        let after = upstream.state.stats.lock().cursor.after();
+        match client.cache_events(upstream.spec.address, after, READ_TIMEOUT) {
             Ok(events) => {
-                budget.correct(-BYTES.1 * events.len() as f64);
+                budget.correct(-READ_BYTES.1 * events.len() as f64);
                 let events = events.iter().map(|event| CacheEvent {
                     sequence: event.sequence,
                     block: event.block,
                     stored: event.stored,
                 });
                 entry
-                    .fleet
-                    .take_events(&row, &events.collect::<Vec<_>>(), entry.clock.now());
+                    .upstreams
+                    .apply_events(&upstream, &events.collect::<Vec<_>>(), entry.clock.now());
             }
             Err(_) => counter!("gentian_event_reads_failed_total").increment(1),
         }
     }
 }
 
-impl Fleet {
+impl Upstreams {
     /// Returns the engine whose events were read the longest ago, among those that recently got requests.
-    fn next_read(&self, now: Tick) -> Option<Row> {
+    fn next_engine(&self, now: Tick) -> Option<Upstream> {
         let index = self.index.load();
         let engines = index
-            .rows
+            .upstreams
             .values()
-            .filter(|row| matches!(row.spec.kind, UpstreamKind::Engine { .. }));
-        let waiting = engines.filter_map(|row| {
-            let state = row.member.state.lock();
-            let recent = state.sent.is_some_and(|at| now.since(at) < RECENT);
-            recent.then_some((state.read_at, row))
+            .filter(|upstream| matches!(upstream.spec.kind, UpstreamKind::Engine { .. }));
+        let waiting = engines.filter_map(|upstream| {
+            let stats = upstream.state.stats.lock();
+            let recent = stats.last_request.is_some_and(|at| now.since(at) < RECENT_TIME);
+            recent.then_some((stats.last_read, upstream))
         });
-        let (_, row) = waiting.min_by_key(|(at, _)| *at)?;
-        row.member.state.lock().read_at = now;
-        Some(row.clone())
+        let (_, upstream) = waiting.min_by_key(|(at, _)| *at)?;
+        upstream.state.stats.lock().last_read = now;
+        Some(upstream.clone())
     }
 
-    fn take_events(&self, row: &Row, events: &[CacheEvent], now: Tick) {
-        let mut state = row.member.state.lock();
-        let applied = state.cursor.apply(events);
-        state.trust.record_lost(applied.lost, applied.fresh.len());
-        drop(state);
+    fn apply_events(&self, upstream: &Upstream, events: &[CacheEvent], now: Tick) {
+        let mut stats = upstream.state.stats.lock();
+        let applied = stats.cursor.apply(events);
+        stats.trust.record_lost(applied.lost, applied.fresh.len());
+        drop(stats);
         counter!("gentian_cache_events_total", "fate" => "read").increment(applied.fresh.len() as u64);
         counter!("gentian_cache_events_total", "fate" => "lost").increment(applied.lost);
-        let number = row.member.number;
+        let number = upstream.state.number;
         let mut history = self.history.lock();
         if applied.restarted {
             history.forget(number);
--- a/crates/entry/src/fleet/prompt.rs
+++ b/crates/entry/src/upstreams/prompt.rs
@@ -9,16 +9,16 @@
 
 /// Hashes the blocks of a prompt in the same way as engines do, and identifies its conversation.
 #[must_use]
-pub fn prefix(messages: &[Message]) -> Prefix {
+pub fn routing_prefix(messages: &[Message]) -> Prefix {
     let prefix = Prefix::of(messages.iter().flat_map(words));
-    match session(messages) {
+    match conversation(messages) {
         Some(session) => prefix.with_session(session),
         None => prefix,
     }
 }
 
 /// Identifies a conversation by all messages up to the first one of the user, which no later turn changes.
-fn session(messages: &[Message]) -> Option<Session> {
+fn conversation(messages: &[Message]) -> Option<Session> {
     let first = messages.iter().position(|message| message.role == USER)?;
     let mut hash = Xxh3::new();
     for message in &messages[..=first] {
@@ -27,11 +27,11 @@
         hash.update(message.content.as_bytes());
     }
     let answered = messages.iter().rposition(|message| message.role == ASSISTANT);
-    let begun = answered.map_or(0, |last| messages[..=last].iter().flat_map(words).count() as u64);
+    let earlier = answered.map_or(0, |last| messages[..=last].iter().flat_map(words).count() as u64);
     let key = hash.digest();
     Some(Session {
         key,
-        earlier_words: begun,
+        earlier_words: earlier,
     })
 }
 
--- a/crates/entry/src/fleet/member.rs
+++ b/crates/entry/src/upstreams/state.rs
@@ -10,41 +10,41 @@
 /// The identity and runtime state of an upstream; both survive changes of the configuration as long as the upstream
 /// stays on the same host and address.
 #[derive(Debug)]
-pub(super) struct Member {
+pub(super) struct UpstreamState {
     /// Number of the upstream; unique in the process and never reused.
     pub(super) number: u32,
     /// Current measurements.
-    pub(super) state: Mutex<State>,
+    pub(super) stats: Mutex<UpstreamStats>,
 }
 
 /// Measurements of an upstream.
 #[derive(Debug, Default)]
-pub(super) struct State {
+pub(super) struct UpstreamStats {
     pub(super) load: LoadEstimate,
     pub(super) breaker: Breaker,
     pub(super) trust: CacheTrust,
     pub(super) cursor: EventCursor,
     /// When this host polls the load report next.
-    pub(super) poll_at: Tick,
+    pub(super) next_poll: Tick,
     /// When this host last polled the load report; absent if another entry host polls it.
-    pub(super) polled: Option<Tick>,
+    pub(super) last_poll: Option<Tick>,
     /// When this host last read the cache events.
-    pub(super) read_at: Tick,
+    pub(super) last_read: Tick,
     /// When this host last sent a request to the upstream.
-    pub(super) sent: Option<Tick>,
+    pub(super) last_request: Option<Tick>,
 }
 
-impl Member {
+impl UpstreamState {
     pub(super) fn new(number: u32) -> Self {
         Self {
             number,
-            state: Mutex::default(),
+            stats: Mutex::default(),
         }
     }
 }
 
-impl State {
-    pub(super) fn barred(&self, leaving: bool, tried: bool, now: Tick) -> Option<Exclusion> {
+impl UpstreamStats {
+    pub(super) fn exclusion(&self, leaving: bool, tried: bool, now: Tick) -> Option<Exclusion> {
         if leaving {
             Some(Exclusion::Leaving)
         } else if tried {
--- a/crates/entry/tests/admission_waits.rs
+++ b/crates/entry/tests/admission_waits.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use contract::{Account, Class, Contract, KeyHash, Limits, Matcher, Repeat, Targets};
-use entry::admission::{Admission, Work};
-use entry::fleet::Size;
+use entry::admission::{Admission, AdmissionRequest};
+use entry::upstreams::TargetSlots;
 use policy::Tick;
 use policy::route::Target;
 use telemetry::Clock;
 
-const LONG: Duration = Duration::from_mins(1);
+const LONG_WAIT: Duration = Duration::from_mins(1);
 
 fn contract(customer: &str) -> Contract {
     let targets = Targets {
@@ -48,20 +48,20 @@
     Target::Model("counter-1".to_owned())
 }
 
-fn work(target: Target, latest: Tick) -> Work {
-    Work {
+fn request(target: Target, deadline: Tick) -> AdmissionRequest {
+    AdmissionRequest {
         target,
         tokens: 10.0,
-        latest,
-        shed: 0,
+        deadline,
+        shed_priority: 0,
     }
 }
 
-fn size(target: Target, slots: usize) -> Size {
-    Size {
+fn slots(target: Target, slots: usize) -> TargetSlots {
+    TargetSlots {
         target,
         slots,
-        first: Duration::ZERO,
+        first_token: Duration::ZERO,
     }
 }
 
@@ -71,7 +71,7 @@
 fn no_slot_lost() {
     let clock = Clock::start();
     let admission = Admission::new(clock.clone(), 100, 1_000);
-    admission.resize(&[size(model(), 4)]);
+    admission.set_slots(&[slots(model(), 4)]);
     let running = AtomicUsize::new(0);
     let (ran, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
     scope(|scope| {
@@ -82,11 +82,11 @@
                 let patience = if number % 3 == 0 {
                     Duration::from_millis(number / 4)
                 } else {
-                    LONG
+                    LONG_WAIT
                 };
-                let work = work(model(), clock.now() + patience);
+                let request = request(model(), clock.now() + patience);
                 let customer = contract(if number % 2 == 0 { "a" } else { "b" });
-                let Ok(permit) = admission.enter(&customer, &work) else {
+                let Ok(permit) = admission.admit(&customer, &request) else {
                     refused.fetch_add(1, Ordering::SeqCst);
                     return;
                 };
@@ -106,17 +106,19 @@
 }
 
 fn enter<'a>(admission: &'a Admission, clock: &Clock, target: Target) -> Option<entry::admission::Permit<'a>> {
-    admission.enter(&contract("a"), &work(target, clock.now() + LONG)).ok()
+    admission
+        .admit(&contract("a"), &request(target, clock.now() + LONG_WAIT))
+        .ok()
 }
 
 /// All engines of a model are full and a hundred requests wait for them. A request to an idle service must be admitted
 /// at once.
 #[test]
-fn lookup_passes() {
+fn other_target_admitted() {
     let clock = Clock::start();
     let admission: &'static Admission = Box::leak(Box::new(Admission::new(clock.clone(), 8, 20)));
     let service = Target::Service("registration".to_owned());
-    admission.resize(&[size(model(), 2), size(service.clone(), 50)]);
+    admission.set_slots(&[slots(model(), 2), slots(service.clone(), 50)]);
     let holders: Vec<_> = (0..2).map(|_| enter(admission, &clock, model())).collect();
     for _ in 0..100 {
         let clock = clock.clone();
--- a/crates/entry/tests/at_most_once.rs
+++ b/crates/entry/tests/at_most_once.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use common::ask::{Answer, call};
+use common::client::{Response, call};
 use common::state::FakeState;
 use common::{Host, config, fake, free_address, service};
 use contract::{Config, UpstreamSpec};
@@ -21,7 +21,7 @@
 }
 
 /// Starts a service that counts its calls and either answers them or breaks each connection.
-fn till(breaks: bool) -> (std::net::SocketAddr, Arc<AtomicUsize>) {
+fn counting_service(breaks: bool) -> (std::net::SocketAddr, Arc<AtomicUsize>) {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = Arc::clone(&count);
     let address = fake::serve(move |_, stream| {
@@ -33,7 +33,7 @@
     (address, count)
 }
 
-fn deposit(host: &Host, key: &str, body: &str) -> Answer {
+fn deposit(host: &Host, key: &str, body: &str) -> Response {
     let headers = [("Idempotency-Key", key)];
     call(
         host.address,
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn same_answer_again() {
-    let (address, count) = till(false);
+fn retry_gets_answer() {
+    let (address, count) = counting_service(false);
     let (host, _state) = start(vec![service("t", "till", address)]);
     for _ in 0..3 {
         let answer = deposit(&host, "labret-17", "50");
@@ -62,9 +62,9 @@
 /// A service receives a call and breaks the connection before it responds, so the outcome is unknown. The call must
 /// neither be sent to another upstream nor be reported as not run, and a retry must get the same response.
 #[test]
-fn breaks_after() {
-    let (broken, count) = till(true);
-    let (good, others) = till(false);
+fn outcome_unknown() {
+    let (broken, count) = counting_service(true);
+    let (good, others) = counting_service(false);
     let (host, _state) = start(vec![service("a", "till", broken)]);
     for _ in 0..3 {
         let answer = deposit(&host, "labret-18", "50");
@@ -75,8 +75,8 @@
     assert_eq!(count.load(Ordering::SeqCst), 1);
     let both = vec![service("a", "till", broken), service("b", "till", good)];
     let (host, _state) = start(both);
-    for turn in 0..8 {
-        deposit(&host, &format!("seat-{turn}"), "1");
+    for number in 0..8 {
+        deposit(&host, &format!("seat-{number}"), "1");
     }
     assert_eq!(count.load(Ordering::SeqCst) - 1 + others.load(Ordering::SeqCst), 8);
 }
@@ -84,12 +84,12 @@
 /// Some upstreams refuse the connection, so the call was not sent there. Another upstream may run it, once.
 #[test]
 fn unreachable_first() {
-    let (good, count) = till(false);
+    let (good, count) = counting_service(false);
     let mut tills = vec![service("z", "till", good)];
     tills.extend((0..3).map(|at| service(&format!("dead-{at}"), "till", free_address())));
     let (host, _state) = start(tills);
-    for turn in 0..4 {
-        assert_eq!(deposit(&host, &format!("seat-{turn}"), "1").status, 201);
+    for number in 0..4 {
+        assert_eq!(deposit(&host, &format!("seat-{number}"), "1").status, 201);
     }
     assert_eq!(count.load(Ordering::SeqCst), 4);
 }
--- a/crates/entry/tests/burn_handed.rs
+++ b/crates/entry/tests/burn_handed.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::ask::call;
+use common::client::call;
 use common::{Host, config, fake, free_address, service};
 use entry::cli::Options;
 use telemetry::burn::Report;
@@ -12,7 +12,7 @@
 /// An entry host stops before the next periodic copy of its counts. Guards against losing the misses since the last
 /// copy, which would make the customer's error budget look unused.
 #[test]
-fn stop_keeps() {
+fn counts_survive_stop() {
     let inner = [free_address(), free_address()];
     let peers = format!("{},{}", inner[0], inner[1]);
     let start = |node: &str, own: std::net::SocketAddr, till| {
@@ -31,9 +31,9 @@
         502
     );
     let calls = RpcRuntime::start(1, std::time::Duration::from_secs(5)).unwrap();
-    entry::burn::hand_over(&leaving.entry, &calls, inner[0]);
+    entry::burn::send_counts(&leaving.entry, &calls, inner[0]);
     drop(leaving);
-    let report = Report::new(entry::burn::parts(&staying.entry), Vec::new(), wall_ms() / 1_000);
+    let report = Report::new(entry::burn::all_counts(&staying.entry), Vec::new(), wall_ms() / 1_000);
     assert_eq!(report.rows[0].windows[0].missed, 1);
     assert_eq!(report.nodes.len(), 2);
 }
--- a/crates/entry/tests/burn_peers.rs
+++ b/crates/entry/tests/burn_peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use entry::burn::next;
+use entry::burn::next_peer;
 
 fn addresses(count: u16) -> Vec<SocketAddr> {
     (1..=count)
@@ -15,15 +15,15 @@
 /// Every host must be copied by another one. Without a copy it loses its counts at a restart, and the customer's error
 /// budget looks unused again.
 #[test]
-fn all_remembered() {
+fn every_host_copied() {
     let all = addresses(7);
-    let asked: BTreeSet<SocketAddr> = all.iter().filter_map(|own| next(&all, *own)).collect();
+    let asked: BTreeSet<SocketAddr> = all.iter().filter_map(|own| next_peer(&all, *own)).collect();
     assert_eq!(asked.len(), all.len());
-    assert!(all.iter().all(|own| next(&all, *own) != Some(*own)));
+    assert!(all.iter().all(|own| next_peer(&all, *own) != Some(*own)));
 }
 
 #[test]
-fn alone() {
+fn single_host() {
     let all = addresses(1);
-    assert_eq!(next(&all, all[0]), None);
+    assert_eq!(next_peer(&all, all[0]), None);
 }
--- a/crates/entry/tests/clear_refusals.rs
+++ b/crates/entry/tests/clear_refusals.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use common::ask::{self, Answer, call, chat, post_chat, raw, read};
+use common::client::{self, Response, call, chat, post_chat, read_response, send_raw};
 use common::{Host, KEY, config, engine, fake, free_address, service};
 use entry::cli::Options;
 use serde_json::{Value, json};
 
 /// Starts an entry host in front of an engine and a service that count the requests they get.
-fn counted() -> (Host, Arc<AtomicUsize>) {
+fn counting_host() -> (Host, Arc<AtomicUsize>) {
     let count = Arc::new(AtomicUsize::new(0));
     let (seen, called) = (Arc::clone(&count), Arc::clone(&count));
-    let answer = move |_: fake::Got, stream: std::net::TcpStream| {
+    let answer = move |_: fake::ReceivedRequest, stream: std::net::TcpStream| {
         seen.fetch_add(1, Ordering::SeqCst);
         fake::begin(&stream);
         fake::token(&stream, "yes ");
@@ -29,7 +29,7 @@
     (host, count)
 }
 
-fn assert_refused(answer: &Answer, status: u16, kind: &str) {
+fn assert_refused(answer: &Response, status: u16, kind: &str) {
     assert_eq!(answer.status, status, "{} {}", answer.head, answer.text());
     assert_eq!(answer.header("Gentian-Outcome"), Some("not-run"), "{}", answer.head);
     assert_eq!(answer.header("Content-Type"), Some("application/problem+json"));
@@ -41,7 +41,7 @@
 
 #[test]
 fn bad_chats() {
-    let (host, count) = counted();
+    let (host, count) = counting_host();
     let with = |field: &str, value: Value| {
         let mut body = chat("hello", 4, false);
         body[field] = value;
@@ -76,7 +76,7 @@
 
 #[test]
 fn unknown_names() {
-    let (host, count) = counted();
+    let (host, count) = counting_host();
     let mut other = chat("hello", 4, false);
     other["model"] = json!("counter-9");
     let answer = post_chat(host.address, &other.to_string());
@@ -99,7 +99,7 @@
 
 #[test]
 fn unknown_keys() {
-    let (host, count) = counted();
+    let (host, count) = counting_host();
     let body = chat("hello", 4, false).to_string();
     for key in ["Bearer nobody", "Basic a2V5", "Bearer", ""] {
         for path in ["/v1/chat/completions", "/services/till/deposits"] {
@@ -113,8 +113,8 @@
 
 #[test]
 fn bad_heads() {
-    let (host, count) = counted();
-    let send = |bytes: &[u8]| read(raw(host.address, bytes));
+    let (host, count) = counting_host();
+    let send = |bytes: &[u8]| read_response(send_raw(host.address, bytes));
     let long = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(20_000));
     assert_refused(&send(long.as_bytes()), 431, "long-head");
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: 1\r\n".repeat(100));
@@ -131,11 +131,15 @@
 
 #[test]
 fn long_bodies() {
-    let (host, count) = counted();
+    let (host, count) = counting_host();
     let announced = format!(
         "POST /services/till/search HTTP/1.1\r\nAuthorization: Bearer {KEY}\r\nContent-Length: 99999999\r\n\r\n"
     );
-    assert_refused(&read(raw(host.address, announced.as_bytes())), 413, "too-large");
+    assert_refused(
+        &read_response(send_raw(host.address, announced.as_bytes())),
+        413,
+        "too-large",
+    );
     let mut chunked = format!(
         "POST /services/till/search HTTP/1.1\r\nAuthorization: Bearer {KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
@@ -146,7 +150,7 @@
         chunked.extend_from_slice(b"\r\n");
     }
     chunked.extend_from_slice(b"0\r\n\r\n");
-    assert_refused(&read(raw(host.address, &chunked)), 413, "too-large");
+    assert_refused(&read_response(send_raw(host.address, &chunked)), 413, "too-large");
     assert_eq!(count.load(Ordering::SeqCst), 0);
 }
 
@@ -177,7 +181,7 @@
 
 #[test]
 fn chunked_body() {
-    let (host, _) = counted();
+    let (host, _) = counting_host();
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nAuthorization: Bearer {KEY}\r\nTransfer-Encoding: chunked\r\n\
          Expect: 100-continue\r\nConnection: close\r\n\r\n"
@@ -189,11 +193,11 @@
         first.len(),
         second.len()
     );
-    let mut connection = raw(host.address, head.as_bytes());
+    let mut connection = send_raw(host.address, head.as_bytes());
     let mut reader = std::io::BufReader::new(connection.try_clone().unwrap());
-    assert!(ask::read_head(&mut reader).starts_with("HTTP/1.1 100"));
+    assert!(client::read_response_head(&mut reader).starts_with("HTTP/1.1 100"));
     connection.write_all(chunks.as_bytes()).unwrap();
-    assert!(ask::read_head(&mut reader).starts_with("HTTP/1.1 200"));
+    assert!(client::read_response_head(&mut reader).starts_with("HTTP/1.1 200"));
 }
 
 /// Callers announce a body and never send it, like phones that lose their network. Only one request runs at a time
@@ -211,16 +215,16 @@
     let announced = format!(
         "POST /services/till/search HTTP/1.1\r\nAuthorization: Bearer {KEY}\r\nContent-Length: 9000\r\n\r\nstart"
     );
-    let mut slow: Vec<_> = (0..8).map(|_| raw(host.address, announced.as_bytes())).collect();
+    let mut slow: Vec<_> = (0..8).map(|_| send_raw(host.address, announced.as_bytes())).collect();
     let answer = call(host.address, "GET", "/services/till/stock/7", &[], b"");
     assert_eq!(answer.status, 200);
-    while host.entry.callers.working() < 8 {
+    while host.entry.request_counts.open_requests() < 8 {
         std::thread::yield_now();
     }
-    let ninth = read(raw(host.address, announced.as_bytes()));
+    let ninth = read_response(send_raw(host.address, announced.as_bytes()));
     assert_refused(&ninth, 503, "overloaded");
     assert_eq!(ninth.header("Retry-After"), Some("1"));
-    let answer = read(slow.pop().unwrap());
+    let answer = read_response(slow.pop().unwrap());
     assert_refused(&answer, 408, "too-slow");
 }
 
@@ -233,19 +237,19 @@
         ..Options::default()
     };
     let host = Host::with(config([]), options);
-    let _silent: Vec<_> = (0..16).map(|_| raw(host.address, b"")).collect();
-    let answer = read(raw(host.address, b""));
+    let _silent: Vec<_> = (0..16).map(|_| send_raw(host.address, b"")).collect();
+    let answer = read_response(send_raw(host.address, b""));
     assert_refused(&answer, 503, "overloaded");
 }
 
 #[test]
-fn kept_connection() {
-    let (host, _) = counted();
+fn connection_reused() {
+    let (host, _) = counting_host();
     let one = format!("GET /services/till/stock/1 HTTP/1.1\r\nAuthorization: Bearer {KEY}\r\n\r\n");
-    let connection = raw(host.address, format!("{one}{one}").as_bytes());
+    let connection = send_raw(host.address, format!("{one}{one}").as_bytes());
     let mut reader = std::io::BufReader::new(connection);
     for _ in 0..2 {
-        assert!(ask::read_head(&mut reader).starts_with("HTTP/1.1 200"));
+        assert!(client::read_response_head(&mut reader).starts_with("HTTP/1.1 200"));
         std::io::Read::read_exact(&mut reader, &mut [0; 2]).unwrap();
     }
 }
--- a/crates/entry/tests/common/ask.rs
+++ b/crates/entry/tests/common/client.rs
@@ -6,17 +6,17 @@
 
 use serde_json::{Value, json};
 
-use super::{KEY, MODEL, PATIENCE};
+use super::{KEY, MODEL, TIMEOUT};
 
 /// A response that was read completely.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
@@ -98,17 +98,17 @@
     let body = chat(prompt, tokens, true).to_string();
     let connection = send(entry, "POST", "/v1/chat/completions", &[], body.as_bytes());
     let mut reader = BufReader::new(connection);
-    let head = read_head(&mut reader);
+    let head = read_response_head(&mut reader);
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     Events { head, reader }
 }
 
-pub fn post_chat(entry: SocketAddr, body: &str) -> Answer {
+pub fn post_chat(entry: SocketAddr, body: &str) -> Response {
     call(entry, "POST", "/v1/chat/completions", &[], body.as_bytes())
 }
 
-pub fn call(entry: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Answer {
-    read(send(entry, method, path, headers, body))
+pub fn call(entry: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Response {
+    read_response(send(entry, method, path, headers, body))
 }
 
 /// Sends a request; an `Authorization` header in `headers` replaces the default key.
@@ -123,13 +123,13 @@
     for (name, value) in headers {
         write!(head, "{name}: {value}\r\n").unwrap();
     }
-    raw(entry, &[head.as_bytes(), b"\r\n", body].concat())
+    send_raw(entry, &[head.as_bytes(), b"\r\n", body].concat())
 }
 
 /// Opens a connection and sends raw bytes.
-pub fn raw(entry: SocketAddr, bytes: &[u8]) -> TcpStream {
+pub fn send_raw(entry: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut connection = TcpStream::connect(entry).unwrap();
-    connection.set_read_timeout(Some(PATIENCE)).unwrap();
+    connection.set_read_timeout(Some(TIMEOUT)).unwrap();
     connection.set_nodelay(true).unwrap();
     // The server may refuse the request and close before everything is sent.
     let _ = connection.write_all(bytes);
@@ -137,9 +137,9 @@
 }
 
 /// Reads a response.
-pub fn read(connection: TcpStream) -> Answer {
+pub fn read_response(connection: TcpStream) -> Response {
     let mut reader = BufReader::new(connection);
-    let head = read_head(&mut reader);
+    let head = read_response_head(&mut reader);
     let mut body = Vec::new();
     let status = head
         .split(' ')
@@ -155,10 +155,10 @@
             let _ = reader.read_to_end(&mut body);
         }
     }
-    Answer { status, head, body }
+    Response { status, head, body }
 }
 
-pub fn read_head(reader: &mut impl BufRead) -> String {
+pub fn read_response_head(reader: &mut impl BufRead) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).unwrap_or(0) == 0 {
--- a/crates/entry/tests/common/fake.rs
+++ b/crates/entry/tests/common/fake.rs
@@ -4,17 +4,17 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 
-use super::ask::read_head;
+use super::client::read_response_head;
 
 /// A request that the upstream received.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
 /// Starts an upstream that handles every request with a function, each on its own thread.
-pub fn serve(answer: impl Fn(Got, TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub fn serve(answer: impl Fn(ReceivedRequest, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let answer = Arc::new(answer);
@@ -24,10 +24,10 @@
             std::thread::spawn(move || {
                 match read(&stream) {
                     // Load report polls are not callers' requests.
-                    Some(got) if got.head.starts_with("GET /load ") => reply(&stream, "404 Not Found", "", ""),
+                    Some(call) if call.head.starts_with("GET /load ") => reply(&stream, "404 Not Found", "", ""),
                     // Neither are queries for the outcome of an earlier call, which this upstream can't answer.
-                    Some(got) if got.head.starts_with("GET /outcomes/") => reply(&stream, "404 Not Found", "", ""),
-                    Some(got) => answer(got, stream),
+                    Some(call) if call.head.starts_with("GET /outcomes/") => reply(&stream, "404 Not Found", "", ""),
+                    Some(call) => answer(call, stream),
                     None => {}
                 }
             });
@@ -36,9 +36,9 @@
     address
 }
 
-fn read(stream: &TcpStream) -> Option<Got> {
+fn read(stream: &TcpStream) -> Option<ReceivedRequest> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
-    let head = read_head(&mut reader);
+    let head = read_response_head(&mut reader);
     if head.is_empty() {
         return None;
     }
@@ -53,7 +53,7 @@
     } else {
         reader.read_exact(&mut body).ok()?;
     }
-    Some(Got { head, body })
+    Some(ReceivedRequest { head, body })
 }
 
 /// Sends the head of an event stream.
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! client.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
-pub mod ask;
+pub mod client;
 pub mod fake;
 pub mod process;
 pub mod state;
@@ -21,9 +21,9 @@
     UpstreamKind, UpstreamSpec,
 };
 use entry::cli::Options;
-use entry::rpc::Rpc;
+use entry::rpc::EntryRpcHandler;
 use entry::settings::Settings;
-use entry::{Entry, callers, exchange, fleet, rescue};
+use entry::{EntryHost, callers, exchange, rescue, upstreams};
 use slog::{Discard, Logger, o};
 use wire::client::RpcRuntime;
 use wire::entry::EntryRpcServer;
@@ -33,14 +33,14 @@
 pub const OTHER_KEY: &str = "key-till";
 pub const MODEL: &str = "counter-1";
 /// Timeout of every wait; it only keeps a failing test from hanging.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+pub const TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Ports from which free addresses are taken.
 const PORTS: std::ops::Range<u16> = 10_000..30_000;
 
 /// An entry host in this process.
 pub struct Host {
-    pub entry: Arc<Entry>,
+    pub entry: Arc<EntryHost>,
     pub address: SocketAddr,
     pub inner: SocketAddr,
     _calls: RpcRuntime,
@@ -65,19 +65,19 @@
         };
         let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
         let calls = RpcRuntime::start(2, Duration::from_secs(5)).unwrap();
-        let entry = Arc::new(Entry::new(settings, Logger::root(Discard, o!()), &calls).unwrap());
+        let entry = Arc::new(EntryHost::new(settings, Logger::root(Discard, o!()), &calls).unwrap());
         let news = Watched {
             snapshot: Some(config),
             records: Vec::new(),
             age_ms: 0,
         };
-        entry.current.take(news, entry.clock.now());
+        entry.config.apply_news(news, entry.clock.now());
         let server = calls.wait(jsonrpsee::server::Server::builder().build(inner)).unwrap();
-        let rpc = Rpc::new(Arc::clone(&entry)).into_rpc();
+        let rpc = EntryRpcHandler::new(Arc::clone(&entry)).into_rpc();
         let handle = calls.wait(async { server.start(rpc) });
         std::thread::spawn(move || std::mem::forget(handle));
         let poller = Arc::clone(&entry);
-        std::thread::spawn(move || fleet::poll::run(&poller));
+        std::thread::spawn(move || upstreams::poll::run(&poller));
         let socket = exchange::open(inner).unwrap();
         let exchanger = Arc::clone(&entry);
         std::thread::spawn(move || exchange::run(&exchanger, &socket, inner));
--- a/crates/entry/tests/common/process.rs
+++ b/crates/entry/tests/common/process.rs
@@ -6,8 +6,8 @@
 use std::sync::Once;
 use std::time::{Duration, Instant};
 
-use super::ask::call;
-use super::{PATIENCE, free_address};
+use super::client::call;
+use super::{TIMEOUT, free_address};
 
 /// Builds the state program once, because testing this package alone does not build it.
 static BUILT: Once = Once::new();
@@ -66,11 +66,11 @@
     }
 }
 
-/// Waits until a condition holds, and fails after [`PATIENCE`].
+/// Waits until a condition holds, and fails after [`TIMEOUT`].
 pub fn until(what: &str, done: impl Fn() -> bool) {
     let begin = Instant::now();
     while !done() {
-        assert!(begin.elapsed() < PATIENCE, "waited too long for {what}");
+        assert!(begin.elapsed() < TIMEOUT, "waited too long for {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/entry/tests/common/state.rs
+++ b/crates/entry/tests/common/state.rs
@@ -21,25 +21,25 @@
     _calls: RpcRuntime,
 }
 
-type Claims = Mutex<HashMap<String, Held>>;
+type Claims = Mutex<HashMap<String, HeldClaim>>;
 
-pub struct Held {
+pub struct HeldClaim {
     claim: Claim,
     pub outcome: Option<Outcome>,
 }
 
-struct Rpc {
+struct StateHandler {
     config: Config,
     claims: Arc<Claims>,
 }
 
 impl FakeState {
     pub fn start(config: Config) -> Self {
-        let calls = RpcRuntime::start(2, super::PATIENCE).unwrap();
+        let calls = RpcRuntime::start(2, super::TIMEOUT).unwrap();
         let address = super::free_address();
         let server = calls.wait(jsonrpsee::server::Server::builder().build(address)).unwrap();
         let claims = Arc::new(Claims::default());
-        let rpc = Rpc {
+        let rpc = StateHandler {
             config,
             claims: Arc::clone(&claims),
         };
@@ -53,7 +53,7 @@
     }
 }
 
-fn wrap<T>(body: T) -> Envelope<T> {
+fn envelope<T>(body: T) -> Envelope<T> {
     Envelope::new(&"state-1".into(), Revision(1), body)
 }
 
@@ -64,9 +64,9 @@
 }
 
 #[async_trait]
-impl StateRpcServer for Rpc {
+impl StateRpcServer for StateHandler {
     async fn propose(&self, _request: Envelope<Propose>) -> RpcResult<Envelope<Proposed>> {
-        Ok(wrap(Proposed::Unavailable(unavailable())))
+        Ok(envelope(Proposed::Unavailable(unavailable())))
     }
 
     async fn watch(&self, request: Envelope<Watch>) -> RpcResult<Envelope<Watched>> {
@@ -74,7 +74,7 @@
         if !news {
             tokio::time::sleep(std::time::Duration::from_millis(request.body.wait_ms)).await;
         }
-        Ok(wrap(Watched {
+        Ok(envelope(Watched {
             snapshot: news.then(|| self.config.clone()),
             records: Vec::new(),
             age_ms: 0,
@@ -87,19 +87,19 @@
         let answer = match claims.get(&claim.key) {
             Some(held) if held.claim.digest != claim.digest => Claimed::Mismatch,
             Some(held) if held.claim.request == claim.request => Claimed::Granted,
-            Some(Held {
+            Some(HeldClaim {
                 outcome: Some(outcome), ..
             }) if *outcome != Outcome::NotRun => Claimed::Done(outcome.clone()),
-            Some(Held {
+            Some(HeldClaim {
                 claim, outcome: None, ..
             }) => Claimed::Running(claim.request.clone()),
             _ => {
                 let key = claim.key.clone();
-                claims.insert(key, Held { claim, outcome: None });
+                claims.insert(key, HeldClaim { claim, outcome: None });
                 Claimed::Granted
             }
         };
-        Ok(wrap(answer))
+        Ok(envelope(answer))
     }
 
     async fn settle(&self, request: Envelope<Settle>) -> RpcResult<Envelope<Settled>> {
@@ -115,14 +115,14 @@
             }
             None => Settled::NotHeld,
         };
-        Ok(wrap(answer))
+        Ok(envelope(answer))
     }
 
     async fn lease(&self, _request: Envelope<Lease>) -> RpcResult<Envelope<Leased>> {
-        Ok(wrap(Leased::Unavailable(unavailable())))
+        Ok(envelope(Leased::Unavailable(unavailable())))
     }
 
     async fn status(&self, _request: Envelope<()>) -> RpcResult<Envelope<StateStatus>> {
-        Ok(wrap(StateStatus::default()))
+        Ok(envelope(StateStatus::default()))
     }
 }
--- a/crates/entry/tests/config_feed.rs
+++ b/crates/entry/tests/config_feed.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use common::ask::call;
+use common::client::call;
 use common::free_address;
 use common::process::{Process, until};
 use contract::{Change, Config, Revision};
-use entry::current::Current;
+use entry::active_config::ActiveConfig;
 use policy::Tick;
 use quickcheck::{Gen, QuickCheck};
 use state::applied::{AppliedState, Command, LogEntry};
@@ -24,12 +24,12 @@
         change: match number % 3 {
             0 => Change::PutContract(common::contract()),
             1 => Change::DropContract(common::contract().customer),
-            _ => Change::PutUpstream(common::service("t", "till", free(number))),
+            _ => Change::PutUpstream(common::service("t", "till", upstream_address(number))),
         },
     }
 }
 
-fn free(number: usize) -> SocketAddr {
+fn upstream_address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16))
 }
 
@@ -52,17 +52,17 @@
 /// A host gets news from nodes and peers at different revisions, in any order and repeatedly. The active configuration
 /// must always be one that the log produced, and never an older one than before: a lowered limit must not come back.
 #[test]
-fn never_reverts() {
+fn config_never_reverts() {
     let states = history(300);
     let configs: Vec<Config> = states.iter().map(|state| state.config.clone()).collect();
-    let property = move |hops: Vec<(u16, u16)>| {
-        let current = Current::default();
+    let property = move |reads: Vec<(u16, u16)>| {
+        let current = ActiveConfig::default();
         let mut newest = Revision::default();
-        for (node, asked) in hops {
+        for (node, asked) in reads {
             let node = &states[usize::from(node) % states.len()];
             // The host may have a newer revision than it asked for by the time the news arrives.
             let asked = Revision(u64::from(asked) % (newest.0 + 1));
-            current.take(node.since(asked, 0), Tick::from_millis(1));
+            current.apply_news(node.since(asked, 0), Tick::from_millis(1));
             let view = current.view();
             assert!(view.config.revision >= newest);
             assert_eq!(view.config, configs[view.config.revision.0 as usize]);
@@ -71,19 +71,19 @@
         true
     };
     let random = Gen::from_size_and_seed(40, 7);
-    QuickCheck::new().rng(random).tests(100).quickcheck(Feeds(property));
+    QuickCheck::new().rng(random).tests(100).quickcheck(Property(property));
 }
 
 /// A property with captured state, which a plain function can't have.
-struct Feeds<F>(F);
+struct Property<F>(F);
 
-impl<F: Fn(Vec<(u16, u16)>) -> bool + 'static> quickcheck::Testable for Feeds<F> {
+impl<F: Fn(Vec<(u16, u16)>) -> bool + 'static> quickcheck::Testable for Property<F> {
     fn result(&self, random: &mut Gen) -> quickcheck::TestResult {
         quickcheck::TestResult::from_bool((self.0)(quickcheck::Arbitrary::arbitrary(random)))
     }
 }
 
-fn change(client: &StateClient, number: usize) {
+fn apply_change(client: &StateClient, number: usize) {
     let ask = propose(number);
     until("a change", || {
         matches!(client.propose(Revision(0), &ask), Ok(Proposed::Accepted(_)))
@@ -107,11 +107,11 @@
     let mut node = Process::state(address, folder.path());
     let calls = RpcRuntime::start(1, Duration::from_secs(2)).unwrap();
     let client = StateClient::new(&calls, &"tester".into(), &[address]).unwrap();
-    change(&client, 0);
+    apply_change(&client, 0);
     let (mut first, _, ops) = Process::entry("entry-1", address, &[]);
     until("the first change", || revision(ops) == "1");
     first.kill();
-    (1..=500).for_each(|number| change(&client, number));
+    (1..=500).for_each(|number| apply_change(&client, number));
     let inner = free_address().to_string();
     let (_first, _, ops) = Process::entry("entry-1", address, &["--inner", &inner]);
     until("all changes", || revision(ops) == "501");
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -7,44 +7,44 @@
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use common::ask::{call, chat, post_chat, token_of};
-use common::{Host, PATIENCE, config, engine, fake, service};
+use common::client::{call, chat, post_chat, token_of};
+use common::{Host, TIMEOUT, config, engine, fake, service};
 use parking_lot::Mutex;
 use quickcheck::{Gen, QuickCheck};
 
 /// Concurrent requests.
-const CALLS: usize = 8;
+const CONCURRENT_CALLS: usize = 8;
 
-type Held = (String, TcpStream);
+type HeldCall = (String, TcpStream);
 
 /// Returns a permutation of the request numbers, derived from random keys.
-fn order(keys: &[u8]) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..CALLS).collect();
-    order.sort_by_key(|at| keys.get(*at).copied().unwrap_or_default());
-    order
+fn permutation(keys: &[u8]) -> Vec<usize> {
+    let mut permutation: Vec<usize> = (0..CONCURRENT_CALLS).collect();
+    permutation.sort_by_key(|at| keys.get(*at).copied().unwrap_or_default());
+    permutation
 }
 
-fn holder() -> (Sender<Held>, Receiver<Held>) {
+fn call_channel() -> (Sender<HeldCall>, Receiver<HeldCall>) {
     channel()
 }
 
 /// Collects all concurrent calls, then answers them in the order derived from the keys.
-fn answer_in_order(held: &Receiver<Held>, keys: &[u8], answer: impl Fn(&str, &TcpStream)) {
-    let mut calls: HashMap<usize, Held> = HashMap::new();
-    while calls.len() < CALLS {
-        let (name, stream) = held.recv_timeout(PATIENCE).unwrap();
+fn answer_in_order(held: &Receiver<HeldCall>, keys: &[u8], answer: impl Fn(&str, &TcpStream)) {
+    let mut calls: HashMap<usize, HeldCall> = HashMap::new();
+    while calls.len() < CONCURRENT_CALLS {
+        let (name, stream) = held.recv_timeout(TIMEOUT).unwrap();
         let number = name.rsplit('-').next().unwrap().parse().unwrap();
         calls.insert(number, (name, stream));
     }
-    for at in order(keys) {
+    for at in permutation(keys) {
         let (name, stream) = &calls[&at];
         answer(name, stream);
     }
 }
 
-fn check(property: fn(Vec<u8>) -> bool) {
+fn check_property(property: fn(Vec<u8>) -> bool) {
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(CALLS, 7))
+        .rng(Gen::from_size_and_seed(CONCURRENT_CALLS, 7))
         .tests(25)
         .quickcheck(property);
 }
@@ -52,16 +52,16 @@
 /// Concurrent lookups get their responses in any order. Guards against a response being matched to another caller's
 /// request.
 #[test]
-fn lookups_cross() {
+fn responses_reordered() {
     fn property(keys: Vec<u8>) -> bool {
-        let (taken, calls) = holder();
-        let taken = Mutex::new(taken);
-        let address = fake::serve(move |got, stream| {
-            let name = got.head.split(' ').nth(1).unwrap().to_owned();
-            taken.lock().send((name, stream)).unwrap();
+        let (sender, calls) = call_channel();
+        let sender = Mutex::new(sender);
+        let address = fake::serve(move |request, stream| {
+            let name = request.head.split(' ').nth(1).unwrap().to_owned();
+            sender.lock().send((name, stream)).unwrap();
         });
         let host = Host::start(config([service("t", "seats", address)]));
-        let callers: Vec<_> = (0..CALLS)
+        let callers: Vec<_> = (0..CONCURRENT_CALLS)
             .map(|at| {
                 let entry = host.address;
                 let path = format!("/services/seats/tent-{at}");
@@ -71,23 +71,23 @@
         answer_in_order(&calls, &keys, |name, stream| fake::reply(stream, "200 OK", "", name));
         callers.into_iter().all(|caller| caller.join().unwrap())
     }
-    check(property);
+    check_property(property);
 }
 
 /// Tokens of concurrent chats arrive interleaved. Guards against a token reaching another caller's stream.
 #[test]
-fn tokens_cross() {
+fn tokens_interleaved() {
     fn property(keys: Vec<u8>) -> bool {
-        let (taken, calls) = holder();
-        let taken = Mutex::new(taken);
-        let address = fake::serve(move |got, stream| {
-            let body: serde_json::Value = serde_json::from_slice(&got.body).unwrap();
+        let (sender, calls) = call_channel();
+        let sender = Mutex::new(sender);
+        let address = fake::serve(move |request, stream| {
+            let body: serde_json::Value = serde_json::from_slice(&request.body).unwrap();
             let name = body["messages"][0]["content"].as_str().unwrap().to_owned();
             fake::begin(&stream);
-            taken.lock().send((name, stream)).unwrap();
+            sender.lock().send((name, stream)).unwrap();
         });
         let host = Host::start(config([engine("a", address)]));
-        let callers: Vec<_> = (0..CALLS)
+        let callers: Vec<_> = (0..CONCURRENT_CALLS)
             .map(|at| {
                 let entry = host.address;
                 std::thread::spawn(move || {
@@ -110,21 +110,21 @@
         }
         callers.into_iter().all(|caller| caller.join().unwrap())
     }
-    check(property);
+    check_property(property);
 }
 
 /// A service responds after the attempt timed out and another upstream was asked. Guards against the late response
 /// being taken for the response to a later request.
 #[test]
-fn late_answer() {
-    let (taken, calls) = holder();
-    let taken = Mutex::new(taken);
-    let slow = fake::serve(move |got, stream| {
-        let name = got.head.split(' ').nth(1).unwrap().to_owned();
-        taken.lock().send((name, stream)).unwrap();
+fn late_response() {
+    let (sender, calls) = call_channel();
+    let sender = Mutex::new(sender);
+    let slow = fake::serve(move |request, stream| {
+        let name = request.head.split(' ').nth(1).unwrap().to_owned();
+        sender.lock().send((name, stream)).unwrap();
     });
-    let quick = fake::serve(|got, stream| {
-        let name = got.head.split(' ').nth(1).unwrap().to_owned();
+    let quick = fake::serve(|request, stream| {
+        let name = request.head.split(' ').nth(1).unwrap().to_owned();
         fake::reply(&stream, "200 OK", "", &name);
     });
     let mut config = config([service("a", "seats", slow), service("b", "seats", quick)]);
--- a/crates/entry/tests/digest_exchange.rs
+++ b/crates/entry/tests/digest_exchange.rs
@@ -10,18 +10,18 @@
 use contract::{Account, Class, Config, Contract, KeyHash, Limits, Matcher, Repeat, Revision, Targets};
 use entry::cli::Options;
 use entry::settings::Settings;
-use entry::{Entry, exchange};
+use entry::{EntryHost, exchange};
 use wire::client::RpcRuntime;
 use wire::digest::{Amounts, Demand, DigestAck, GossipDigest, MAX_DATAGRAM, UDP_OVERHEAD_BYTES};
 use wire::state::Watched;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Timeout of every wait; it only keeps a failing test from hanging.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An entry host whose only peers are simulated by the test.
 struct Host {
-    entry: Arc<Entry>,
+    entry: Arc<EntryHost>,
     thread: Option<JoinHandle<()>>,
     address: SocketAddr,
     _calls: RpcRuntime,
@@ -43,7 +43,7 @@
         let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
         let calls = RpcRuntime::start(1, Duration::from_secs(1)).unwrap();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let entry = Arc::new(Entry::new(settings, logger, &calls).unwrap());
+        let entry = Arc::new(EntryHost::new(settings, logger, &calls).unwrap());
         let shared = Arc::clone(&entry);
         let thread = spawn(move || exchange::run(&shared, &socket, address));
         Self {
@@ -65,7 +65,7 @@
             records: Vec::new(),
             age_ms: 0,
         };
-        self.entry.current.take(news, self.entry.clock.now());
+        self.entry.config.apply_news(news, self.entry.clock.now());
     }
 }
 
@@ -142,7 +142,7 @@
     fn until(&mut self, to: SocketAddr, good: impl Fn(&GossipDigest) -> bool) -> GossipDigest {
         let begun = Instant::now();
         let mut buffer = [0; MAX_DATAGRAM];
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < TIMEOUT {
             self.send(to);
             if let Ok(length) = self.socket.recv(&mut buffer) {
                 let digest = GossipDigest::decode(&buffer[..length]).unwrap();
@@ -158,7 +158,7 @@
 fn wait(what: &str, good: impl Fn() -> bool) {
     let begun = Instant::now();
     while !good() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(begun.elapsed() < TIMEOUT, "{what}");
         sleep(Duration::from_millis(20));
     }
 }
@@ -171,14 +171,16 @@
     let host = Host::start(&[peer.address()]);
     let answer = peer.until(host.address, |digest| digest.heard.is_some());
     assert_eq!(answer.heard.unwrap().incarnation, 5);
-    wait("the peer is live", || host.entry.live.load().count() == 2);
-    wait("the silent peer is dropped", || host.entry.live.load().count() == 1);
+    wait("the peer is live", || host.entry.live_hosts.load().count() == 2);
+    wait("the silent peer is dropped", || {
+        host.entry.live_hosts.load().count() == 1
+    });
 }
 
 /// Datagrams from an unknown address, from before a restart and out of order must be ignored. Otherwise a restarted
 /// peer would seem to lend what it no longer accounts for.
 #[test]
-fn old_dropped() {
+fn stale_digests_dropped() {
     let mut peer = Peer::new();
     let host = Host::start(&[peer.address()]);
     let mut stranger = Peer::new();
@@ -196,13 +198,13 @@
     let heard = |digest: &GossipDigest| digest.heard.is_some_and(|heard| heard.sequence > 10_000);
     let newest: DigestAck = peer.until(host.address, heard).heard.unwrap();
     assert_eq!(newest.incarnation, 5);
-    assert_eq!(host.entry.live.load().count(), 2);
+    assert_eq!(host.entry.live_hosts.load().count(), 2);
 }
 
 /// All callers of a customer use the peer, so this host must lend it most of its part. After its start a host must lend
 /// nothing until all loans of an earlier process of its name have expired.
 #[test]
-fn idle_lends() {
+fn idle_host_lends() {
     let mut peer = Peer::new();
     let host = Host::start(&[peer.address()]);
     host.configure(contract());
@@ -233,7 +235,7 @@
 /// With many entry hosts there is more to send than the network budget of a small host allows. The bytes sent must stay
 /// within the budget, and every peer must still get digests.
 #[test]
-fn bytes_bounded() {
+fn bandwidth_bounded() {
     const BYTES: f64 = 2_200.0;
     let peers: Vec<Peer> = (0..60).map(|_| Peer::new()).collect();
     let addresses: Vec<SocketAddr> = peers.iter().map(Peer::address).collect();
@@ -246,7 +248,7 @@
         peer.socket.set_nonblocking(true).unwrap();
     }
     while heard.contains(&false) {
-        assert!(begun.elapsed() < PATIENCE, "some peer is never told anything");
+        assert!(begun.elapsed() < TIMEOUT, "some peer is never told anything");
         for (peer, heard) in peers.iter().zip(&mut heard) {
             while let Ok(length) = peer.socket.recv(&mut buffer) {
                 *heard = true;
--- a/crates/entry/tests/doubt_ends.rs
+++ b/crates/entry/tests/doubt_ends.rs
@@ -5,14 +5,14 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use common::ask::call;
-use common::{Host, PATIENCE, Standin, config, free_address, service};
+use common::client::call;
+use common::{Host, Standin, TIMEOUT, config, free_address, service};
 use entry::cli::Options;
 
 /// A service restarts, and both entry hosts see a refused connection meanwhile. Only one of them polls the service; the
 /// other one must learn from its digests that the service is back, or it would refuse its callers for ever.
 #[test]
-fn restart_forgiven() {
+fn restart_recovers() {
     let till = free_address();
     let inner = [free_address(), free_address()];
     let peers = format!("{},{}", inner[0], inner[1]);
@@ -29,8 +29,8 @@
             Host::with(config([service("t", "till", till)]), options)
         })
         .collect();
-    let until = Instant::now() + PATIENCE;
-    while hosts.iter().any(|host| host.entry.live.load().count() < 2) {
+    let until = Instant::now() + TIMEOUT;
+    while hosts.iter().any(|host| host.entry.live_hosts.load().count() < 2) {
         assert!(Instant::now() < until, "the entry hosts did not hear each other");
         sleep(Duration::from_millis(20));
     }
--- a/crates/entry/tests/first_token.rs
+++ b/crates/entry/tests/first_token.rs
@@ -6,8 +6,8 @@
 use std::net::Shutdown;
 use std::sync::mpsc::channel;
 
-use common::ask::{self, chat, post_chat};
-use common::{Host, PATIENCE, config, engine, fake};
+use common::client::{self, chat, post_chat};
+use common::{Host, TIMEOUT, config, engine, fake};
 use parking_lot::Mutex;
 
 /// The engine sends its second token only after the caller got the first. Guards against buffering of tokens, which
@@ -19,12 +19,12 @@
     let address = fake::serve(move |_, stream| {
         fake::begin(&stream);
         fake::token(&stream, "one ");
-        go_on.lock().recv_timeout(PATIENCE).unwrap();
+        go_on.lock().recv_timeout(TIMEOUT).unwrap();
         fake::token(&stream, "two ");
         fake::done(&stream);
     });
     let host = Host::start(config([engine("a", address)]));
-    let mut events = ask::stream(host.address, "count", 2);
+    let mut events = client::stream(host.address, "count", 2);
     assert_eq!(events.token(), "one ");
     seen.send(()).unwrap();
     assert_eq!(events.rest(), ("two ".to_owned(), true));
@@ -43,12 +43,12 @@
         });
         let host = Host::start(config([engine("a", address)]));
         let body = chat("a long prompt", 8, stream).to_string();
-        let caller = ask::send(host.address, "POST", "/v1/chat/completions", &[], body.as_bytes());
-        assert_eq!(notice.recv_timeout(PATIENCE).unwrap(), "asked");
+        let caller = client::send(host.address, "POST", "/v1/chat/completions", &[], body.as_bytes());
+        assert_eq!(notice.recv_timeout(TIMEOUT).unwrap(), "asked");
         caller.shutdown(Shutdown::Both).unwrap();
         drop(caller);
-        assert_eq!(notice.recv_timeout(PATIENCE).unwrap(), "closed");
-        while host.entry.callers.working() > 0 {
+        assert_eq!(notice.recv_timeout(TIMEOUT).unwrap(), "closed");
+        while host.entry.request_counts.open_requests() > 0 {
             std::thread::yield_now();
         }
         assert!(!host.entry.admission.is_busy());
@@ -57,7 +57,7 @@
 
 /// A caller closes its connection in the middle of an answer. The engine's stream must end with it.
 #[test]
-fn leaves_amid_answer() {
+fn leaves_during_answer() {
     let (noticed, notice) = channel();
     let address = fake::serve(move |_, stream| {
         fake::begin(&stream);
@@ -67,10 +67,10 @@
         noticed.send(()).unwrap();
     });
     let host = Host::start(config([engine("a", address)]));
-    let mut events = ask::stream(host.address, "count", 30_000);
+    let mut events = client::stream(host.address, "count", 30_000);
     events.token();
     drop(events);
-    notice.recv_timeout(PATIENCE).unwrap();
+    notice.recv_timeout(TIMEOUT).unwrap();
 }
 
 #[test]
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use common::ask::{self, call, chat, expected, token_of};
-use common::{Host, PATIENCE, Standin, config, engine, free_address};
+use common::client::{self, call, chat, expected, token_of};
+use common::{Host, Standin, TIMEOUT, config, engine, free_address};
 use contract::Revision;
 use entry::cli::Options;
 use entry::drain;
@@ -17,7 +17,7 @@
 
 const TOKENS: u64 = 400;
 
-fn pair(config: &contract::Config) -> (Host, Host) {
+fn host_pair(config: &contract::Config) -> (Host, Host) {
     let inners = [free_address().to_string(), free_address().to_string()];
     let start = |at: usize| {
         let options = Options {
@@ -33,8 +33,8 @@
     (start(0), start(1))
 }
 
-fn notice(host: &Host, left_ms: u64) {
-    let calls = RpcRuntime::start(1, PATIENCE).unwrap();
+fn send_notice(host: &Host, left_ms: u64) {
+    let calls = RpcRuntime::start(1, TIMEOUT).unwrap();
     let client = calls.client(host.inner, Duration::ZERO).unwrap();
     let sign = HostSignal {
         host: "vm-0".into(),
@@ -65,14 +65,14 @@
 /// An entry host is reclaimed with a short notice while answers are open. Callers' connections end with the host; each
 /// caller must be told where its answer continues and find all of it there.
 #[test]
-fn open_streams_move() {
+fn open_streams_moved() {
     let (a, b) = (Standin::engine(&[]), Standin::engine(&[]));
-    let (leaving, peer) = pair(&config([engine("a", a.address), engine("b", b.address)]));
+    let (leaving, peer) = host_pair(&config([engine("a", a.address), engine("b", b.address)]));
     let callers: Vec<_> = (0..6)
-        .map(|turn| {
-            let (address, prompt) = (leaving.address, format!("consultation {turn}"));
+        .map(|number| {
+            let (address, prompt) = (leaving.address, format!("consultation {number}"));
             std::thread::spawn(move || {
-                let mut events = ask::stream(address, &prompt, TOKENS);
+                let mut events = client::stream(address, &prompt, TOKENS);
                 let mut text = String::new();
                 while let Some(data) = events.next() {
                     let event: Value = serde_json::from_str(&data).unwrap();
@@ -86,11 +86,11 @@
         })
         .collect();
     let address = leaving.address;
-    let whole = std::thread::spawn(move || ask::post_chat(address, &chat("a plan", TOKENS, false).to_string()));
+    let whole = std::thread::spawn(move || client::post_chat(address, &chat("a plan", TOKENS, false).to_string()));
     while leaving
         .entry
         .journals
-        .open_ones()
+        .open_journals()
         .iter()
         .filter(|(_, journal)| journal.len() > 3)
         .count()
@@ -98,9 +98,9 @@
     {
         std::thread::yield_now();
     }
-    notice(&leaving, 1_500);
-    assert!(leaving.entry.told.load(std::sync::atomic::Ordering::SeqCst));
-    drain::leave(&leaving.entry);
+    send_notice(&leaving, 1_500);
+    assert!(leaving.entry.leave_requested.load(std::sync::atomic::Ordering::SeqCst));
+    drain::drain(&leaving.entry);
     for caller in callers {
         let (prompt, mut text, resume) = caller.join().unwrap();
         text.push_str(&fetch_rest(&peer, &resume));
@@ -122,7 +122,7 @@
 /// A host is replaced by a new one of the same name, and events of the old one arrive late and repeatedly. They must
 /// not stop the new one.
 #[test]
-fn late_word() {
+fn late_signal() {
     let options = Options {
         host: Some("vm-0".into()),
         incarnation: Some("2".into()),
@@ -134,18 +134,18 @@
         incarnation,
         sign,
     };
-    let told = || host.entry.told.load(std::sync::atomic::Ordering::SeqCst);
-    drain::hear(&host.entry, &sign(1, Sign::Gone));
-    drain::hear(&host.entry, &sign(1, Sign::Notice { left_ms: 5 }));
-    drain::hear(&host.entry, &sign(2, Sign::Serving));
+    let told = || host.entry.leave_requested.load(std::sync::atomic::Ordering::SeqCst);
+    drain::handle_signal(&host.entry, &sign(1, Sign::Gone));
+    drain::handle_signal(&host.entry, &sign(1, Sign::Notice { left_ms: 5 }));
+    drain::handle_signal(&host.entry, &sign(2, Sign::Serving));
     assert!(!told() && host.entry.gone_at().is_none());
-    drain::hear(&host.entry, &sign(2, Sign::Notice { left_ms: 5 }));
+    drain::handle_signal(&host.entry, &sign(2, Sign::Notice { left_ms: 5 }));
     assert!(told() && host.entry.gone_at().is_some());
 }
 
 /// No peer is reachable when the host leaves. The answers must continue here instead of being dropped.
 #[test]
-fn no_peer_left() {
+fn no_peer_reachable() {
     let a = Standin::engine(&[]);
     let options = Options {
         peers: Some(free_address().to_string()),
@@ -153,11 +153,11 @@
         ..Options::default()
     };
     let host = Host::with(config([engine("a", a.address)]), options);
-    let mut events = ask::stream(host.address, "alone", 100);
+    let mut events = client::stream(host.address, "alone", 100);
     let first = events.token();
-    host.entry.will_go(Duration::from_millis(1));
+    host.entry.announce_end(Duration::from_millis(1));
     let entry = std::sync::Arc::clone(&host.entry);
-    let leaving = std::thread::spawn(move || drain::leave(&entry));
+    let leaving = std::thread::spawn(move || drain::drain(&entry));
     let (rest, done) = events.rest();
     assert_eq!(first + &rest, expected("alone", 100));
     assert!(done);
@@ -166,7 +166,7 @@
 
 /// The leaving host loses the peer's reply and repeats the handover. The request must not be run a second time.
 #[test]
-fn asked_twice() {
+fn repeated_handover() {
     let a = Standin::engine(&[]);
     let host = Host::start(config([engine("a", a.address)]));
     let handover = Handover {
--- a/crates/entry/tests/host_signs.rs
+++ b/crates/entry/tests/host_signs.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::ask::{self, expected};
+use common::client::{self, expected};
 use common::{Host, Standin, config, engine};
 use contract::{Change, ChangeRecord, HostSpec, Revision};
 use entry::cli::Options;
@@ -16,20 +16,20 @@
 
 /// Waits until no new work is sent to a host.
 fn wait_barred(host: &Host, spec: &HostSpec) {
-    while host.entry.fleet.hosts.takes_work(spec) {
+    while host.entry.upstreams.hosts.takes_work(spec) {
         std::thread::yield_now();
     }
 }
 
-fn watch(host: &Host) {
+fn start_watch(host: &Host) {
     let entry = std::sync::Arc::clone(&host.entry);
-    std::thread::spawn(move || hosts::watch(&entry));
+    std::thread::spawn(move || hosts::watch_hosts(&entry));
 }
 
 /// All capacity processes are unreachable when a host is reclaimed. The entry host must read the notice from the cloud
 /// API itself, or it would send requests to a host that will soon be gone.
 #[test]
-fn capacity_cut() {
+fn capacity_unreachable() {
     let cloud = Standin::start("cloud", &[]);
     let (a, b) = (Standin::engine(&[]), Standin::engine(&[]));
     let (spec, other) = (engine("a", a.address), engine("b", b.address));
@@ -38,11 +38,11 @@
         ..Options::default()
     };
     let host = Host::with(config([spec.clone(), other]), options);
-    watch(&host);
+    start_watch(&host);
     let json: &[(&str, &str)] = &[];
     let listed = br#"{"id":"host-a","zone":"zone-a","class":"reclaimable"}"#;
-    ask::call(cloud.address, "POST", "/v1/hosts", json, listed);
-    ask::call(
+    client::call(cloud.address, "POST", "/v1/hosts", json, listed);
+    client::call(
         cloud.address,
         "POST",
         "/_standin/reclaim",
@@ -50,20 +50,20 @@
         br#"{"host":"host-a","notice_ms":60000}"#,
     );
     wait_barred(&host, &spec.host);
-    for turn in 0..4 {
-        let prompt = format!("question {turn}");
+    for number in 0..4 {
+        let prompt = format!("question {number}");
         assert_eq!(
-            ask::stream(host.address, &prompt, 4).rest(),
+            client::stream(host.address, &prompt, 4).rest(),
             (expected(&prompt, 4), true)
         );
     }
-    let seen = ask::call(a.address, "GET", "/_standin/seen", json, &[]);
+    let seen = client::call(a.address, "GET", "/_standin/seen", json, &[]);
     assert_eq!(seen.text(), "[]");
 }
 
 /// The entry host can't reach the cloud API. The event from a capacity process must be enough.
 #[test]
-fn cloud_cut() {
+fn cloud_unreachable() {
     let a = Standin::engine(&[]);
     let spec = engine("a", a.address);
     let options = Options {
@@ -71,7 +71,7 @@
         ..Options::default()
     };
     let host = Host::with(config([spec.clone()]), options);
-    watch(&host);
+    start_watch(&host);
     let calls = RpcRuntime::start(1, Duration::from_secs(10)).unwrap();
     let client = calls.client(host.inner, Duration::ZERO).unwrap();
     let sign = HostSignal {
@@ -81,7 +81,7 @@
     };
     let message = Envelope::new(&"capacity-1".into(), Revision(0), vec![sign]);
     calls.wait(client.hosts(message)).unwrap();
-    assert!(!host.entry.fleet.hosts.takes_work(&spec.host));
+    assert!(!host.entry.upstreams.hosts.takes_work(&spec.host));
 }
 
 /// No source reports that a host is gone, as when its data centre is partitioned off. A refused connection must bar the
@@ -95,7 +95,7 @@
     wait_barred(&host, &spec.host);
     let address = a.address.to_string();
     let _again = Standin::engine(&["--listen", &address]);
-    while !host.entry.fleet.hosts.takes_work(&spec.host) {
+    while !host.entry.upstreams.hosts.takes_work(&spec.host) {
         std::thread::yield_now();
     }
 }
@@ -106,7 +106,7 @@
     let a = Standin::engine(&[]);
     let spec = engine("a", a.address);
     let host = Host::start(config([spec.clone()]));
-    watch(&host);
+    start_watch(&host);
     let change = Change::DrainHost {
         host: spec.host.id.clone(),
         incarnation: 0,
@@ -122,6 +122,6 @@
         records: vec![record],
         age_ms: 0,
     };
-    host.entry.current.take(news, host.entry.clock.now());
+    host.entry.config.apply_news(news, host.entry.clock.now());
     wait_barred(&host, &spec.host);
 }
--- a/crates/entry/tests/planned_stop.rs
+++ b/crates/entry/tests/planned_stop.rs
@@ -7,17 +7,17 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use common::ask::{self, call, expected};
+use common::client::{self, call, expected};
 use common::state::FakeState;
-use common::{PATIENCE, Standin, config, engine, fake, free_address, service, signal};
+use common::{Standin, TIMEOUT, config, engine, fake, free_address, service, signal};
 
-struct Program {
+struct EntryProcess {
     child: Child,
     callers: SocketAddr,
     ops: SocketAddr,
 }
 
-impl Program {
+impl EntryProcess {
     fn start(state: &FakeState) -> Self {
         let [callers, ops, inner] = [free_address(), free_address(), free_address()];
         let child = Command::new(env!("CARGO_BIN_EXE_gentian-entry"))
@@ -28,14 +28,14 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let program = Self { child, callers, ops };
-        wait_until(|| program.ready() == Some(200));
-        program
+        let process = Self { child, callers, ops };
+        wait_until(|| process.readiness_status() == Some(200));
+        process
     }
 
-    fn ready(&self) -> Option<u16> {
+    fn readiness_status(&self) -> Option<u16> {
         let mut connection = std::net::TcpStream::connect(self.ops).ok()?;
-        connection.set_read_timeout(Some(PATIENCE)).ok()?;
+        connection.set_read_timeout(Some(TIMEOUT)).ok()?;
         std::io::Write::write_all(&mut connection, b"GET /readyz HTTP/1.0\r\n\r\n").ok()?;
         let mut text = String::new();
         connection.read_to_string(&mut text).ok()?;
@@ -46,12 +46,12 @@
 fn wait_until(condition: impl Fn() -> bool) {
     let begun = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < TIMEOUT);
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-impl Drop for Program {
+impl Drop for EntryProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -62,17 +62,17 @@
 /// load balancer still sends must be served or refused as not run, and the process must exit by itself without an
 /// error.
 #[test]
-fn nothing_cut() {
+fn stop_drains_requests() {
     let a = Standin::engine(&["--decode-us", "30000"]);
     let till = fake::serve(|_, stream| fake::reply(&stream, "200 OK", "", "7"));
     let state = FakeState::start(config([engine("a", a.address), service("t", "till", till)]));
-    let mut program = Program::start(&state);
-    let (entry, callers) = (program.callers, 8);
+    let mut process = EntryProcess::start(&state);
+    let (entry, callers) = (process.callers, 8);
     let streams: Vec<_> = (0..callers)
-        .map(|turn| {
+        .map(|number| {
             std::thread::spawn(move || {
-                let prompt = format!("evening {turn}");
-                let (text, done) = ask::stream(entry, &prompt, 150).rest();
+                let prompt = format!("evening {number}");
+                let (text, done) = client::stream(entry, &prompt, 150).rest();
                 assert_eq!(text, expected(&prompt, 150));
                 assert!(done);
             })
@@ -80,8 +80,8 @@
         .collect();
     while call(entry, "GET", "/services/till/stock", &[], b"").status != 200 {}
     std::thread::sleep(Duration::from_millis(300));
-    signal(program.child.id(), "TERM");
-    wait_until(|| program.ready() == Some(503));
+    signal(process.child.id(), "TERM");
+    wait_until(|| process.readiness_status() == Some(503));
     // The load balancer has not noticed yet and still sends requests.
     assert_eq!(call(entry, "GET", "/services/till/stock", &[], b"").status, 200);
     wait_until(|| call(entry, "GET", "/services/till/stock", &[], b"").status == 503);
@@ -92,13 +92,13 @@
     for stream in streams {
         stream.join().unwrap();
     }
-    assert_eq!(program.child.wait().unwrap().code(), Some(0));
+    assert_eq!(process.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
 fn idle_stop() {
     let state = FakeState::start(config([]));
-    let mut program = Program::start(&state);
-    signal(program.child.id(), "TERM");
-    assert_eq!(program.child.wait().unwrap().code(), Some(0));
+    let mut process = EntryProcess::start(&state);
+    signal(process.child.id(), "TERM");
+    assert_eq!(process.child.wait().unwrap().code(), Some(0));
 }
--- a/crates/entry/tests/recomputed_count.rs
+++ b/crates/entry/tests/recomputed_count.rs
@@ -4,19 +4,19 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use common::ask::{self, Events};
+use common::client::{self, Events};
 use common::{Host, config, engine, fake};
 use telemetry::scrape::MetricsExporter;
 
 /// An engine dies after two tokens, and the next one has almost none of the prompt in its cache. Recomputed tokens cost
 /// the customer time, so an operator must see how many there were, whose and why.
 #[test]
-fn died_engine() {
+fn engine_death_counted() {
     let scrape = MetricsExporter::install().unwrap();
-    let turns = AtomicUsize::new(0);
+    let requests = AtomicUsize::new(0);
     let address = fake::serve(move |_, stream| {
         fake::begin(&stream);
-        if turns.fetch_add(1, Ordering::SeqCst) == 0 {
+        if requests.fetch_add(1, Ordering::SeqCst) == 0 {
             fake::token(&stream, "one ");
             fake::token(&stream, "two ");
             return;
@@ -27,7 +27,7 @@
         fake::done(&stream);
     });
     let host = Host::start(config([engine("a", address)]));
-    let mut events: Events = ask::stream(host.address, "count up to three", 3);
+    let mut events: Events = client::stream(host.address, "count up to three", 3);
     assert_eq!(events.rest(), ("one two three ".to_owned(), true));
     // Four prompt words and two tokens, one of them cached.
     let line = "gentian_recomputed_tokens_total{customer=\"tan-seng-huat\",cause=\"died\"} 5";
--- a/crates/entry/tests/resume_by_id.rs
+++ b/crates/entry/tests/resume_by_id.rs
@@ -5,7 +5,7 @@
 
 use std::sync::mpsc::channel;
 
-use common::ask::{self, Answer, call};
+use common::client::{self, Response, call};
 use common::{Host, OTHER_KEY, config, engine, fake, free_address};
 use contract::Config;
 use entry::cli::Options;
@@ -13,7 +13,7 @@
 use parking_lot::Mutex;
 
 /// Starts entry hosts that are peers of each other.
-fn hosts(count: usize, config: &Config) -> Vec<Host> {
+fn start_peers(count: usize, config: &Config) -> Vec<Host> {
     let inners: Vec<String> = (0..count).map(|_| free_address().to_string()).collect();
     let start = |at: usize| {
         let options = Options {
@@ -27,7 +27,7 @@
     (0..count).map(start).collect()
 }
 
-fn fetch(host: &Host, id: &str, query: &str) -> Answer {
+fn fetch(host: &Host, id: &str, query: &str) -> Response {
     call(host.address, "GET", &format!("/v1/requests/{id}{query}"), &[], b"")
 }
 
@@ -45,11 +45,11 @@
         fake::token(&stream, "three ");
         fake::done(&stream);
     });
-    let hosts = hosts(3, &config([engine("a", address)]));
-    let mut events = ask::stream(hosts[0].address, "count", 9);
+    let start_peers = start_peers(3, &config([engine("a", address)]));
+    let mut events = client::stream(start_peers[0].address, "count", 9);
     let id = events.request_id();
     assert_eq!((events.token(), events.token()), ("one ".into(), "two ".into()));
-    for host in &hosts {
+    for host in &start_peers {
         let part = fetch(host, &id, "?from=1");
         assert_eq!(part.header("Retry-After"), Some("1"));
         let part = part.json();
@@ -58,7 +58,7 @@
     }
     go.send(()).unwrap();
     assert_eq!(events.rest(), ("three ".to_owned(), true));
-    for host in &hosts {
+    for host in &start_peers {
         let part = fetch(host, &id, "").json();
         assert_eq!((&part["text"], &part["next"]), (&"one two three ".into(), &3.into()));
         assert_eq!(part["whole"], true);
@@ -84,17 +84,17 @@
         fake::token(&stream, "secret ");
         fake::done(&stream);
     });
-    let hosts = hosts(2, &config([engine("a", address)]));
-    let mut events = ask::stream(hosts[0].address, "count", 9);
+    let start_peers = start_peers(2, &config([engine("a", address)]));
+    let mut events = client::stream(start_peers[0].address, "count", 9);
     let id = events.request_id();
     assert!(events.rest().1);
     let key = format!("Bearer {OTHER_KEY}");
-    let as_other = |host: &Host, id: &str| {
+    let fetch_as_other = |host: &Host, id: &str| {
         let path = format!("/v1/requests/{id}");
         call(host.address, "GET", &path, &[("Authorization", &key)], b"")
     };
-    for host in &hosts {
-        let (there, nowhere) = (as_other(host, &id), as_other(host, "entry-9-1-1"));
+    for host in &start_peers {
+        let (there, nowhere) = (fetch_as_other(host, &id), fetch_as_other(host, "entry-9-1-1"));
         assert_eq!((there.status, nowhere.status), (404, 404));
         assert_eq!(there.text(), nowhere.text());
         assert_eq!(fetch(host, &id, "?from=x").status, 400);
--- a/crates/entry/tests/scrape_parses.rs
+++ b/crates/entry/tests/scrape_parses.rs
@@ -6,13 +6,13 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-use common::{PATIENCE, free_address};
+use common::{TIMEOUT, free_address};
 
-const PAGE: &str = include_str!("../../../docs/reference/metrics.md");
+const METRICS_PAGE: &str = include_str!("../../../docs/reference/metrics.md");
 
-struct Running(Child);
+struct EntryProcess(Child);
 
-impl Drop for Running {
+impl Drop for EntryProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -41,8 +41,8 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let _running = Running(child);
-    let until = Instant::now() + PATIENCE;
+    let _running = EntryProcess(child);
+    let until = Instant::now() + TIMEOUT;
     let text = loop {
         assert!(Instant::now() < until, "no scrape came");
         let answer = ureq::get(format!("http://{ops}/metrics")).call();
@@ -61,7 +61,7 @@
         names.insert(name);
     }
     for name in &names {
-        assert!(PAGE.contains(&format!("`{name}`")), "{name} is not on the page");
+        assert!(METRICS_PAGE.contains(&format!("`{name}`")), "{name} is not on the page");
     }
     assert!(names.len() > 3, "{names:?}");
 }
--- a/crates/entry/tests/services_pass.rs
+++ b/crates/entry/tests/services_pass.rs
@@ -8,15 +8,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
 
-use common::ask::{call, read, send};
+use common::client::{call, read_response, send};
 use common::{Host, config, fake, free_address, service};
-use fake::Got;
+use fake::ReceivedRequest;
 
 #[test]
-fn passed_both_ways() {
-    let (tell, told) = channel();
-    let address = fake::serve(move |got, stream| {
-        tell.send(got).unwrap();
+fn fields_forwarded() {
+    let (sender, receiver) = channel();
+    let address = fake::serve(move |request, stream| {
+        sender.send(request).unwrap();
         let headers =
             "Content-Type: text/csv\r\nETag: \"7\"\r\nLocation: /search/9\r\nSet-Cookie: a=b\r\nServer: till\r\n";
         fake::reply(&stream, "201 Created", headers, "a,b");
@@ -35,13 +35,13 @@
         &headers,
         b"ring",
     );
-    let got: Got = told.recv().unwrap();
+    let request: ReceivedRequest = receiver.recv().unwrap();
     assert!(
-        got.head.starts_with("POST /search/a%20b?size=2&x=%2F HTTP/1.1\r\n"),
+        request.head.starts_with("POST /search/a%20b?size=2&x=%2F HTTP/1.1\r\n"),
         "{}",
-        got.head
+        request.head
     );
-    let head = got.head.to_ascii_lowercase();
+    let head = request.head.to_ascii_lowercase();
     assert!(
         head.contains("content-type: text/plain") && head.contains("accept-language: sw"),
         "{head}"
@@ -50,7 +50,7 @@
         !head.contains("x-priority") && !head.contains("cookie") && !head.contains("authorization"),
         "{head}"
     );
-    assert_eq!(got.body, b"ring");
+    assert_eq!(request.body, b"ring");
     assert_eq!((answer.status, answer.text().as_str()), (201, "a,b"));
     assert_eq!(answer.header("Content-Type"), Some("text/csv"));
     assert_eq!(answer.header("ETag"), Some("\"7\""));
@@ -60,8 +60,8 @@
 
 #[test]
 fn other_methods() {
-    let address = fake::serve(|got, stream| {
-        let method = got.head.split(' ').next().unwrap().to_owned();
+    let address = fake::serve(|request, stream| {
+        let method = request.head.split(' ').next().unwrap().to_owned();
         let body = if method == "HEAD" { "" } else { method.as_str() };
         fake::reply(&stream, "200 OK", "", body);
     });
@@ -78,7 +78,7 @@
 /// A service breaks each connection after it received the request. Idempotent calls, by GET or by a POST whose class
 /// says so, must be retried at the other service without the caller seeing the failure.
 #[test]
-fn lookup_elsewhere() {
+fn failure_retried() {
     let count = Arc::new(AtomicUsize::new(0));
     let broken = Arc::clone(&count);
     let dying = fake::serve(move |_, stream| {
@@ -87,8 +87,8 @@
     });
     let good = fake::serve(|_, stream| fake::reply(&stream, "200 OK", "", "7"));
     let host = Host::start(config([service("a", "till", dying), service("b", "till", good)]));
-    for turn in 0..40 {
-        let (method, path) = if turn % 2 == 0 {
+    for number in 0..40 {
+        let (method, path) = if number % 2 == 0 {
             ("GET", "stock/7")
         } else {
             ("POST", "search")
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn busy_elsewhere() {
+fn busy_retried() {
     let busy = fake::serve(|_, stream| fake::reply(&stream, "503 Service Unavailable", "", "busy"));
     let good = fake::serve(|_, stream| fake::reply(&stream, "200 OK", "", "7"));
     let host = Host::start(config([service("a", "till", busy), service("b", "till", good)]));
@@ -155,8 +155,8 @@
 fn unclaimed_never_sent() {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = Arc::clone(&count);
-    let address = fake::serve(move |got, stream| {
-        if got.head.starts_with("POST") {
+    let address = fake::serve(move |request, stream| {
+        if request.head.starts_with("POST") {
             seen.fetch_add(1, Ordering::SeqCst);
         }
         fake::reply(&stream, "200 OK", "", "7");
@@ -182,14 +182,14 @@
 
 /// A service sends only half of the announced body. It must not be passed on as a complete response.
 #[test]
-fn half_answer() {
+fn truncated_response() {
     let address = fake::serve(|_, mut stream: TcpStream| {
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
             .unwrap();
     });
     let host = Host::start(config([service("t", "till", address)]));
-    let answer = read(send(host.address, "GET", "/services/till/stock", &[], b""));
+    let answer = read_response(send(host.address, "GET", "/services/till/stock", &[], b""));
     assert_eq!(answer.status, 502);
     assert_eq!(answer.header("Gentian-Outcome"), Some("unknown"));
 }
--- a/crates/entry/tests/streams_survive.rs
+++ b/crates/entry/tests/streams_survive.rs
@@ -2,20 +2,20 @@
 
 mod common;
 
-use common::ask::{self, expected};
+use common::client::{self, expected};
 use common::{Host, Standin, config, engine};
 
-const SLOW: [&str; 2] = ["--decode-us", "20000"];
+const SLOW_DECODE: [&str; 2] = ["--decode-us", "20000"];
 
 /// Starts two engines and an entry host in front of them.
-fn pair() -> (Standin, Standin, Host) {
-    let (a, b) = (Standin::engine(&SLOW), Standin::engine(&SLOW));
+fn engine_pair() -> (Standin, Standin, Host) {
+    let (a, b) = (Standin::engine(&SLOW_DECODE), Standin::engine(&SLOW_DECODE));
     let host = Host::start(config([engine("a", a.address), engine("b", b.address)]));
     (a, b, host)
 }
 
 /// Returns the engine of a request's latest attempt.
-fn serving(host: &Host, id: &str) -> String {
+fn serving_engine(host: &Host, id: &str) -> String {
     let journal = host.entry.journals.find(&id.into()).unwrap();
     journal.choices().last().unwrap().chosen.to_string()
 }
@@ -24,11 +24,11 @@
 /// tokens that were sent, or the caller would get half an answer.
 #[test]
 fn engine_killed() {
-    let (mut a, mut b, host) = pair();
-    let mut events = ask::stream(host.address, "a custom septum quote", 60);
+    let (mut a, mut b, host) = engine_pair();
+    let mut events = client::stream(host.address, "a custom septum quote", 60);
     let mut text: String = (0..5).map(|_| events.token()).collect();
     let id = events.request_id();
-    if serving(&host, &id) == "a" {
+    if serving_engine(&host, &id) == "a" {
         a.kill();
     } else {
         b.kill();
@@ -46,10 +46,10 @@
 /// without bound between two tokens.
 #[test]
 fn engine_frozen() {
-    let (a, b, host) = pair();
-    let mut events = ask::stream(host.address, "aftercare for a helix", 60);
+    let (a, b, host) = engine_pair();
+    let mut events = client::stream(host.address, "aftercare for a helix", 60);
     let mut text: String = (0..5).map(|_| events.token()).collect();
-    if serving(&host, &events.request_id()) == "a" {
+    if serving_engine(&host, &events.request_id()) == "a" {
         a.freeze();
     } else {
         b.freeze();
@@ -64,11 +64,11 @@
 /// the first token.
 #[test]
 fn frozen_before() {
-    let (a, b, host) = pair();
+    let (a, b, host) = engine_pair();
     a.freeze();
-    for turn in 0..4 {
-        let prompt = format!("question {turn}");
-        let (text, done) = ask::stream(host.address, &prompt, 8).rest();
+    for number in 0..4 {
+        let prompt = format!("question {number}");
+        let (text, done) = client::stream(host.address, &prompt, 8).rest();
         assert_eq!(text, expected(&prompt, 8));
         assert!(done);
     }
@@ -79,8 +79,8 @@
 /// given up.
 #[test]
 fn engine_returns() {
-    let (mut a, mut b, host) = pair();
-    let mut events = ask::stream(host.address, "a season plan", 60);
+    let (mut a, mut b, host) = engine_pair();
+    let mut events = client::stream(host.address, "a season plan", 60);
     let mut text: String = (0..5).map(|_| events.token()).collect();
     let address = a.address.to_string();
     a.kill();
@@ -95,13 +95,13 @@
 /// An engine dies with many open streams. All must be resumed; a retry budget that counted them like retries against an
 /// overloaded engine would cut off half of them.
 #[test]
-fn many_resume() {
-    let (mut a, _b, host) = pair();
+fn many_streams_resume() {
+    let (mut a, _b, host) = engine_pair();
     let callers: Vec<_> = (0..20)
-        .map(|turn| {
-            let (address, prompt) = (host.address, format!("quote {turn}"));
+        .map(|number| {
+            let (address, prompt) = (host.address, format!("quote {number}"));
             std::thread::spawn(move || {
-                let (text, done) = ask::stream(address, &prompt, 60).rest();
+                let (text, done) = client::stream(address, &prompt, 60).rest();
                 assert_eq!(text, expected(&prompt, 60));
                 assert!(done);
             })
@@ -110,7 +110,7 @@
     while host
         .entry
         .journals
-        .open_ones()
+        .open_journals()
         .iter()
         .filter(|(_, journal)| journal.len() > 2)
         .count()
@@ -135,6 +135,6 @@
         fake::token(&stream, "two ");
     });
     let host = Host::start(config([engine("a", address)]));
-    let (text, done) = ask::stream(host.address, "count", 2).rest();
+    let (text, done) = client::stream(host.address, "count", 2).rest();
     assert_eq!((text.as_str(), done), ("one two ", true));
 }
