--- a/crates/entry/src/admission/mod.rs
+++ b/crates/entry/src/admission/mod.rs
@@ -159,9 +159,9 @@
     }
 
     /// Sets the number of slots of each model and service.
-    pub fn set_slots(&self, sizes: &[TargetSlots]) {
+    pub fn set_slots(&self, targets: &[TargetSlots]) {
         let mut inner = self.inner.lock();
-        inner.queues.set_slots(sizes);
+        inner.queues.set_slots(targets);
         inner.admit_waiting();
         inner.queues.update_gauges();
     }
--- a/crates/entry/src/admission/queues.rs
+++ b/crates/entry/src/admission/queues.rs
@@ -43,9 +43,9 @@
         waiter: W,
         now: Tick,
     ) -> Result<Option<ShedRequest<W>>, Rejection> {
-        let room = SharedPlaces::new(self.max_waiting, self.queues.len());
+        let places = SharedPlaces::new(self.max_waiting, self.queues.len());
         let used = self.queue(target).waiting();
-        let has_place = room.has_place(used, self.queues.values().map(AdmissionQueue::waiting));
+        let has_place = places.has_place(used, self.queues.values().map(AdmissionQueue::waiting));
         let waiting = if has_place { used + 1 } else { used };
         let queue = self.queue(target);
         queue.set_waiting(waiting);
@@ -72,18 +72,18 @@
 
     /// Admits the next request, if there is room, and returns the handle of its thread.
     pub(super) fn admit_next(&mut self) -> Option<W> {
-        let room = SharedPlaces::new(self.max_running, self.queues.len());
+        let places = SharedPlaces::new(self.max_running, self.queues.len());
         let used: Vec<usize> = self.queues.values().map(AdmissionQueue::running).collect();
         let mut nonempty = self.queues.values_mut().filter(|queue| queue.waiting() > 0);
         let ticket = nonempty.find_map(|queue| {
-            let has_place = room.has_place(queue.running(), used.iter().copied());
+            let has_place = places.has_place(queue.running(), used.iter().copied());
             has_place.then(|| queue.admit_next()).flatten()
         })?;
         self.waiters.remove(&ticket.id)
     }
 
-    pub(super) fn finish(&mut self, target: &Target, tokens: f64, held: Duration) {
-        self.queue(target).finished(tokens, held);
+    pub(super) fn finish(&mut self, target: &Target, tokens: f64, hold_time: Duration) {
+        self.queue(target).finished(tokens, hold_time);
     }
 
     /// Returns the mean time until a slot of a target becomes free.
@@ -96,14 +96,14 @@
 
     /// Sets the number of slots of each target. A target that no upstream serves any more gets none, and its queue is
     /// removed once it is empty.
-    pub(super) fn set_slots(&mut self, sizes: &[TargetSlots]) {
+    pub(super) fn set_slots(&mut self, targets: &[TargetSlots]) {
         for queue in self.queues.values_mut() {
             queue.resize(0);
         }
-        for size in sizes {
-            let queue = self.queue(&size.target);
-            queue.resize(size.slots);
-            queue.set_first_token(size.first_token);
+        for target in targets {
+            let queue = self.queue(&target.target);
+            queue.resize(target.slots);
+            queue.set_first_token(target.first_token);
         }
         self.queues
             .retain(|_, queue| queue.running() + queue.waiting() + queue.capacity() > 0);
--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -16,6 +16,7 @@
 
 /// Interval of the backups; the loss of a host loses at most the counts since the last one.
 const BACKUP_INTERVAL: Duration = Duration::from_secs(30);
+/// Longest time between two checks of the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Returns the counts of this process and the counts that it keeps for others.
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -48,22 +48,22 @@
         .admit(contract, &admission_request(&chat, class, arrived));
     let mut permit = admitted.map_err(|refusal| problem::count_problem(refusal.into(), &meter, entry.clock.now()))?;
     meter.record_admission(entry.clock.now());
-    let peer = CallerProbe::of(caller.connection).map_err(|_gone| Problem::bad_request("the connection broke"))?;
+    let probe = CallerProbe::of(caller.connection).map_err(|_gone| Problem::bad_request("the connection broke"))?;
     let id = entry.new_request_id();
     let owner = journal::owner(&contract.customer, account);
     let journal = entry.journals.open(&id, owner, &chat.request);
     let limits = WaitLimits::new(&class.targets, chat.prompt_tokens, arrived);
-    let watch = RequestMonitor::new(entry.clock.clone(), Some(peer), Arc::clone(&journal), limits);
+    let monitor = RequestMonitor::new(entry.clock.clone(), Some(probe), Arc::clone(&journal), limits);
     let run = ChatRun {
         entry,
         id: &id,
         customer: contract.customer.clone(),
         chat: &chat,
         journal,
-        monitor: Arc::new(watch),
+        monitor: Arc::new(monitor),
         meter,
     };
-    let answered = if chat.request.stream {
+    let response = if chat.request.stream {
         serve_stream(&run, caller)
     } else {
         serve_whole(&run)
@@ -74,7 +74,7 @@
     if run.journal.part_from(usize::MAX).complete {
         count_answer(contract, class);
     }
-    Ok(answered)
+    Ok(response)
 }
 
 /// Returns the contract's class of a request; `None` if none matches.
--- a/crates/entry/src/callers/checked_chat.rs
+++ b/crates/entry/src/callers/checked_chat.rs
@@ -105,9 +105,9 @@
         )?;
         let choices: u64 = take_field(&mut body, "n")?.unwrap_or(1);
         require(choices == 1, "n", &choices, "1 choice")?;
-        let newer: Option<u64> = take_field(&mut body, "max_completion_tokens")?;
+        let newer_limit: Option<u64> = take_field(&mut body, "max_completion_tokens")?;
         let max_tokens = take_field(&mut body, "max_tokens")?
-            .or(newer)
+            .or(newer_limit)
             .unwrap_or(DEFAULT_ANSWER_TOKENS);
         require(
             (1..=MAX_ANSWER_TOKENS).contains(&max_tokens),
@@ -171,10 +171,10 @@
         other.remove(field);
     }
     for field in UNSUPPORTED_FIELDS {
-        let given = other
+        let is_set = other
             .get(field)
             .is_some_and(|value| !matches!(value, Value::Null | Value::Bool(false)));
-        require(!given, field, &"a value", "the field to be left out")?;
+        require(!is_set, field, &"a value", "the field to be left out")?;
     }
     Ok(other)
 }
--- a/crates/entry/src/callers/http/connection.rs
+++ b/crates/entry/src/callers/http/connection.rs
@@ -124,15 +124,15 @@
                 .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
                 .map_err(|_gone| ReadError::Closed)?;
         }
-        let mut source = BodyReader {
+        let mut reader = BodyReader {
             stream: &self.stream,
             buffer: &mut self.buffer,
             deadline: Instant::now() + BODY_TIMEOUT,
         };
         let mut body = Vec::new();
         let read = match head.body_length {
-            BodyLength::Bytes(length) => (&mut source).take(length).read_to_end(&mut body),
-            BodyLength::Chunked => Decoder::new(&mut source)
+            BodyLength::Bytes(length) => (&mut reader).take(length).read_to_end(&mut body),
+            BodyLength::Chunked => Decoder::new(&mut reader)
                 .take(MAX_BODY_BYTES + 1)
                 .read_to_end(&mut body),
         };
@@ -160,14 +160,14 @@
         if self.stream.shutdown(std::net::Shutdown::Write).is_err() {
             return;
         }
-        let until = Instant::now() + MAX_DISCARD_TIME;
-        let mut taken = 0;
+        let deadline = Instant::now() + MAX_DISCARD_TIME;
+        let mut discarded = 0;
         let mut buffer = Vec::new();
-        while taken < MAX_DISCARD_BYTES && Instant::now() < until {
+        while discarded < MAX_DISCARD_BYTES && Instant::now() < deadline {
             buffer.clear();
             match read_available(&self.stream, &mut buffer) {
                 Ok(0) => return,
-                Ok(count) => taken += count,
+                Ok(count) => discarded += count,
                 Err(error) if is_no_data(&error) => {}
                 Err(_) => return,
             }
@@ -231,9 +231,9 @@
 }
 
 fn read_available(mut stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
-    let mut piece = [0; READ_BYTES];
-    let count = stream.read(&mut piece)?;
-    buffer.extend_from_slice(&piece[..count]);
+    let mut chunk = [0; READ_BYTES];
+    let count = stream.read(&mut chunk)?;
+    buffer.extend_from_slice(&chunk[..count]);
     Ok(count)
 }
 
--- a/crates/entry/src/callers/http/head.rs
+++ b/crates/entry/src/callers/http/head.rs
@@ -42,7 +42,7 @@
     /// A header value is not UTF-8.
     #[display("a header is not text")]
     Text,
-    /// The length of the body is missing a single clear value.
+    /// The body length is ambiguous or not a number.
     #[display("the length of the body is not clear")]
     Length,
 }
--- a/crates/entry/src/callers/http/reply.rs
+++ b/crates/entry/src/callers/http/reply.rs
@@ -24,14 +24,14 @@
 }
 
 impl Reply {
-    /// Creates a response with a body of media type `media`.
-    pub(in crate::callers) fn new(status: u16, media: &str, body: Vec<u8>) -> Self {
+    /// Creates a response with a body of media type `media_type`.
+    pub(in crate::callers) fn new(status: u16, media_type: &str, body: Vec<u8>) -> Self {
         let reply = Self {
             status,
             headers: Vec::new(),
             body,
         };
-        reply.with_header("Content-Type", media)
+        reply.with_header("Content-Type", media_type)
     }
 
     /// Adds a header; a value with control characters is left out, because it could break the framing.
@@ -51,14 +51,19 @@
     ///
     /// # Errors
     /// Fails if the connection is closed or the write times out.
-    pub(in crate::callers) fn send(&self, mut stream: &TcpStream, head: Option<&Head>, keep: bool) -> io::Result<()> {
-        let mut bytes = head_bytes(self.status, &self.headers, keep);
-        let empty = matches!(self.status, 100..200 | 204 | 304);
-        if !empty {
+    pub(in crate::callers) fn send(
+        &self,
+        mut stream: &TcpStream,
+        head: Option<&Head>,
+        keep_alive: bool,
+    ) -> io::Result<()> {
+        let mut bytes = head_bytes(self.status, &self.headers, keep_alive);
+        let no_body = matches!(self.status, 100..200 | 204 | 304);
+        if !no_body {
             write!(bytes, "Content-Length: {}\r\n", self.body.len())?;
         }
         bytes.extend_from_slice(b"\r\n");
-        if !empty && head.is_none_or(|head| head.method != "HEAD") {
+        if !no_body && head.is_none_or(|head| head.method != "HEAD") {
             bytes.extend_from_slice(&self.body);
         }
         stream.write_all(&bytes)
@@ -74,9 +79,9 @@
         mut stream: &'a TcpStream,
         head: &Head,
         headers: &[(Cow<'static, str>, String)],
-        keep: bool,
+        keep_alive: bool,
     ) -> io::Result<Self> {
-        let mut bytes = head_bytes(200, headers, keep && head.accepts_chunks);
+        let mut bytes = head_bytes(200, headers, keep_alive && head.accepts_chunks);
         let framing: &[u8] = if head.accepts_chunks {
             b"Transfer-Encoding: chunked\r\n\r\n"
         } else {
@@ -119,13 +124,13 @@
     }
 }
 
-fn head_bytes(status: u16, headers: &[(Cow<'static, str>, String)], keep: bool) -> Vec<u8> {
+fn head_bytes(status: u16, headers: &[(Cow<'static, str>, String)], keep_alive: bool) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         // Writing to a string never fails.
         let _ = write!(text, "{name}: {value}\r\n");
     }
-    if !keep {
+    if !keep_alive {
         text.push_str("Connection: close\r\n");
     }
     text.into_bytes()
--- a/crates/entry/src/callers/run/adopted.rs
+++ b/crates/entry/src/callers/run/adopted.rs
@@ -57,24 +57,24 @@
         .contracts
         .get(&customer)
         .and_then(|contract| chat::request_class(contract, chat));
-    let ended = class.map(|class| {
+    let end = class.map(|class| {
         let limits = WaitLimits::new(&class.targets, chat.prompt_tokens, now);
-        let watch = RequestMonitor::new(entry.clock.clone(), None, Arc::clone(journal), limits);
+        let monitor = RequestMonitor::new(entry.clock.clone(), None, Arc::clone(journal), limits);
         let run = ChatRun {
             entry,
             id,
             customer,
             chat,
             journal: Arc::clone(journal),
-            monitor: Arc::new(watch),
+            monitor: Arc::new(monitor),
             meter: entry.burn_counts.start_meter(&journal.customer(), class, now),
         };
         run.run_attempts(&mut EngineSearch::adopted(), &mut DiscardTokens)
     });
-    let whole = matches!(ended, Some(RunEnd::Completed(_)));
+    let complete = matches!(end, Some(RunEnd::Completed(_)));
     // If the request was handed on to another peer, it ends there.
-    let _ = journal.end(whole);
+    let _ = journal.end(complete);
     entry.journals.end(id, entry.clock.now());
-    counter!("gentian_adopted_total", "whole" => whole.to_string()).increment(1);
-    info!(entry.logger, "adopted request ended"; "request" => %id, "whole" => whole);
+    counter!("gentian_adopted_total", "whole" => complete.to_string()).increment(1);
+    info!(entry.logger, "adopted request ended"; "request" => %id, "whole" => complete);
 }
--- a/crates/entry/src/callers/service.rs
+++ b/crates/entry/src/callers/service.rs
@@ -170,9 +170,9 @@
         while Instant::now() < self.deadline
             && let Some(spec) = self.choose(&tried)
         {
-            let sent = self.send(&spec, self.attempt_timeout());
-            let not_run = sent.not_run();
-            match sent.into_answer() {
+            let attempt = self.send(&spec, self.attempt_timeout());
+            let not_run = attempt.not_run();
+            match attempt.into_answer() {
                 Ok(answer) if !RETRY_STATUSES.contains(&answer.status) => {
                     if tried.is_empty() {
                         self.entry.retry_budget.lock().succeeded();
@@ -210,8 +210,8 @@
         };
         let digest = claims::call_digest(self.call.method, self.call.path, self.call.body);
         let revision = self.entry.config.revision();
-        let verdict = claims::claim(&self.entry.state_client, revision, &keyed, &digest, self.deadline);
-        match claims::resolve_unknown(self.entry, self.service, &keyed, verdict) {
+        let claimed = claims::claim(&self.entry.state_client, revision, &keyed, &digest, self.deadline);
+        match claims::resolve_unknown(self.entry, self.service, &keyed, claimed) {
             ClaimResult::Granted => self.send_claimed(&keyed),
             ClaimResult::Done(Outcome::Answered { status, media, body }) => Ok(ServiceAnswer {
                 status,
@@ -235,13 +235,13 @@
         while Instant::now() < self.deadline
             && let Some(spec) = self.choose(&tried)
         {
-            let sent = self.send(&spec, self.deadline.saturating_duration_since(Instant::now()));
-            outcome = sent.outcome();
-            if sent.not_run() {
+            let attempt = self.send(&spec, self.deadline.saturating_duration_since(Instant::now()));
+            outcome = attempt.outcome();
+            if attempt.not_run() {
                 tried.push(spec.id);
                 continue;
             }
-            result = sent.into_answer().map_err(Problem::unknown_outcome);
+            result = attempt.into_answer().map_err(Problem::unknown_outcome);
             break;
         }
         if !claims::settle(&self.entry.state_client, self.entry.config.revision(), keyed, &outcome) {
@@ -253,32 +253,32 @@
     fn choose(&self, tried: &[UpstreamId]) -> Option<UpstreamSpec> {
         let entry = self.entry;
         let view = entry.config.view();
-        let ask = RouteRequest {
+        let route_request = RouteRequest {
             target: &Target::Service(self.service.to_owned()),
             prefix: &Prefix::default(),
             need: RequestNeed::default(),
             tried,
         };
-        let choice = entry.upstreams.choose(&view, &ask, entry.clock.now())?;
+        let choice = entry.upstreams.choose(&view, &route_request, entry.clock.now())?;
         view.config.upstreams.get(&choice.chosen).cloned()
     }
 
     fn send(&self, spec: &UpstreamSpec, timeout: Duration) -> Attempt<Sent> {
         let entry = self.entry;
-        let _visit = entry.upstreams.start_request(&spec.id, entry.clock.now());
+        let _in_flight = entry.upstreams.start_request(&spec.id, entry.clock.now());
         self.meter.record_attempt(&spec.host);
-        let sent = Attempt::new(spec.address).send(&entry.service_client, &self.call, timeout);
-        let succeeded = sent.status().is_some_and(|status| status < 500);
+        let attempt = Attempt::new(spec.address).send(&entry.service_client, &self.call, timeout);
+        let succeeded = attempt.status().is_some_and(|status| status < 500);
         let now = entry.clock.now();
         entry.upstreams.record_result(&spec.id, succeeded, now);
-        if let Some(error) = sent.error() {
+        if let Some(error) = attempt.error() {
             self.meter.record_failure(!entry.upstreams.hosts.takes_work(&spec.host));
             entry.upstreams.hosts.record_failure(&spec.host, error, now);
         }
         if !succeeded {
             counter!("gentian_attempts_failed_total", "class" => self.class.name.to_string()).increment(1);
         }
-        sent
+        attempt
     }
 }
 
--- a/crates/entry/src/callers/sse.rs
+++ b/crates/entry/src/callers/sse.rs
@@ -17,7 +17,7 @@
 pub(super) struct SseStream<'a> {
     stream: &'a TcpStream,
     head: &'a Head,
-    keep: bool,
+    keep_alive: bool,
     id: &'a RequestId,
     event_prefix: String,
     event_buffer: Vec<u8>,
@@ -25,7 +25,7 @@
 }
 
 impl<'a> SseStream<'a> {
-    pub(super) fn new(stream: &'a TcpStream, head: &'a Head, keep: bool, id: &'a RequestId, model: &str) -> Self {
+    pub(super) fn new(stream: &'a TcpStream, head: &'a Head, keep_alive: bool, id: &'a RequestId, model: &str) -> Self {
         // All events of the answer begin alike, so their common part is formatted once.
         let event_prefix = format!(
             "{{\"id\":{},\"object\":\"chat.completion.chunk\",\"created\":{},\"model\":{},\"choices\":",
@@ -36,7 +36,7 @@
         Self {
             stream,
             head,
-            keep,
+            keep_alive,
             id,
             event_prefix,
             event_buffer: Vec::new(),
@@ -88,7 +88,7 @@
                 ("Cache-Control".into(), "no-store".to_owned()),
                 (REQUEST_ID_HEADER.into(), self.id.to_string()),
             ];
-            self.chunks = Some(ChunkedReply::begin(self.stream, self.head, &headers, self.keep)?);
+            self.chunks = Some(ChunkedReply::begin(self.stream, self.head, &headers, self.keep_alive)?);
         }
         Ok(self.chunks.as_mut().expect("inserted above"))
     }
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -24,9 +24,9 @@
 /// Number of concurrent handovers.
 const HANDOVER_THREADS: usize = 8;
 
-/// Handles a life-cycle event of a host: this process leaves if its own host leaves.
+/// Handles a signal about the life cycle of a host: this process leaves if its own host does.
 ///
-/// An event of an earlier host with the same name can arrive when the new one already serves, and must not stop it.
+/// A signal about an earlier host with the same name can arrive when the new one already serves, and must not stop it.
 pub fn handle_signal(entry: &EntryHost, signal: &HostSignal) {
     let is_own_host = signal.host == entry.settings.host && signal.incarnation >= entry.settings.incarnation;
     if !is_own_host || signal.sign == Sign::Serving {
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -74,7 +74,7 @@
     /// Whether new requests are refused.
     pub refusing: AtomicBool,
     announced_end: Mutex<Option<AnnouncedEnd>>,
-    /// Whether a life-cycle event of this host asks the process to leave.
+    /// Whether a signal about this host asks the process to leave.
     pub leave_requested: AtomicBool,
     /// Whether all threads must exit.
     pub stop: AtomicBool,
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -1,6 +1,6 @@
 //! Life-cycle state of the upstreams' hosts: which take new work, and when the others will be gone.
 //!
-//! Events come from the capacity process, from the cloud API and from refused connections, so that an entry host still
+//! Signals come from the capacity process, from the cloud API and from refused connections, so that an entry host still
 //! learns of a reclaim when one of these sources is cut off.
 
 use std::collections::HashSet;
@@ -28,14 +28,14 @@
 const POLLS_PER_CLEANUP: u64 = 240;
 const _: () = assert!(POLL_INTERVAL.as_millis() + CLOUD_TIMEOUT.as_millis() < MAX_NOTICE_DELAY.as_millis());
 
-/// The state of all hosts that events were received for.
+/// The state of all hosts that signals or connections told about.
 #[derive(Debug, Default)]
 pub struct HostTracker {
     states: Mutex<HostStates>,
 }
 
 impl HostTracker {
-    /// Applies an event that another process or the cloud reported; returns whether it made the host start to leave.
+    /// Applies a signal from another process or from the cloud API; returns whether it made the host start to leave.
     pub fn apply_signal(&self, signal: &HostSignal, now: Tick) -> bool {
         let state = self.apply_event(&signal.host, signal.incarnation, signal_event(signal.sign), now);
         matches!(state, Some(AnyHostState::Leaving(_)))
@@ -77,7 +77,7 @@
         states.iter().any(|(_, state)| ends(state))
     }
 
-    /// Returns name, incarnation and stage of every host that events were received for.
+    /// Returns name, incarnation and stage of every host that is tracked.
     #[must_use]
     pub fn list(&self) -> Vec<(HostId, u64, String)> {
         let states = self.states.lock();
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -193,8 +193,8 @@
     /// Returns the memory that the journal takes after the answer has ended, in bytes.
     fn memory_bytes(&self) -> usize {
         let answer = self.answer.lock();
-        let weighed: usize = self.choices.lock().iter().map(|choice| choice.weighed.len() + 1).sum();
-        size_of::<Self>() + answer.text.capacity() + answer.ends.capacity() * 4 + weighed * 96
+        let candidates: usize = self.choices.lock().iter().map(|choice| choice.weighed.len() + 1).sum();
+        size_of::<Self>() + answer.text.capacity() + answer.ends.capacity() * 4 + candidates * 96
     }
 
     fn lock_here(&self) -> Result<parking_lot::MutexGuard<'_, Location>, TakenOver> {
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -21,7 +21,9 @@
 
 /// Timeout of an internal RPC.
 const RPC_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time between two checks of the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Threads that serve health checks and metrics.
 const OPS_THREADS: usize = 4;
 /// Longest wait at shutdown for outcomes that are still to be recorded in the state group.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/entry/src/upstreams/events.rs
+++ b/crates/entry/src/upstreams/events.rs
@@ -17,7 +17,9 @@
 use super::index::Upstream;
 use crate::EntryHost;
 
+/// Pause between two reads.
 const READ_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// Network budget of reading events, in bytes a second.
 const BYTES_PER_S: f64 = 1_000.0;
--- a/crates/entry/src/upstreams/mod.rs
+++ b/crates/entry/src/upstreams/mod.rs
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Applies a life-cycle event of a host that another process or the cloud reported.
+    /// Applies a signal about the life cycle of a host, from another process or from the cloud API.
     pub fn apply_signal(&self, signal: &HostSignal, now: Tick) {
         if !self.hosts.apply_signal(signal, now) {
             return;
--- a/crates/entry/src/upstreams/poll.rs
+++ b/crates/entry/src/upstreams/poll.rs
@@ -18,6 +18,7 @@
 
 /// Pause between two checks for polls that are due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Network bytes of one poll in both directions with the headers of TCP and IP: about 350 of HTTP, and ten packets with
 /// 52 bytes of headers each.
@@ -53,19 +54,19 @@
         let poller = std::thread::Builder::new().name("load".to_owned());
         poller.spawn(move || poll_upstreams(&entry, &receiver))?;
     }
-    let mut owned = OwnPolls::default();
+    let mut own_polls = OwnPolls::default();
     while !entry.is_stopping() {
         let live = entry.live_hosts.load_full();
         entry.upstreams.refresh(&entry.config.view());
         let now = entry.clock.now();
-        owned.refresh(entry, &live);
-        let interval = poll_interval(owned.upstreams.len(), live.count());
+        own_polls.refresh(entry, &live);
+        let interval = poll_interval(own_polls.upstreams.len(), live.count());
         entry
             .upstreams
             .set_expiry((3 * (interval + live.cycle)).clamp(EXPIRY_BOUNDS.0, EXPIRY_BOUNDS.1));
-        gauge!("gentian_polled_upstreams").set(owned.upstreams.len() as f64);
+        gauge!("gentian_polled_upstreams").set(own_polls.upstreams.len() as f64);
         gauge!("gentian_poll_interval_seconds").set(interval.as_secs_f64());
-        owned.queue_due(&sender, interval, now);
+        own_polls.queue_due(&sender, interval, now);
         // Every entry host may send to every upstream, including those of other data centres.
         entry
             .admission
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -119,8 +119,8 @@
     );
 }
 
-/// A host is replaced by a new one of the same name, and events of the old one arrive late and repeatedly. They must
-/// not stop the new one.
+/// A host is replaced by a new one of the same name, and signals about the old one arrive late and repeatedly. They
+/// must not stop the new one.
 #[test]
 fn late_signal() {
     let options = Options {
--- a/crates/entry/tests/host_signs.rs
+++ b/crates/entry/tests/host_signs.rs
@@ -1,4 +1,4 @@
-//! Life-cycle events of hosts reach an entry host from several sources, and each source is enough.
+//! Signals about hosts reach an entry host from several sources, and each source is enough.
 
 mod common;
 
@@ -61,7 +61,7 @@
     assert_eq!(seen.text(), "[]");
 }
 
-/// The entry host can't reach the cloud API. The event from a capacity process must be enough.
+/// The entry host can't reach the cloud API. The signal from a capacity process must be enough.
 #[test]
 fn cloud_unreachable() {
     let a = Standin::engine(&[]);
