--- a/crates/entry/src/active_config.rs
+++ b/crates/entry/src/active_config.rs
@@ -141,7 +141,7 @@
                     warn!(logger, "state node does not respond"; "error" => %error);
                 }
                 node += 1;
-                ask_peer(entry);
+                fetch_from_peer(entry);
                 std::thread::sleep(FAILURE_PAUSE);
             }
         }
@@ -154,7 +154,7 @@
 /// side.
 ///
 /// Otherwise a host that starts during a partition would have no contracts and refuse every caller.
-fn ask_peer(entry: &EntryHost) {
+fn fetch_from_peer(entry: &EntryHost) {
     if let Some(news) = entry.peers.newer_config(entry.config.revision()) {
         // News from a peer without a configuration would make this host count as ready.
         if news.snapshot.is_some() || entry.config.is_ready() {
--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -67,7 +67,7 @@
         }
         let meter = self.meters.get_mut(&contract.customer).expect("inserted above");
         meter.limits = contract.limits;
-        meter.take(owned_part(&contract.limits, hosts, rank), tokens, slot_wait, now)
+        meter.charge(owned_part(&contract.limits, hosts, rank), tokens, slot_wait, now)
     }
 
     /// Refunds the charge of a request that was not run.
@@ -181,7 +181,7 @@
 }
 
 impl CustomerMeter {
-    fn take(&mut self, part: LimitAmounts, tokens: f64, slot_wait: Duration, now: Tick) -> Result<(), Duration> {
+    fn charge(&mut self, part: LimitAmounts, tokens: f64, slot_wait: Duration, now: Tick) -> Result<(), Duration> {
         self.request_demand.add(1.0, now);
         self.token_demand.add(tokens, now);
         let usable = self.share.usable(part, now);
--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -30,8 +30,8 @@
 ///
 /// Entry hosts have no disk. Without this copy, a restart would reset the used part of the customers' error budgets,
 /// and a bad day would look like a good one to an operator.
-pub fn back_up_peer(entry: &EntryHost, calls: &RpcRuntime, own: SocketAddr) {
-    let Some(peer) = next_peer(&entry.settings.peers, own) else {
+pub fn back_up_peer(entry: &EntryHost, calls: &RpcRuntime, own_address: SocketAddr) {
+    let Some(peer) = next_peer(&entry.settings.peers, own_address) else {
         return;
     };
     let mut pause = Duration::ZERO;
@@ -48,15 +48,15 @@
 /// Returns the peer that follows an address in the order of addresses, so that exactly one host keeps the counts of
 /// each.
 #[must_use]
-pub fn next_peer(peers: &[SocketAddr], own: SocketAddr) -> Option<SocketAddr> {
-    let after = peers.iter().filter(|peer| **peer > own).min();
-    let first = || peers.iter().filter(|peer| **peer != own).min();
+pub fn next_peer(peers: &[SocketAddr], own_address: SocketAddr) -> Option<SocketAddr> {
+    let after = peers.iter().filter(|peer| **peer > own_address).min();
+    let first = || peers.iter().filter(|peer| **peer != own_address).min();
     after.or_else(first).copied()
 }
 
 /// Sends the counts of this process to the next entry host, so that a planned stop loses nothing.
-pub fn send_counts(entry: &EntryHost, calls: &RpcRuntime, own: SocketAddr) {
-    let Some(peer) = next_peer(&entry.settings.peers, own) else {
+pub fn send_counts(entry: &EntryHost, calls: &RpcRuntime, own_address: SocketAddr) {
+    let Some(peer) = next_peer(&entry.settings.peers, own_address) else {
         return;
     };
     let part = entry.burn_counts.node_counts(&entry.settings.node, wall_ms() / 1_000);
--- a/crates/entry/src/callers/run/search.rs
+++ b/crates/entry/src/callers/run/search.rs
@@ -88,9 +88,9 @@
     }
 
     /// Records an attempt that ended because the engine's host leaves, and the engine where the answer continues.
-    pub(super) fn record_moved(&mut self, engine: UpstreamId, target: Option<UpstreamId>, cause: RecomputeCause) {
+    pub(super) fn record_moved(&mut self, engine: UpstreamId, cache_holder: Option<UpstreamId>, cause: RecomputeCause) {
         self.record_broken(engine, cause);
-        self.cache_holder = target;
+        self.cache_holder = cache_holder;
     }
 
     /// Takes the engine that got the KV cache, if there is one.
--- a/crates/entry/src/exchange/mod.rs
+++ b/crates/entry/src/exchange/mod.rs
@@ -30,13 +30,13 @@
 ///
 /// # Errors
 /// Fails if the port is in use.
-pub fn open(own: SocketAddr) -> std::io::Result<UdpSocket> {
-    UdpSocket::bind(own)
+pub fn open(own_address: SocketAddr) -> std::io::Result<UdpSocket> {
+    UdpSocket::bind(own_address)
 }
 
 /// Exchanges digests until the process stops.
-pub fn run(entry: &EntryHost, socket: &UdpSocket, own: SocketAddr) {
-    let mut peers = PeerTable::new(&entry.settings.peers, own, entry.clock.now());
+pub fn run(entry: &EntryHost, socket: &UdpSocket, own_address: SocketAddr) {
+    let mut peers = PeerTable::new(&entry.settings.peers, own_address, entry.clock.now());
     let mut buffer = [0; MAX_DATAGRAM + 1];
     let mut next_round = entry.clock.now();
     while !entry.is_stopping() {
--- a/crates/entry/src/exchange/peers.rs
+++ b/crates/entry/src/exchange/peers.rs
@@ -58,12 +58,16 @@
 }
 
 impl PeerTable {
-    /// Creates the state for the peers in the settings; `own` is left out if it is among them.
-    pub(super) fn new(addresses: &[SocketAddr], own: SocketAddr, now: Tick) -> Self {
-        let mut others: Vec<SocketAddr> = addresses.iter().copied().filter(|address| *address != own).collect();
+    /// Creates the state for the peers in the settings; `own_address` is left out if it is among them.
+    pub(super) fn new(addresses: &[SocketAddr], own_address: SocketAddr, now: Tick) -> Self {
+        let mut others: Vec<SocketAddr> = addresses
+            .iter()
+            .copied()
+            .filter(|address| *address != own_address)
+            .collect();
         others.sort_unstable();
         others.dedup();
-        let rank = others.iter().filter(|address| **address < own).count() as u32;
+        let rank = others.iter().filter(|address| **address < own_address).count() as u32;
         Self {
             peers: others.into_iter().map(PeerState::new).collect(),
             rank,
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -121,11 +121,12 @@
 }
 
 /// Starts the digest exchange with the other entry hosts.
-fn start_exchange(entry: &Arc<EntryHost>, own: std::net::SocketAddr) -> anyhow::Result<()> {
-    let socket = exchange::open(own).map_err(|error| anyhow::anyhow!("bind UDP socket at {own}: {error}"))?;
+fn start_exchange(entry: &Arc<EntryHost>, own_address: std::net::SocketAddr) -> anyhow::Result<()> {
+    let socket =
+        exchange::open(own_address).map_err(|error| anyhow::anyhow!("bind UDP socket at {own_address}: {error}"))?;
     let entry = Arc::clone(entry);
     thread::Builder::new()
         .name("exchange".to_owned())
-        .spawn(move || exchange::run(&entry, &socket, own))?;
+        .spawn(move || exchange::run(&entry, &socket, own_address))?;
     Ok(())
 }
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 pub struct StreamRescue {
     attempts: Mutex<HashMap<RequestId, AttemptRecord>>,
-    copy_ended: Condvar,
+    copy_finished: Condvar,
     ended: Mutex<EndedAnswers>,
     /// Seconds to export the KV cache of one token; absent until an export was measured.
     export_seconds: Mutex<Option<f64>>,
--- a/crates/entry/src/rescue/copy.rs
+++ b/crates/entry/src/rescue/copy.rs
@@ -24,14 +24,14 @@
     match job {
         CopyJob::Stream(id) => copy_stream(entry, &id),
         CopyJob::Ended(answer) => {
-            copy_ended(entry, &answer);
+            copy_ended_answer(entry, &answer);
             entry.rescue.ended.lock().copy_done(&answer);
         }
     }
 }
 
 /// Copies the cache of an ended answer; the next turn of the conversation is then routed to the copy.
-fn copy_ended(entry: &EntryHost, answer: &EndedAnswer) {
+fn copy_ended_answer(entry: &EntryHost, answer: &EndedAnswer) {
     let began = entry.clock.now();
     let scope = ExportScope::Request(answer.id.clone());
     let Ok(exported) = entry
@@ -161,7 +161,7 @@
     if let Some(attempt) = entry.rescue.attempts.lock().get_mut(id) {
         attempt.request_move(Some(target), StreamAction::Export);
     }
-    entry.rescue.copy_ended.notify_all();
+    entry.rescue.copy_finished.notify_all();
 }
 
 fn fail_copy(entry: &EntryHost, id: &RequestId) {
@@ -170,5 +170,5 @@
         attempt.failed_copies += 1;
         attempt.stage = MoveStage::Running;
     }
-    entry.rescue.copy_ended.notify_all();
+    entry.rescue.copy_finished.notify_all();
 }
--- a/crates/entry/src/rescue/tracked.rs
+++ b/crates/entry/src/rescue/tracked.rs
@@ -143,7 +143,7 @@
         let mut attempts = self.rescue.attempts.lock();
         let moving = |stage| matches!(stage, MoveStage::Importing);
         if attempts.get(self.id).is_some_and(|record| moving(record.stage)) {
-            self.rescue.copy_ended.wait_while_for(
+            self.rescue.copy_finished.wait_while_for(
                 &mut attempts,
                 |attempts| attempts.get(self.id).is_some_and(|record| moving(record.stage)),
                 MAX_IMPORT_WAIT,
--- a/crates/entry/tests/config_feed.rs
+++ b/crates/entry/tests/config_feed.rs
@@ -56,14 +56,14 @@
     let states = history(300);
     let configs: Vec<Config> = states.iter().map(|state| state.config.clone()).collect();
     let property = move |reads: Vec<(u16, u16)>| {
-        let current = ActiveConfig::default();
+        let config = ActiveConfig::default();
         let mut newest = Revision::default();
-        for (node, asked) in reads {
+        for (node, after) in reads {
             let node = &states[usize::from(node) % states.len()];
             // The host may have a newer revision than it asked for by the time the news arrives.
-            let asked = Revision(u64::from(asked) % (newest.0 + 1));
-            current.apply_news(node.since(asked, 0), Tick::from_millis(1));
-            let view = current.view();
+            let after = Revision(u64::from(after) % (newest.0 + 1));
+            config.apply_news(node.since(after, 0), Tick::from_millis(1));
+            let view = config.view();
             assert!(view.config.revision >= newest);
             assert_eq!(view.config, configs[view.config.revision.0 as usize]);
             newest = view.config.revision;
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -19,9 +19,9 @@
 
 /// Returns a permutation of the request numbers, derived from random keys.
 fn permutation(keys: &[u8]) -> Vec<usize> {
-    let mut permutation: Vec<usize> = (0..CONCURRENT_CALLS).collect();
-    permutation.sort_by_key(|at| keys.get(*at).copied().unwrap_or_default());
-    permutation
+    let mut order: Vec<usize> = (0..CONCURRENT_CALLS).collect();
+    order.sort_by_key(|number| keys.get(*number).copied().unwrap_or_default());
+    order
 }
 
 fn call_channel() -> (Sender<HeldCall>, Receiver<HeldCall>) {
@@ -36,8 +36,8 @@
         let number = name.rsplit('-').next().unwrap().parse().unwrap();
         calls.insert(number, (name, stream));
     }
-    for at in permutation(keys) {
-        let (name, stream) = &calls[&at];
+    for number in permutation(keys) {
+        let (name, stream) = &calls[&number];
         answer(name, stream);
     }
 }
@@ -62,10 +62,10 @@
         });
         let host = Host::start(config([service("t", "seats", address)]));
         let callers: Vec<_> = (0..CONCURRENT_CALLS)
-            .map(|at| {
+            .map(|number| {
                 let entry = host.address;
-                let path = format!("/services/seats/tent-{at}");
-                std::thread::spawn(move || call(entry, "GET", &path, &[], b"").text() == format!("/tent-{at}"))
+                let path = format!("/services/seats/tent-{number}");
+                std::thread::spawn(move || call(entry, "GET", &path, &[], b"").text() == format!("/tent-{number}"))
             })
             .collect();
         answer_in_order(&calls, &keys, |name, stream| fake::reply(stream, "200 OK", "", name));
@@ -88,13 +88,13 @@
         });
         let host = Host::start(config([engine("a", address)]));
         let callers: Vec<_> = (0..CONCURRENT_CALLS)
-            .map(|at| {
+            .map(|number| {
                 let entry = host.address;
                 std::thread::spawn(move || {
-                    let body = chat(&format!("plan-{at}"), 2, true).to_string();
+                    let body = chat(&format!("plan-{number}"), 2, true).to_string();
                     let answer = post_chat(entry, &body).text();
                     let tokens = answer.lines().filter_map(|line| token_of(line.strip_prefix("data: ")?));
-                    tokens.collect::<String>() == format!("plan-{at} plan-{at} ")
+                    tokens.collect::<String>() == format!("plan-{number} plan-{number} ")
                 })
             })
             .collect();
@@ -133,9 +133,9 @@
         class.targets.whole_answer_ms = 3_000;
     }
     let host = Host::start(config);
-    for at in 0..6 {
-        let answer = call(host.address, "GET", &format!("/services/seats/tent-{at}"), &[], b"");
-        assert_eq!(answer.text(), format!("/tent-{at}"));
+    for number in 0..6 {
+        let answer = call(host.address, "GET", &format!("/services/seats/tent-{number}"), &[], b"");
+        assert_eq!(answer.text(), format!("/tent-{number}"));
         for (name, stream) in calls.try_iter() {
             fake::reply(&stream, "200 OK", "", &format!("late {name}"));
         }
--- a/crates/entry/tests/digest_exchange.rs
+++ b/crates/entry/tests/digest_exchange.rs
@@ -139,14 +139,14 @@
     }
 
     /// Sends digests until a received one satisfies a condition.
-    fn until(&mut self, to: SocketAddr, good: impl Fn(&GossipDigest) -> bool) -> GossipDigest {
-        let begun = Instant::now();
+    fn until(&mut self, to: SocketAddr, condition: impl Fn(&GossipDigest) -> bool) -> GossipDigest {
+        let started = Instant::now();
         let mut buffer = [0; MAX_DATAGRAM];
-        while begun.elapsed() < TIMEOUT {
+        while started.elapsed() < TIMEOUT {
             self.send(to);
             if let Ok(length) = self.socket.recv(&mut buffer) {
                 let digest = GossipDigest::decode(&buffer[..length]).unwrap();
-                if good(&digest) {
+                if condition(&digest) {
                     return digest;
                 }
             }
@@ -155,10 +155,10 @@
     }
 }
 
-fn wait(what: &str, good: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !good() {
-        assert!(begun.elapsed() < TIMEOUT, "{what}");
+fn wait(what: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < TIMEOUT, "{what}");
         sleep(Duration::from_millis(20));
     }
 }
@@ -218,14 +218,14 @@
         },
         ..Demand::default()
     }];
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = peer.until(host.address, |digest| {
         digest
             .demand
             .iter()
             .any(|row| row.customer == customer && row.lent.requests > 0)
     });
-    assert!(begun.elapsed() >= Duration::from_secs(3), "lent too early");
+    assert!(started.elapsed() >= Duration::from_secs(3), "lent too early");
     let lent = answer.demand[0].lent;
     // Its part is half of the limit, of which nine tenths can be lent.
     assert!((4_400..=4_500).contains(&lent.requests), "{lent:?}");
@@ -239,7 +239,7 @@
     const BYTES: f64 = 2_200.0;
     let peers: Vec<Peer> = (0..60).map(|_| Peer::new()).collect();
     let addresses: Vec<SocketAddr> = peers.iter().map(Peer::address).collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     let host = Host::start(&addresses);
     let mut heard = vec![false; peers.len()];
     let mut bytes = 0;
@@ -248,14 +248,14 @@
         peer.socket.set_nonblocking(true).unwrap();
     }
     while heard.contains(&false) {
-        assert!(begun.elapsed() < TIMEOUT, "some peer is never told anything");
+        assert!(started.elapsed() < TIMEOUT, "some peer is never told anything");
         for (peer, heard) in peers.iter().zip(&mut heard) {
             while let Ok(length) = peer.socket.recv(&mut buffer) {
                 *heard = true;
                 bytes += length + UDP_OVERHEAD_BYTES;
             }
         }
-        let allowed = BYTES * (begun.elapsed().as_secs_f64() + 1.0) + MAX_DATAGRAM as f64;
+        let allowed = BYTES * (started.elapsed().as_secs_f64() + 1.0) + MAX_DATAGRAM as f64;
         assert!((bytes as f64) < allowed, "{bytes} sent, {allowed} allowed");
         sleep(Duration::from_millis(20));
     }
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -19,11 +19,11 @@
 
 fn host_pair(config: &contract::Config) -> (Host, Host) {
     let inners = [free_address().to_string(), free_address().to_string()];
-    let start = |at: usize| {
+    let start = |number: usize| {
         let options = Options {
-            node: Some(format!("entry-{at}")),
-            host: Some(format!("vm-{at}")),
-            inner: Some(inners[at].clone()),
+            node: Some(format!("entry-{number}")),
+            host: Some(format!("vm-{number}")),
+            inner: Some(inners[number].clone()),
             peers: Some(inners.join(",")),
             notice_ms: Some("0".into()),
             ..Options::default()
@@ -36,12 +36,12 @@
 fn send_notice(host: &Host, left_ms: u64) {
     let calls = RpcRuntime::start(1, TIMEOUT).unwrap();
     let client = calls.client(host.inner, Duration::ZERO).unwrap();
-    let sign = HostSignal {
+    let signal = HostSignal {
         host: "vm-0".into(),
         incarnation: 0,
         sign: Sign::Notice { left_ms },
     };
-    let message = Envelope::new(&"capacity-1".into(), Revision(1), vec![sign]);
+    let message = Envelope::new(&"capacity-1".into(), Revision(1), vec![signal]);
     calls.wait(client.hosts(message)).unwrap();
 }
 
@@ -129,18 +129,18 @@
         ..Options::default()
     };
     let host = Host::with(config([]), options);
-    let sign = |incarnation, sign| HostSignal {
+    let signal = |incarnation, sign| HostSignal {
         host: "vm-0".into(),
         incarnation,
         sign,
     };
-    let told = || host.entry.leave_requested.load(std::sync::atomic::Ordering::SeqCst);
-    drain::handle_signal(&host.entry, &sign(1, Sign::Gone));
-    drain::handle_signal(&host.entry, &sign(1, Sign::Notice { left_ms: 5 }));
-    drain::handle_signal(&host.entry, &sign(2, Sign::Serving));
-    assert!(!told() && host.entry.gone_at().is_none());
-    drain::handle_signal(&host.entry, &sign(2, Sign::Notice { left_ms: 5 }));
-    assert!(told() && host.entry.gone_at().is_some());
+    let leave_requested = || host.entry.leave_requested.load(std::sync::atomic::Ordering::SeqCst);
+    drain::handle_signal(&host.entry, &signal(1, Sign::Gone));
+    drain::handle_signal(&host.entry, &signal(1, Sign::Notice { left_ms: 5 }));
+    drain::handle_signal(&host.entry, &signal(2, Sign::Serving));
+    assert!(!leave_requested() && host.entry.gone_at().is_none());
+    drain::handle_signal(&host.entry, &signal(2, Sign::Notice { left_ms: 5 }));
+    assert!(leave_requested() && host.entry.gone_at().is_some());
 }
 
 /// No peer is reachable when the host leaves. The answers must continue here instead of being dropped.
--- a/crates/entry/tests/planned_stop.rs
+++ b/crates/entry/tests/planned_stop.rs
@@ -44,9 +44,9 @@
 }
 
 fn wait_until(condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < TIMEOUT);
+        assert!(started.elapsed() < TIMEOUT);
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/entry/tests/stream_rescue.rs
+++ b/crates/entry/tests/stream_rescue.rs
@@ -19,9 +19,9 @@
 const NOTICE: Duration = Duration::from_secs(5);
 
 fn engine_in_zone(id: &str, standin: &Standin, zone: &str) -> UpstreamSpec {
-    let mut engine_in_zone = engine(id, standin.address);
-    engine_in_zone.host.zone = zone.into();
-    engine_in_zone
+    let mut spec = engine(id, standin.address);
+    spec.host.zone = zone.into();
+    spec
 }
 
 /// Applies a configuration with the next revision.
@@ -56,14 +56,8 @@
     }
 }
 
-fn inject_faults(standin: &Standin, inject_faults: &str) {
-    client::call(
-        standin.address,
-        "POST",
-        "/_standin/faults",
-        &[],
-        inject_faults.as_bytes(),
-    );
+fn inject_faults(standin: &Standin, faults: &str) {
+    client::call(standin.address, "POST", "/_standin/faults", &[], faults.as_bytes());
 }
 
 /// Returns the engine's records of the requests that it ran.
@@ -83,15 +77,15 @@
     (events, text)
 }
 
-fn check_whole(number: usize, mut stream: (Events, String)) {
+fn assert_complete(number: usize, mut stream: (Events, String)) {
     let (rest, done) = stream.0.rest();
     stream.1.push_str(&rest);
     assert_eq!(stream.1, expected(&prompt(number), TOKENS));
     assert!(done);
 }
 
-fn recomputed_tokens(engine_requests: &Value) -> u64 {
-    engine_requests["prompt_tokens"].as_u64().unwrap() - engine_requests["cached_tokens"].as_u64().unwrap()
+fn recomputed_tokens(request: &Value) -> u64 {
+    request["prompt_tokens"].as_u64().unwrap() - request["cached_tokens"].as_u64().unwrap()
 }
 
 /// A host with a long answer gets a notice. Its KV cache must be copied while the answer continues, so that the second
@@ -106,10 +100,10 @@
         &[engine_in_zone("a", &a, "zone-a"), engine_in_zone("b", &b, "zone-b")],
     );
     reclaim(&host, &[("a", &a)], NOTICE);
-    check_whole(0, stream);
-    let engine_requests = engine_requests(&b);
-    assert_eq!(engine_requests.len(), 1);
-    assert!(recomputed_tokens(&engine_requests[0]) < 200, "{engine_requests:?}");
+    assert_complete(0, stream);
+    let requests = engine_requests(&b);
+    assert_eq!(requests.len(), 1);
+    assert!(recomputed_tokens(&requests[0]) < 200, "{requests:?}");
 }
 
 /// Without KV cache export the second engine prefills everything, and the answer is still complete.
@@ -127,9 +121,9 @@
         &[engine_in_zone("a", &a, "zone-a"), engine_in_zone("b", &b, "zone-b")],
     );
     reclaim(&host, &[("a", &a)], NOTICE);
-    check_whole(0, stream);
-    let engine_requests = engine_requests(&b);
-    assert!(recomputed_tokens(&engine_requests[0]) >= 600, "{engine_requests:?}");
+    assert_complete(0, stream);
+    let requests = engine_requests(&b);
+    assert!(recomputed_tokens(&requests[0]) >= 600, "{requests:?}");
 }
 
 /// A notice comes when an answer has little left. It must end where it is, because moving it would cost more than it
@@ -145,7 +139,7 @@
         &[engine_in_zone("a", &a, "zone-a"), engine_in_zone("b", &b, "zone-b")],
     );
     reclaim(&host, &[("a", &a)], Duration::from_mins(2));
-    check_whole(0, stream);
+    assert_complete(0, stream);
     let journal = host.entry.journals.find(&id.as_str().into()).unwrap();
     assert_eq!(journal.choices().len(), 1);
     assert!(engine_requests(&b).is_empty());
@@ -175,7 +169,7 @@
     );
     reclaim(&host, &[("a", &lost[0]), ("b", &lost[1])], Duration::from_secs(2));
     for (number, stream) in streams.into_iter().enumerate() {
-        check_whole(number, stream);
+        assert_complete(number, stream);
     }
 }
 
@@ -208,7 +202,7 @@
         ],
     );
     reclaim(&host, &[("b", &b)], NOTICE);
-    check_whole(0, stream);
+    assert_complete(0, stream);
 }
 
 /// The target engine breaks off during the import. The cache must go to another engine.
@@ -231,7 +225,7 @@
         ],
     );
     reclaim(&host, &[("a", &a)], NOTICE);
-    check_whole(0, stream);
+    assert_complete(0, stream);
     assert!(recomputed_tokens(&engine_requests(&c)[0]) < 200);
 }
 
@@ -252,7 +246,7 @@
         std::thread::yield_now();
     }
     a.kill();
-    check_whole(0, stream);
+    assert_complete(0, stream);
     assert!(recomputed_tokens(&engine_requests(&b)[0]) < 200);
 }
 
@@ -272,7 +266,7 @@
         &host,
         &[engine_in_zone("a", &a, "zone-a"), engine_in_zone("b", &b, "zone-b")],
     );
-    check_whole(0, stream);
+    assert_complete(0, stream);
 }
 
 /// The host of an idle conversation gets a notice. The cache must be copied in the time left, so that the next turn
