--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -23,23 +23,26 @@
 /// One attempt at a call.
 #[derive(Debug)]
 pub struct Attempt<S> {
-    peer: SocketAddr,
+    address: SocketAddr,
     stage: S,
 }
 
 impl Attempt<Claimed> {
-    /// Creates an attempt at the upstream at `peer`.
+    /// Creates an attempt at the upstream at an address.
     #[must_use]
-    pub const fn new(peer: SocketAddr) -> Self {
-        Self { peer, stage: Claimed }
+    pub const fn new(address: SocketAddr) -> Self {
+        Self {
+            address,
+            stage: Claimed,
+        }
     }
 
     /// Sends the call and waits for the response.
     #[must_use]
     pub fn send(self, client: &ServiceClient, call: &ServiceCall<'_>, timeout: Duration) -> Attempt<Sent> {
-        let result = client.send(self.peer, call, timeout);
+        let result = client.send(self.address, call, timeout);
         Attempt {
-            peer: self.peer,
+            address: self.address,
             stage: Sent { result },
         }
     }
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -28,7 +28,7 @@
 const POLLS_PER_CLEANUP: u64 = 240;
 const _: () = assert!(POLL_INTERVAL.as_millis() + CLOUD_TIMEOUT.as_millis() < MAX_NOTICE_DELAY.as_millis());
 
-/// The state of all hosts that signals or connections told about.
+/// The state of all hosts for which a signal or a connection result was seen.
 #[derive(Debug, Default)]
 pub struct HostTracker {
     states: Mutex<HostStates>,
