--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -52,7 +52,7 @@
         thread::sleep(CHECK_INTERVAL);
         let now = entry.clock.now();
         if now >= refuse_at && !entry.refusing.swap(true, Ordering::SeqCst) {
-            info!(entry.logger, "refusing new requests"; "open" => entry.request_counts.open_requests());
+            info!(entry.logger, "taking nothing new"; "open" => entry.request_counts.open_requests());
         }
         if let Some(gone_at) = entry.gone_at()
             && now + handover_time(entry, gone_at) >= gone_at
