--- a/crates/entry/src/admission/mod.rs
+++ b/crates/entry/src/admission/mod.rs
@@ -1,8 +1,8 @@
-//! Admission: every request passes here before anything is sent for it.
+//! Admission control: every request passes here before it is sent to an upstream.
 //!
-//! A request is counted against its customer's limits first; then it waits in the lane of the model or service that it
-//! asks for until a slot of an upstream is free. Each waiting thread has a channel of its own, so that a free slot wakes
-//! the one whose turn it is and not all of them.
+//! A request is first charged to its customer's limits. Then it waits in the queue of its model or service until an
+//! upstream slot is free. Each waiting thread has a channel of its own, so that a free slot wakes only the thread whose
+//! turn it is.
 
 mod limits;
 mod queues;
@@ -20,34 +20,34 @@
 use telemetry::Clock;
 use wire::digest::Demand;
 
-use crate::current::View;
-use crate::fleet::Size;
-use limits::Customers;
-use queues::Queues;
+use crate::active_config::ConfigView;
+use crate::upstreams::TargetSlots;
+use limits::LimitTable;
+use queues::TargetQueues;
 
-/// Why a request was not admitted, and when it's worth asking again.
+/// A rejected request: the reason and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The customer's limit is used up; otherwise the system is short of capacity.
+    /// Whether a limit of the customer is used up; otherwise upstream capacity is short.
     pub limited: bool,
-    /// Time after which it is worth asking again.
+    /// Time after which a retry is worthwhile.
     pub retry_after: Duration,
 }
 
-/// The work that a request asks for.
+/// What admission has to know of a request.
 #[derive(Clone, Debug)]
-pub struct Work {
-    /// The model or service that it asks for.
+pub struct AdmissionRequest {
+    /// The requested model or service.
     pub target: Target,
-    /// Expected tokens, prompt and answer together.
+    /// Expected tokens of prompt and answer together; 1 for a service.
     pub tokens: f64,
-    /// Latest start with which it can still be on time; for services, the latest end.
-    pub latest: Tick,
-    /// Order of shedding.
-    pub shed: u8,
+    /// Latest start that still meets the latency target; for services, the latest end.
+    pub deadline: Tick,
+    /// Shedding priority of the request's class: higher values are shed first.
+    pub shed_priority: u8,
 }
 
-/// Admits requests up to what upstreams can take.
+/// Admits requests up to the customers' limits and the capacity of the upstreams.
 #[derive(Debug)]
 pub struct Admission {
     clock: Clock,
@@ -56,19 +56,19 @@
 
 #[derive(Debug)]
 struct Inner {
-    queues: Queues<Sender<Verdict>>,
-    customers: Customers,
-    next: u64,
+    queues: TargetQueues<Sender<Verdict>>,
+    limits: LimitTable,
+    next_ticket: u64,
 }
 
-/// What a waiting request is told.
+/// What a waiting thread receives on its channel.
 #[derive(Clone, Copy, Debug)]
 enum Verdict {
     Granted,
     Shed(Rejection),
 }
 
-/// The right to run one request; it ends when dropped.
+/// The right to run one request; dropping it frees the slot.
 #[derive(Debug)]
 pub struct Permit<'a> {
     admission: &'a Admission,
@@ -79,13 +79,13 @@
 }
 
 impl Admission {
-    /// Makes the admission of an entry host that runs and lets wait so many requests at most.
+    /// Creates the admission control of an entry host with at most `running` admitted and `waiting` queued requests.
     #[must_use]
     pub fn new(clock: Clock, running: usize, waiting: usize) -> Self {
         let inner = Inner {
-            queues: Queues::new(running, waiting),
-            customers: Customers::default(),
-            next: 0,
+            queues: TargetQueues::new(running, waiting),
+            limits: LimitTable::default(),
+            next_ticket: 0,
         };
         Self {
             clock,
@@ -93,93 +93,99 @@
         }
     }
 
-    /// Waits until the request may run.
+    /// Blocks until the request may run.
     ///
     /// # Errors
-    /// Refuses what is over the customer's limits, at once what is predicted to be late, and what a full queue sheds.
-    pub fn enter(&self, contract: &Contract, work: &Work) -> Result<Permit<'_>, Refusal> {
+    /// Fails if the request is over the customer's limits, if it is predicted to miss its target, or if a full queue
+    /// sheds it.
+    pub fn admit(&self, contract: &Contract, request: &AdmissionRequest) -> Result<Permit<'_>, Refusal> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let hold = inner.queues.next_place(&work.target);
+        let slot_wait = inner.queues.slot_wait(&request.target);
         inner
-            .customers
-            .take(contract, work.tokens, hold, now)
-            .map_err(limited)?;
-        let ticket = inner.ticket(contract, work);
+            .limits
+            .charge(contract, request.tokens, slot_wait, now)
+            .map_err(limit_refusal)?;
+        let ticket = inner.new_ticket(contract, request);
         let (sender, receiver) = bounded(1);
-        let offered = inner.queues.offer(&work.target, ticket.clone(), sender, now);
-        match offered {
-            Ok(Some((victim, sender, turned))) => {
-                inner.customers.give_back(&victim.customer, victim.tokens);
-                // The victim's thread may have timed out by itself at the same moment.
-                let _ = sender.send(Verdict::Shed(turned));
+        let pushed = inner.queues.push(&request.target, ticket.clone(), sender, now);
+        match pushed {
+            Ok(Some((shed, sender, rejection))) => {
+                inner.limits.refund(&shed.customer, shed.tokens);
+                // The shed request's thread may have timed out at the same moment.
+                let _ = sender.send(Verdict::Shed(rejection));
             }
             Ok(None) => {}
-            Err(turned) => {
-                inner.customers.give_back(&ticket.customer, ticket.tokens);
-                return Err(refused(turned));
+            Err(rejection) => {
+                inner.limits.refund(&ticket.customer, ticket.tokens);
+                return Err(queue_refusal(rejection));
             }
         }
-        inner.grant();
+        inner.admit_waiting();
         drop(inner);
-        self.wait(work, ticket, &receiver)
+        self.wait_for_verdict(request, ticket, &receiver)
     }
 
-    fn wait(&self, work: &Work, ticket: Ticket, receiver: &Receiver<Verdict>) -> Result<Permit<'_>, Refusal> {
-        let left = work.latest.since(self.clock.now()) + Duration::from_millis(1);
-        let verdict = receiver.recv_timeout(left).or_else(|_late| {
+    fn wait_for_verdict(
+        &self,
+        request: &AdmissionRequest,
+        ticket: Ticket,
+        receiver: &Receiver<Verdict>,
+    ) -> Result<Permit<'_>, Refusal> {
+        let timeout = request.deadline.since(self.clock.now()) + Duration::from_millis(1);
+        let verdict = receiver.recv_timeout(timeout).or_else(|_late| {
             let now = self.clock.now();
             let mut inner = self.inner.lock();
-            match inner.queues.leave(&work.target, &ticket, now) {
-                Some(turned) => {
-                    inner.customers.give_back(&ticket.customer, ticket.tokens);
-                    Ok(Verdict::Shed(turned))
+            match inner.queues.remove_late(&request.target, &ticket, now) {
+                Some(rejection) => {
+                    inner.limits.refund(&ticket.customer, ticket.tokens);
+                    Ok(Verdict::Shed(rejection))
                 }
-                // It was granted or shed between the end of the wait and the lock.
+                // It was admitted or shed between the timeout and the lock, so its verdict is in the channel.
                 None => receiver.recv(),
             }
         });
         match verdict {
             Ok(Verdict::Granted) => Ok(Permit {
                 admission: self,
-                target: work.target.clone(),
+                target: request.target.clone(),
                 customer: ticket.customer,
                 tokens: ticket.tokens,
                 started: self.clock.now(),
             }),
-            Ok(Verdict::Shed(turned)) => Err(refused(turned)),
+            Ok(Verdict::Shed(rejection)) => Err(queue_refusal(rejection)),
             Err(_gone) => unreachable!("a ticket's sender is kept until it has sent a verdict"),
         }
     }
 
-    /// Sets what upstreams can take, by what they serve.
-    pub fn resize(&self, sizes: &[Size]) {
+    /// Sets the number of slots of each model and service.
+    pub fn set_slots(&self, targets: &[TargetSlots]) {
         let mut inner = self.inner.lock();
-        inner.queues.resize(sizes);
-        inner.grant();
-        inner.queues.show();
+        inner.queues.set_slots(targets);
+        inner.admit_waiting();
+        inner.queues.update_gauges();
     }
 
-    /// Takes over the contracts of a view and the place of this host among all entry hosts.
-    pub fn refresh(&self, view: &View, hosts: u32, rank: u32) {
+    /// Applies the contracts of a configuration view, the number of entry hosts and the rank of this host among them.
+    pub fn apply_config(&self, view: &ConfigView, hosts: u32, rank: u32) {
         let now = self.clock.now();
-        self.inner.lock().customers.refresh(&view.config, hosts, rank, now);
+        self.inner.lock().limits.apply_config(&view.config, hosts, rank, now);
     }
 
-    /// Gives what this host tells a peer of every customer that is active here or lent to the peer.
+    /// Returns the demand rows for a peer: one for each customer that is active here or lent to the peer.
     #[must_use]
-    pub fn tell(&self, peer: u32, now: Tick) -> Vec<Demand> {
-        self.inner.lock().customers.tell(peer, now)
+    pub fn demand_for(&self, peer: u32, now: Tick) -> Vec<Demand> {
+        self.inner.lock().limits.demand_for(peer, now)
     }
 
-    /// Takes in what a peer tells; the time is that at which the demand was sent which its loans answer.
+    /// Records a peer's demand and loans; `asked` is the time at which this host sent the demand that the loans answer.
     ///
     /// Returns whether the peer lacks something that this host could lend.
-    pub fn hear(&self, peer: u32, rows: &[Demand], asked: Option<Tick>, now: Tick) -> bool {
-        self.inner.lock().customers.hear(peer, rows, asked, now)
+    pub fn record_demand(&self, peer: u32, rows: &[Demand], demand_sent: Option<Tick>, now: Tick) -> bool {
+        self.inner.lock().limits.record_demand(peer, rows, demand_sent, now)
     }
 
-    /// Tells whether any request runs or waits.
+    /// Returns whether any request is running or waiting.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.inner.lock().queues.is_busy()
@@ -187,32 +193,32 @@
 }
 
 impl Inner {
-    fn ticket(&mut self, contract: &Contract, work: &Work) -> Ticket {
-        self.next += 1;
+    fn new_ticket(&mut self, contract: &Contract, request: &AdmissionRequest) -> Ticket {
+        self.next_ticket += 1;
         Ticket {
-            id: self.next,
+            id: self.next_ticket,
             customer: contract.customer.clone(),
             weight: contract.share,
-            tokens: work.tokens.max(1.0),
-            latest_start: work.latest,
-            shed_order: work.shed,
+            tokens: request.tokens.max(1.0),
+            latest_start: request.deadline,
+            shed_order: request.shed_priority,
         }
     }
 
-    fn grant(&mut self) {
-        while let Some(sender) = self.queues.grant() {
-            // The thread takes its verdict even if it has just timed out.
+    fn admit_waiting(&mut self) {
+        while let Some(sender) = self.queues.admit_next() {
+            // A thread that has just timed out still receives the verdict.
             let _ = sender.send(Verdict::Granted);
         }
     }
 }
 
 impl Permit<'_> {
-    /// Notes how many tokens were used in the end, in place of those that were expected.
-    pub fn used(&mut self, tokens: f64) {
+    /// Replaces the expected number of tokens by the number that was used.
+    pub fn record_usage(&mut self, tokens: f64) {
         let tokens = tokens.max(1.0);
         let mut inner = self.admission.inner.lock();
-        inner.customers.correct(&self.customer, self.tokens - tokens);
+        inner.limits.adjust_tokens(&self.customer, self.tokens - tokens);
         self.tokens = tokens;
     }
 }
@@ -221,13 +227,13 @@
     fn drop(&mut self) {
         let held = self.admission.clock.now().since(self.started);
         let mut inner = self.admission.inner.lock();
-        inner.queues.finished(&self.target, self.tokens, held);
-        inner.customers.ended(&self.customer);
-        inner.grant();
+        inner.queues.finish(&self.target, self.tokens, held);
+        inner.limits.release(&self.customer);
+        inner.admit_waiting();
     }
 }
 
-fn limited(retry_after: Duration) -> Refusal {
+fn limit_refusal(retry_after: Duration) -> Refusal {
     counter!("gentian_refused_total", "cause" => "limit").increment(1);
     Refusal {
         limited: true,
@@ -235,15 +241,15 @@
     }
 }
 
-fn refused(turned: Rejection) -> Refusal {
-    let cause = match turned.why {
+fn queue_refusal(rejection: Rejection) -> Refusal {
+    let cause = match rejection.why {
         RefusalReason::QueueFull => "queue",
         RefusalReason::TooLate => "late",
     };
     counter!("gentian_refused_total", "cause" => cause).increment(1);
-    gauge!("gentian_retry_after_seconds").set(turned.retry_after.as_secs_f64());
+    gauge!("gentian_retry_after_seconds").set(rejection.retry_after.as_secs_f64());
     Refusal {
         limited: false,
-        retry_after: turned.retry_after,
+        retry_after: rejection.retry_after,
     }
 }
--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -1,4 +1,4 @@
-//! The duty that remembers what another entry host counted for the burn report.
+//! Backs up what another entry host counted for the burn report (the use of customers' error budgets).
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -12,53 +12,55 @@
 use wire::client::RpcRuntime;
 use wire::entry::EntryRpcClient;
 
-use crate::Entry;
+use crate::EntryHost;
 
-/// Pause between two questions; at most what was counted since the last one is lost with a host.
-const EVERY: Duration = Duration::from_secs(30);
-const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval of the backups; the loss of a host loses at most the counts since the last one.
+const BACKUP_INTERVAL: Duration = Duration::from_secs(30);
+/// Longest time between two checks of the stop flag.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Gives what this process counted and what it remembers of others.
+/// Returns the counts of this process and the counts that it keeps for others.
 #[must_use]
-pub fn parts(entry: &Entry) -> Vec<Part> {
-    let own = entry.burn.node_counts(&entry.settings.node, wall_ms() / 1_000);
-    std::iter::once(own).chain(entry.burn.peer_counts()).collect()
+pub fn all_counts(entry: &EntryHost) -> Vec<Part> {
+    let own = entry.burn_counts.node_counts(&entry.settings.node, wall_ms() / 1_000);
+    std::iter::once(own).chain(entry.burn_counts.peer_counts()).collect()
 }
 
-/// Asks the next entry host again and again until told to stop.
+/// Fetches the counts of the next entry host periodically until the process stops.
 ///
-/// An entry host has no disk. Without this, a restart would set the customer's budget back to full, and an operator would
-/// take a bad day for a good one.
-pub fn remember(entry: &Entry, calls: &RpcRuntime, own: SocketAddr) {
-    let Some(peer) = next(&entry.settings.peers, own) else {
+/// Entry hosts have no disk. Without this copy, a restart would reset the used part of the customers' error budgets,
+/// and a bad day would look like a good one to an operator.
+pub fn back_up_peer(entry: &EntryHost, calls: &RpcRuntime, own_address: SocketAddr) {
+    let Some(peer) = next_peer(&entry.settings.peers, own_address) else {
         return;
     };
-    let mut rest = Duration::ZERO;
+    let mut pause = Duration::ZERO;
     while !entry.stop.load(Ordering::Relaxed) {
-        if rest.is_zero() {
-            ask(entry, calls, peer);
-            rest = EVERY;
+        if pause.is_zero() {
+            fetch_counts(entry, calls, peer);
+            pause = BACKUP_INTERVAL;
         }
-        std::thread::sleep(CHECK_INTERVAL);
-        rest = rest.saturating_sub(CHECK_INTERVAL);
+        std::thread::sleep(STOP_CHECK_INTERVAL);
+        pause = pause.saturating_sub(STOP_CHECK_INTERVAL);
     }
 }
 
-/// Gives the peer after an address in the order of addresses, so that every host is remembered by exactly one.
+/// Returns the peer that follows an address in the order of addresses, so that exactly one host keeps the counts of
+/// each.
 #[must_use]
-pub fn next(peers: &[SocketAddr], own: SocketAddr) -> Option<SocketAddr> {
-    let after = peers.iter().filter(|peer| **peer > own).min();
-    let first = || peers.iter().filter(|peer| **peer != own).min();
+pub fn next_peer(peers: &[SocketAddr], own_address: SocketAddr) -> Option<SocketAddr> {
+    let after = peers.iter().filter(|peer| **peer > own_address).min();
+    let first = || peers.iter().filter(|peer| **peer != own_address).min();
     after.or_else(first).copied()
 }
 
-/// Hands what this process counted to the next entry host, so that a planned stop loses nothing.
-pub fn hand_over(entry: &Entry, calls: &RpcRuntime, own: SocketAddr) {
-    let Some(peer) = next(&entry.settings.peers, own) else {
+/// Sends the counts of this process to the next entry host, so that a planned stop loses nothing.
+pub fn send_counts(entry: &EntryHost, calls: &RpcRuntime, own_address: SocketAddr) {
+    let Some(peer) = next_peer(&entry.settings.peers, own_address) else {
         return;
     };
-    let part = entry.burn.node_counts(&entry.settings.node, wall_ms() / 1_000);
-    let message = Envelope::new(&entry.settings.node, entry.current.revision(), json!([part]));
+    let part = entry.burn_counts.node_counts(&entry.settings.node, wall_ms() / 1_000);
+    let message = Envelope::new(&entry.settings.node, entry.config.revision(), json!([part]));
     let client = calls.client(peer, Duration::ZERO);
     if client
         .ok()
@@ -69,28 +71,29 @@
     }
 }
 
-/// Takes over what a stopping process counted; anything else is left out and counted.
-pub fn take(entry: &Entry, handed: Value) {
-    if handed.is_null() {
+/// Stores the counts that a stopping process sent. Null means that nothing was sent; values that can't be parsed are
+/// dropped and counted in a metric.
+pub fn store_counts(entry: &EntryHost, counts: Value) {
+    if counts.is_null() {
         return;
     }
-    match serde_json::from_value(handed) {
-        Ok(parts) => entry.burn.store_peer_counts(parts, wall_ms() / 1_000),
+    match serde_json::from_value(counts) {
+        Ok(parts) => entry.burn_counts.store_peer_counts(parts, wall_ms() / 1_000),
         Err(_) => counter!("gentian_burn_unread_total").increment(1),
     }
 }
 
-fn ask(entry: &Entry, calls: &RpcRuntime, peer: SocketAddr) {
-    let message = Envelope::new(&entry.settings.node, entry.current.revision(), Value::Null);
+fn fetch_counts(entry: &EntryHost, calls: &RpcRuntime, peer: SocketAddr) {
+    let message = Envelope::new(&entry.settings.node, entry.config.revision(), Value::Null);
     let client = calls.client(peer, Duration::ZERO);
     let answer = client.ok().and_then(|client| calls.wait(client.burn(message)).ok());
     let parts = answer.and_then(|answer| {
         let parts: Vec<Part> = serde_json::from_value(answer.body).ok()?;
-        // What the peer remembers of others is remembered there; only its own counts are kept here.
+        // The counts that the peer keeps for others have their copy there already.
         Some(parts.into_iter().filter(|part| part.node == answer.from).collect())
     });
     match parts {
-        Some(parts) => entry.burn.store_peer_counts(parts, wall_ms() / 1_000),
+        Some(parts) => entry.burn_counts.store_peer_counts(parts, wall_ms() / 1_000),
         None => counter!("gentian_burn_unread_total").increment(1),
     }
 }
--- a/crates/entry/src/callers/http/connection.rs
+++ b/crates/entry/src/callers/http/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller.
+//! Reads requests from one connection of a caller.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -7,213 +7,219 @@
 use chunked_transfer::Decoder;
 use derive_more::{Display, Error, From};
 
-use super::{BODY_TIME, BadHead, HEAD_TIME, Head, IDLE_TIME, Length, MAX_BODY, MAX_HEAD, SEND_TIME};
+use super::{
+    BODY_TIMEOUT, BodyLength, HEAD_TIMEOUT, Head, IDLE_TIMEOUT, InvalidHead, MAX_BODY_BYTES, MAX_HEAD_BYTES,
+    SEND_TIMEOUT,
+};
 
 /// Longest time that one read blocks.
-const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes that are asked for at once.
-const PIECE: usize = 8 * 1024;
-/// Unread bytes of a refused body that are taken in, so that the refusal is not lost with the connection.
-const LINGER_BYTES: usize = 256 * 1024;
-/// Longest time for that.
-const LINGER_TIME: Duration = Duration::from_millis(500);
-
-/// A connection with what was read from it and not used yet.
+const READ_TIMEOUT: Duration = Duration::from_millis(250);
+/// Buffer size of one read, in bytes.
+const READ_BYTES: usize = 8 * 1024;
+/// Most bytes of a refused body that are read and discarded before the connection is closed.
+const MAX_DISCARD_BYTES: usize = 256 * 1024;
+/// Longest time for which a refused body is read and discarded.
+const MAX_DISCARD_TIME: Duration = Duration::from_millis(500);
+
+/// A connection with a buffer of bytes that were read and not used yet.
 #[derive(Debug)]
 pub(in crate::callers) struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// Why no whole request came.
+/// Why no complete request was received.
 #[derive(Debug, Display, Error, From)]
-pub(in crate::callers) enum Broken {
-    /// The caller closed the connection or sent nothing for long.
+pub(in crate::callers) enum ReadError {
+    /// The caller closed the connection or was idle for too long.
     #[display("the connection ended")]
-    Ended,
-    /// The caller sends too slowly.
+    Closed,
+    /// The request did not arrive within the time limit.
     #[display("the request did not arrive within {} s", _0.as_secs())]
     #[from(skip)]
-    Slow(#[error(not(source))] Duration),
-    /// The head is longer than allowed.
-    #[display("the head is longer than {MAX_HEAD} bytes")]
+    TimedOut(#[error(not(source))] Duration),
+    /// The head is longer than [`MAX_HEAD_BYTES`].
+    #[display("the head is longer than {MAX_HEAD_BYTES} bytes")]
     LongHead,
-    /// The body is longer than allowed.
-    #[display("the body is longer than {MAX_BODY} bytes")]
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[display("the body is longer than {MAX_BODY_BYTES} bytes")]
     LongBody,
-    /// The head is no head of a request.
-    Head(BadHead),
-    /// The body ends early or its chunks are wrong.
+    /// The head is not a valid HTTP request.
+    Head(InvalidHead),
+    /// The body ends early or its chunked encoding is invalid.
     #[display("the body can't be read: {_0}")]
     Body(io::Error),
 }
 
 impl Connection {
-    /// Takes over a connection that was accepted.
+    /// Wraps an accepted connection.
     ///
     /// # Errors
-    /// Fails when the operating system refuses an option.
+    /// Fails if a socket option can't be set.
     pub(in crate::callers) fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(CHECK_INTERVAL))?;
-        stream.set_write_timeout(Some(SEND_TIME))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
+        stream.set_write_timeout(Some(SEND_TIMEOUT))?;
         Ok(Self {
             stream,
             buffer: Vec::new(),
         })
     }
 
-    /// Waits for the head of the next request.
+    /// Reads the head of the next request.
     ///
     /// # Errors
-    /// Fails when the caller leaves, sends too slowly or sends no head.
-    pub(in crate::callers) fn head(&mut self) -> Result<Head, Broken> {
+    /// Fails if the caller closes the connection, sends too slowly or sends an invalid head.
+    pub(in crate::callers) fn read_head(&mut self) -> Result<Head, ReadError> {
         if self.buffer.is_empty() {
-            self.first_bytes()?;
+            self.wait_for_request()?;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some((head, length)) = Head::parse(&self.buffer)? {
                 self.buffer.drain(..length);
                 return Ok(head);
             }
-            if self.buffer.len() >= MAX_HEAD {
-                return Err(Broken::LongHead);
+            if self.buffer.len() >= MAX_HEAD_BYTES {
+                return Err(ReadError::LongHead);
             }
-            if begun.elapsed() > HEAD_TIME {
-                return Err(Broken::Slow(HEAD_TIME));
+            if started.elapsed() > HEAD_TIMEOUT {
+                return Err(ReadError::TimedOut(HEAD_TIMEOUT));
             }
-            match read_more(&self.stream, &mut self.buffer) {
-                Ok(0) => return Err(Broken::Ended),
+            match read_available(&self.stream, &mut self.buffer) {
+                Ok(0) => return Err(ReadError::Closed),
                 Ok(_) => {}
-                Err(error) if is_pause(&error) => {}
-                Err(_) => return Err(Broken::Ended),
+                Err(error) if is_no_data(&error) => {}
+                Err(_) => return Err(ReadError::Closed),
             }
         }
     }
 
     /// Waits for the first bytes of a request.
     ///
-    /// Idle connections are many, so their threads sleep through; waking each of them a few times a second would cost
-    /// more than the requests that come.
-    fn first_bytes(&mut self) -> Result<(), Broken> {
+    /// Most connections are idle, so their threads block for the whole idle time; waking each of them several times a
+    /// second would cost more than the requests.
+    fn wait_for_request(&mut self) -> Result<(), ReadError> {
         let read = self
             .stream
-            .set_read_timeout(Some(IDLE_TIME))
-            .and_then(|()| read_more(&self.stream, &mut self.buffer))
-            .and_then(|count| self.stream.set_read_timeout(Some(CHECK_INTERVAL)).map(|()| count));
+            .set_read_timeout(Some(IDLE_TIMEOUT))
+            .and_then(|()| read_available(&self.stream, &mut self.buffer))
+            .and_then(|count| self.stream.set_read_timeout(Some(READ_TIMEOUT)).map(|()| count));
         match read {
             Ok(count) if count > 0 => Ok(()),
-            _ => Err(Broken::Ended),
+            _ => Err(ReadError::Closed),
         }
     }
 
     /// Reads the body that belongs to a head.
     ///
     /// # Errors
-    /// Fails when it is too long, comes too slowly or not whole.
-    pub(in crate::callers) fn body(&mut self, head: &Head) -> Result<Vec<u8>, Broken> {
-        if matches!(head.length, Length::Bytes(length) if length > MAX_BODY) {
-            return Err(Broken::LongBody);
+    /// Fails if the body is too long, arrives too slowly or ends early.
+    pub(in crate::callers) fn read_body(&mut self, head: &Head) -> Result<Vec<u8>, ReadError> {
+        if matches!(head.body_length, BodyLength::Bytes(length) if length > MAX_BODY_BYTES) {
+            return Err(ReadError::LongBody);
         }
         if head.expects_continue() {
             (&self.stream)
                 .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
-                .map_err(|_gone| Broken::Ended)?;
+                .map_err(|_gone| ReadError::Closed)?;
         }
-        let mut source = Source {
+        let mut reader = BodyReader {
             stream: &self.stream,
             buffer: &mut self.buffer,
-            until: Instant::now() + BODY_TIME,
+            deadline: Instant::now() + BODY_TIMEOUT,
         };
         let mut body = Vec::new();
-        let read = match head.length {
-            Length::Bytes(length) => (&mut source).take(length).read_to_end(&mut body),
-            Length::Chunked => Decoder::new(&mut source).take(MAX_BODY + 1).read_to_end(&mut body),
+        let read = match head.body_length {
+            BodyLength::Bytes(length) => (&mut reader).take(length).read_to_end(&mut body),
+            BodyLength::Chunked => Decoder::new(&mut reader)
+                .take(MAX_BODY_BYTES + 1)
+                .read_to_end(&mut body),
         };
         match read {
-            Err(error) if error.kind() == ErrorKind::TimedOut => return Err(Broken::Slow(BODY_TIME)),
-            Err(error) => return Err(Broken::Body(error)),
-            Ok(_) if body.len() as u64 > MAX_BODY => return Err(Broken::LongBody),
+            Err(error) if error.kind() == ErrorKind::TimedOut => return Err(ReadError::TimedOut(BODY_TIMEOUT)),
+            Err(error) => return Err(ReadError::Body(error)),
+            Ok(_) if body.len() as u64 > MAX_BODY_BYTES => return Err(ReadError::LongBody),
             Ok(_) => {}
         }
-        match head.length {
-            Length::Bytes(length) if (body.len() as u64) < length => Err(Broken::Ended),
+        match head.body_length {
+            BodyLength::Bytes(length) if (body.len() as u64) < length => Err(ReadError::Closed),
             _ => Ok(body),
         }
     }
 
-    /// Gives the writing side.
+    /// Returns the socket for writing responses.
     pub(in crate::callers) const fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Ends a connection on which a body was left unread.
+    /// Closes a connection on which part of a body was not read.
     ///
-    /// Closing at once would reset the connection, and the caller would lose the refusal together with it.
-    pub(in crate::callers) fn linger(self) {
+    /// Closing it with unread data would reset the connection, and the caller could lose the response.
+    pub(in crate::callers) fn discard_and_close(self) {
         if self.stream.shutdown(std::net::Shutdown::Write).is_err() {
             return;
         }
-        let until = Instant::now() + LINGER_TIME;
-        let mut taken = 0;
+        let deadline = Instant::now() + MAX_DISCARD_TIME;
+        let mut discarded = 0;
         let mut buffer = Vec::new();
-        while taken < LINGER_BYTES && Instant::now() < until {
+        while discarded < MAX_DISCARD_BYTES && Instant::now() < deadline {
             buffer.clear();
-            match read_more(&self.stream, &mut buffer) {
+            match read_available(&self.stream, &mut buffer) {
                 Ok(0) => return,
-                Ok(count) => taken += count,
-                Err(error) if is_pause(&error) => {}
+                Ok(count) => discarded += count,
+                Err(error) if is_no_data(&error) => {}
                 Err(_) => return,
             }
         }
     }
 }
 
-/// Watches whether a caller is still there.
+/// A second handle of a connection that detects whether the caller has closed it.
 #[derive(Debug)]
-pub(in crate::callers) struct PeerDemand(TcpStream);
+pub(in crate::callers) struct CallerProbe(TcpStream);
 
-impl PeerDemand {
-    /// Watches the caller of a connection.
+impl CallerProbe {
+    /// Creates the handle for a connection.
     ///
     /// # Errors
-    /// Fails when the operating system gives no second handle.
+    /// Fails if the socket can't be duplicated.
     pub(in crate::callers) fn of(connection: &Connection) -> io::Result<Self> {
         connection.stream.try_clone().map(Self)
     }
 
-    /// Tells whether the caller closed its side; only the thread that serves the connection may ask.
+    /// Returns whether the caller closed its side. Only the thread that serves the connection may call this, because it
+    /// switches the socket's blocking mode for a moment.
     pub(in crate::callers) fn is_gone(&self) -> bool {
         if self.0.set_nonblocking(true).is_err() {
             return true;
         }
-        let seen = self.0.peek(&mut [0]);
+        let peeked = self.0.peek(&mut [0]);
         let restored = self.0.set_nonblocking(false);
-        match seen {
+        match peeked {
             Ok(count) => count == 0 || restored.is_err(),
-            Err(error) => !is_pause(&error) || restored.is_err(),
+            Err(error) => !is_no_data(&error) || restored.is_err(),
         }
     }
 }
 
-/// The rest of a request, to be read until a point in time.
-struct Source<'a> {
+/// Reads the rest of a request, first from the buffer, until a deadline.
+struct BodyReader<'a> {
     stream: &'a TcpStream,
     buffer: &'a mut Vec<u8>,
-    until: Instant,
+    deadline: Instant,
 }
 
-impl Read for Source<'_> {
+impl Read for BodyReader<'_> {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         while self.buffer.is_empty() {
-            if Instant::now() >= self.until {
+            if Instant::now() >= self.deadline {
                 return Err(ErrorKind::TimedOut.into());
             }
-            match read_more(self.stream, self.buffer) {
+            match read_available(self.stream, self.buffer) {
                 Ok(0) => return Ok(0),
                 Ok(_) => {}
-                Err(error) if is_pause(&error) => {}
+                Err(error) if is_no_data(&error) => {}
                 Err(error) => return Err(error),
             }
         }
@@ -224,14 +230,14 @@
     }
 }
 
-fn read_more(mut stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
-    let mut piece = [0; PIECE];
-    let count = stream.read(&mut piece)?;
-    buffer.extend_from_slice(&piece[..count]);
+fn read_available(mut stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
+    let mut chunk = [0; READ_BYTES];
+    let count = stream.read(&mut chunk)?;
+    buffer.extend_from_slice(&chunk[..count]);
     Ok(count)
 }
 
-fn is_pause(error: &io::Error) -> bool {
+fn is_no_data(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of non-idempotent calls in the replicated state.
+//! Claims of non-idempotent calls in the Raft-replicated state, so that each runs at most once.
 
 use std::time::{Duration, Instant};
 
@@ -9,46 +9,47 @@
 use wire::client::StateClient;
 use wire::state::{Claim, Claimed, Outcome, Settle, Settled, Unavailable};
 
-use crate::Entry;
+use crate::EntryHost;
 
-/// The agreement group that holds all claims today.
-const GROUP: u32 = 0;
-/// Pause between two questions for a call that is under way.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Tries to learn whether a claim was written before it is given back; they last about as long as an election.
-const CLAIM_TRIES: u32 = 50;
-/// Longest wait for a service that is asked for an outcome.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+/// The Raft group that holds all claims.
+const CLAIM_GROUP: u32 = 0;
+/// Pause before asking again for a claim that is undecided or held by another request.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Attempts to learn whether a claim was written before it is given back; together they take about as long as a leader
+/// election.
+const MAX_UNDECIDED_TRIES: u32 = 50;
+/// Timeout of asking a service for the outcome of a call.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A claim that this request holds, or why it doesn't.
+/// The result of claiming a call.
 #[derive(Debug)]
-pub enum Verdict {
-    /// The call may be sent, once.
+pub enum ClaimResult {
+    /// This request holds the claim; the call may be sent once.
     Granted,
-    /// It ended before.
+    /// An earlier request under the key ended with this outcome.
     Done(Outcome),
-    /// The key was used with another body.
+    /// The key was used before with a different call.
     Mismatch,
-    /// Another request under the key is still under way.
+    /// Another request under the key is still running.
     Running,
-    /// Nothing can be claimed now; the call was not run.
+    /// The claim could not be written; the call was not run.
     Unavailable,
 }
 
-/// Identifies a call: who makes it and under which key.
+/// Identifies a call by customer and idempotency key, and the request that makes it.
 #[derive(Clone, Copy, Debug)]
-pub struct Keyed<'a> {
-    /// The customer.
+pub struct KeyedCall<'a> {
+    /// The customer; keys of different customers are independent.
     pub customer: &'a CustomerId,
     /// The caller's idempotency key.
     pub key: &'a str,
-    /// The request that makes it.
+    /// Id of the request; it owns the claim.
     pub request: &'a RequestId,
 }
 
-/// Gives the digest that tells whether two calls under one key are the same.
+/// Returns the digest by which two calls under one key are compared.
 #[must_use]
-pub fn digest(method: &str, path: &str, body: &[u8]) -> String {
+pub fn call_digest(method: &str, path: &str, body: &[u8]) -> String {
     let mut hash = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
         hash.update((part.len() as u64).to_le_bytes());
@@ -57,80 +58,89 @@
     format!("{:x}", hash.finalize())
 }
 
-/// Claims a call, waiting for an earlier one under the same key.
-pub fn claim(state: &StateClient, revision: Revision, call: &Keyed<'_>, digest: &str, until: Instant) -> Verdict {
-    let ask = Claim {
-        group: GROUP,
+/// Claims a call; waits until `deadline` for an earlier one under the same key.
+pub fn claim(
+    state: &StateClient,
+    revision: Revision,
+    call: &KeyedCall<'_>,
+    digest: &str,
+    deadline: Instant,
+) -> ClaimResult {
+    let request = Claim {
+        group: CLAIM_GROUP,
         customer: call.customer.clone(),
         key: call.key.to_owned(),
         digest: digest.to_owned(),
         request: call.request.clone(),
-        hold_ms: until.saturating_duration_since(Instant::now()).as_millis() as u64,
+        hold_ms: deadline.saturating_duration_since(Instant::now()).as_millis() as u64,
     };
-    let mut undecided = 0;
+    let mut undecided_tries = 0;
     loop {
-        match state.claim(revision, &ask) {
-            // The group counts the call's outcome as unknown from now on, so it is too late to send it.
-            Ok(Claimed::Granted) if Instant::now() >= until => return give_back(state, call),
-            Ok(Claimed::Granted) => return Verdict::Granted,
-            Ok(Claimed::Done(outcome)) => return Verdict::Done(outcome),
-            Ok(Claimed::Mismatch) => return Verdict::Mismatch,
-            Ok(Claimed::Running(_)) if Instant::now() < until => std::thread::sleep(PAUSE),
-            Ok(Claimed::Running(_)) => return Verdict::Running,
-            // Nothing was written, so nothing is to be given back.
+        match state.claim(revision, &request) {
+            // The hold time of the claim is over and the group now treats the outcome as unknown, so the call must not
+            // be sent.
+            Ok(Claimed::Granted) if Instant::now() >= deadline => return give_back(state, call),
+            Ok(Claimed::Granted) => return ClaimResult::Granted,
+            Ok(Claimed::Done(outcome)) => return ClaimResult::Done(outcome),
+            Ok(Claimed::Mismatch) => return ClaimResult::Mismatch,
+            Ok(Claimed::Running(_)) if Instant::now() < deadline => std::thread::sleep(RETRY_PAUSE),
+            Ok(Claimed::Running(_)) => return ClaimResult::Running,
+            // The claim was not written, so it need not be given back.
             Ok(Claimed::Unavailable(Unavailable::NotLeader { .. } | Unavailable::NoQuorum { .. })) => {
-                return Verdict::Unavailable;
+                return ClaimResult::Unavailable;
             }
-            // The claim may have been written, and this request has not sent anything: asking again gives it the same
-            // claim, as nobody else knows the request's id.
+            // The claim may have been written. Nothing was sent under it, and the request id is unique, so asking again
+            // returns the same claim.
             Ok(Claimed::Unavailable(Unavailable::Undecided { .. })) | Err(_) => {
-                undecided += 1;
-                if undecided >= CLAIM_TRIES || Instant::now() >= until {
+                undecided_tries += 1;
+                if undecided_tries >= MAX_UNDECIDED_TRIES || Instant::now() >= deadline {
                     return give_back(state, call);
                 }
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_PAUSE);
             }
         }
     }
 }
 
-/// Gives back a claim under which nothing was sent, so that the caller can try again under the same key.
+/// Releases a claim under which nothing was sent, so that the caller can retry with the same key.
 ///
-/// If it were kept, the caller would be told that the call was not run, and at the next try that its outcome is unknown.
-fn give_back(state: &StateClient, call: &Keyed<'_>) -> Verdict {
-    if !state.settle_later(settle_of(call, &Outcome::NotRun)) {
+/// Otherwise the caller would be told that the call was not run, but on the retry that its outcome is unknown.
+fn give_back(state: &StateClient, call: &KeyedCall<'_>) -> ClaimResult {
+    if !state.settle_later(settle_request(call, &Outcome::NotRun)) {
         counter!("gentian_claims_not_given_back_total").increment(1);
     }
-    Verdict::Unavailable
+    ClaimResult::Unavailable
 }
 
-/// Records an outcome; while the state group has no leader, it is recorded in the background.
+/// Records an outcome; if the state group has no leader, it is recorded in the background.
 ///
-/// Returns whether it is recorded or will be.
-pub fn settle(state: &StateClient, revision: Revision, call: &Keyed<'_>, outcome: &Outcome) -> bool {
-    let ask = settle_of(call, outcome);
-    match state.settle(revision, &ask) {
+/// Returns whether it was recorded or queued for recording.
+pub fn settle(state: &StateClient, revision: Revision, call: &KeyedCall<'_>, outcome: &Outcome) -> bool {
+    let request = settle_request(call, outcome);
+    match state.settle(revision, &request) {
         Ok(Settled::Stored) => true,
         Ok(Settled::NotHeld) => false,
-        Ok(Settled::Unavailable(_)) | Err(_) => state.settle_later(ask),
+        Ok(Settled::Unavailable(_)) | Err(_) => state.settle_later(request),
     }
 }
 
-/// Replaces an unknown outcome by what the service tells of it, where it can tell.
-pub fn ask_if_unknown(entry: &Entry, service: &str, call: &Keyed<'_>, verdict: Verdict) -> Verdict {
-    match verdict {
-        Verdict::Done(Outcome::Unknown) => Verdict::Done(ask_service(entry, service, call).unwrap_or(Outcome::Unknown)),
+/// Replaces an unknown outcome by the one that the service reports, if it can.
+pub fn resolve_unknown(entry: &EntryHost, service: &str, call: &KeyedCall<'_>, result: ClaimResult) -> ClaimResult {
+    match result {
+        ClaimResult::Done(Outcome::Unknown) => {
+            ClaimResult::Done(query_outcome(entry, service, call).unwrap_or(Outcome::Unknown))
+        }
         other => other,
     }
 }
 
-/// Asks the service how an earlier call under the key ended, and records what it says.
+/// Asks the service for the outcome of an earlier call under the key, and records it.
 ///
-/// Only an answer counts. A service that knows nothing of the key may still be about to run the call, so that stays
-/// unknown and the call is never sent again.
-fn ask_service(entry: &Entry, service: &str, call: &Keyed<'_>) -> Option<Outcome> {
-    let view = entry.current.view();
-    let tells = |spec: &&UpstreamSpec| {
+/// Only a successful response counts. A service that doesn't know the key may still be about to run the call, so the
+/// outcome stays unknown and the call is never sent again.
+fn query_outcome(entry: &EntryHost, service: &str, call: &KeyedCall<'_>) -> Option<Outcome> {
+    let view = entry.config.view();
+    let reports = |spec: &&UpstreamSpec| {
         spec.serves_service(service)
             && matches!(
                 spec.kind,
@@ -140,15 +150,15 @@
                 }
             )
     };
-    let specs = view.config.upstreams.values().filter(tells);
-    let path = format!("/outcomes/{}", escape(call.key));
-    let ask = ServiceCall {
+    let specs = view.config.upstreams.values().filter(reports);
+    let path = format!("/outcomes/{}", percent_encode(call.key));
+    let request = ServiceCall {
         method: "GET",
         path: &path,
         headers: &[],
         body: &[],
     };
-    let mut answers = specs.filter_map(|spec| entry.services.send(spec.address, &ask, ASK_TIMEOUT).ok());
+    let mut answers = specs.filter_map(|spec| entry.service_client.send(spec.address, &request, OUTCOME_TIMEOUT).ok());
     let answer = answers.find(|answer| answer.status < 300)?;
     let outcome = Outcome::Answered {
         status: answer.status,
@@ -156,15 +166,15 @@
         body: answer.body,
     };
     counter!("gentian_outcomes_told_total").increment(1);
-    if !settle(&entry.state, view.config.revision, call, &outcome) {
+    if !settle(&entry.state_client, view.config.revision, call, &outcome) {
         counter!("gentian_outcomes_unrecorded_total").increment(1);
     }
     Some(outcome)
 }
 
-fn settle_of(call: &Keyed<'_>, outcome: &Outcome) -> Settle {
+fn settle_request(call: &KeyedCall<'_>, outcome: &Outcome) -> Settle {
     Settle {
-        group: GROUP,
+        group: CLAIM_GROUP,
         customer: call.customer.clone(),
         key: call.key.to_owned(),
         request: call.request.clone(),
@@ -172,8 +182,8 @@
     }
 }
 
-/// Writes a key so that it is one part of a path.
-fn escape(key: &str) -> String {
+/// Percent-encodes a key as a single path segment.
+fn percent_encode(key: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     let part = |byte| {
         if plain(byte) {
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -1,13 +1,13 @@
-//! Rescue of the streams on hosts that will be taken away.
+//! Moves streams off engine hosts that will be reclaimed.
 //!
-//! Each attempt at an engine is on board here while it runs. One thread looks for those whose host leaves and has a few
-//! others copy KV cache, one copy from an engine at a time; the stream itself goes on meanwhile and is asked to move when
-//! its cache has arrived. Whatever fails here, the stream still breaks off with its host and is replayed by its own
-//! attempt loop, so a caller's answer never depends on this module.
+//! Every running attempt at an engine is registered here. One thread looks for attempts on hosts with an announced end,
+//! and a few others copy their KV cache to another engine, one copy from each engine at a time. The stream continues
+//! meanwhile and is asked to move once its cache has arrived. If anything fails here, the stream breaks off with its
+//! host and its attempt loop replays it, so that correct answers never depend on this module.
 
 mod copy;
-mod kept;
-mod ride;
+mod ended;
+mod tracked;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -22,121 +22,132 @@
 use policy::prefix::Prefix;
 use policy::rescue::{MoveRates, Stream, StreamAction, plan};
 
-use crate::Entry;
+use crate::EntryHost;
 use crate::settings::KvExport;
-use kept::{Kept, KeptAnswers};
-use ride::{Aboard, Stage};
-pub use ride::{Boarding, Move, Ride};
+use ended::{EndedAnswer, EndedAnswers};
+pub use tracked::{AttemptInfo, StreamMove, TrackedAttempt};
+use tracked::{AttemptRecord, MoveStage};
 
-/// Pause between two looks at the streams.
+/// Pause between two checks of the running attempts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Threads that copy KV cache.
-const COPIERS: usize = 8;
-/// Time to prefill one token, for the question whether a replay would miss a target.
-const PREFILL: Duration = Duration::from_micros(250);
-/// Time to export one token's cache until one was measured.
-const EXPORT: Duration = Duration::from_micros(130);
-/// Weight of the newest measured export.
-const NEWEST: f64 = 0.3;
-
-/// What a copier is to do.
+/// Number of threads that copy KV cache.
+const COPY_THREADS: usize = 8;
+/// Assumed time to prefill one token; decides whether a replay would miss a latency target.
+const PREFILL_PER_TOKEN: Duration = Duration::from_micros(250);
+/// Assumed time to export the KV cache of one token until an export was measured.
+const EXPORT_PER_TOKEN: Duration = Duration::from_micros(130);
+/// Weight of the newest measurement in the moving average of the export time.
+const NEWEST_WEIGHT: f64 = 0.3;
+
+/// A KV cache copy for a copier thread.
 #[derive(Debug)]
-enum Job {
-    /// Copies the cache of a stream that runs.
+enum CopyJob {
+    /// The cache of a running stream.
     Stream(RequestId),
-    /// Copies the cache of an answer that ended, for the next turn of its conversation.
-    Ended(Box<Kept>),
+    /// The cache of an answer that ended, for the next turn of its conversation.
+    Ended(Box<EndedAnswer>),
 }
 
-/// All attempts that run, and what is measured of exports.
+/// The running attempts, recently ended answers and the measured export time.
 #[derive(Debug, Default)]
-pub struct Rescue {
-    aboard: Mutex<HashMap<RequestId, Aboard>>,
-    changed: Condvar,
-    kept: Mutex<KeptAnswers>,
-    /// Seconds to export one token's cache.
-    export: Mutex<Option<f64>>,
+pub struct StreamRescue {
+    attempts: Mutex<HashMap<RequestId, AttemptRecord>>,
+    copy_finished: Condvar,
+    ended: Mutex<EndedAnswers>,
+    /// Seconds to export the KV cache of one token; absent until an export was measured.
+    export_seconds: Mutex<Option<f64>>,
 }
 
-impl Rescue {
-    /// Tells whether any stream's cache is on its way into another engine.
+impl StreamRescue {
+    /// Returns whether the cache of any stream is being imported into another engine.
     #[must_use]
     pub fn is_importing(&self) -> bool {
-        self.aboard.lock().values().any(|one| one.stage == Stage::Importing)
+        self.attempts
+            .lock()
+            .values()
+            .any(|attempt| attempt.stage == MoveStage::Importing)
     }
 
-    /// Notes an answer that ended, with everything that its engine has in its cache of it.
-    pub fn keep(&self, id: &RequestId, spec: &UpstreamSpec, prefix: Prefix) {
-        self.kept.lock().push(id, spec, prefix);
+    /// Records an answer that ended; `prefix` is what the engine now has in its cache.
+    pub fn remember_answer(&self, id: &RequestId, spec: &UpstreamSpec, prefix: Prefix) {
+        self.ended.lock().push(id, spec, prefix);
     }
 
     fn rates(&self, export: bool) -> MoveRates {
-        let measured = self.export.lock().map(Duration::from_secs_f64);
+        let measured = self.export_seconds.lock().map(Duration::from_secs_f64);
         MoveRates {
-            export: export.then(|| measured.unwrap_or(EXPORT)),
-            prefill: PREFILL,
+            export: export.then(|| measured.unwrap_or(EXPORT_PER_TOKEN)),
+            prefill: PREFILL_PER_TOKEN,
         }
     }
 
-    fn measured(&self, tokens: u64, took: Duration) {
+    fn record_export(&self, tokens: u64, took: Duration) {
         let new = took.as_secs_f64() / tokens.max(1) as f64;
-        let mut export = self.export.lock();
-        *export = Some(export.map_or(new, |known| known * (1.0 - NEWEST) + new * NEWEST));
+        let mut export = self.export_seconds.lock();
+        *export = Some(export.map_or(new, |known| known * (1.0 - NEWEST_WEIGHT) + new * NEWEST_WEIGHT));
     }
 
-    /// Decides on every stream whose host leaves and gives the copies that can begin now.
-    fn look(&self, entry: &Entry, now: Tick) -> Vec<Job> {
-        // On an ordinary day no host leaves, and nothing of what follows is worth its processor time.
-        if !entry.fleet.hosts.any_ends(now) {
+    /// Decides about every stream on a leaving host and returns the copies that can start now.
+    fn plan_copies(&self, entry: &EntryHost, now: Tick) -> Vec<CopyJob> {
+        // Most of the time no host leaves, and the checks below would waste processor time.
+        if !entry.upstreams.hosts.any_ending(now) {
             return Vec::new();
         }
-        let mut aboard = self.aboard.lock();
-        let mut busy = exporting(&aboard);
-        busy.extend(self.kept.lock().copying());
-        let streams = self.look_streams(&mut aboard, &mut busy, entry, now);
-        let mut jobs: Vec<Job> = streams.into_iter().map(Job::Stream).collect();
+        let mut attempts = self.attempts.lock();
+        let mut busy = exporting_engines(&attempts);
+        busy.extend(self.ended.lock().copying_engines());
+        let streams = self.plan_streams(&mut attempts, &mut busy, entry, now);
+        let mut jobs: Vec<CopyJob> = streams.into_iter().map(CopyJob::Stream).collect();
         if let Some(export) = self.rates(entry.settings.kv_export == KvExport::All).export {
-            // What ended before is copied over links that no stream needs now.
-            let ended = self.kept.lock().take(&entry.fleet.hosts, export, now, &mut busy);
-            jobs.extend(ended.into_iter().map(|kept| Job::Ended(Box::new(kept))));
+            // Ended answers use only the links that no stream needs now.
+            let ended = self
+                .ended
+                .lock()
+                .take_copyable(&entry.upstreams.hosts, export, now, &mut busy);
+            jobs.extend(ended.into_iter().map(|answer| CopyJob::Ended(Box::new(answer))));
         }
         jobs
     }
 
-    fn look_streams(
+    fn plan_streams(
         &self,
-        aboard: &mut HashMap<RequestId, Aboard>,
+        attempts: &mut HashMap<RequestId, AttemptRecord>,
         busy: &mut HashSet<UpstreamId>,
-        entry: &Entry,
+        entry: &EntryHost,
         now: Tick,
     ) -> Vec<RequestId> {
-        let hosts = &entry.fleet.hosts;
-        let mut ids = Vec::new();
+        let hosts = &entry.upstreams.hosts;
+        let mut requests = Vec::new();
         let mut streams = Vec::new();
-        for (id, one) in aboard.iter().filter(|(_, one)| one.stage == Stage::Riding) {
-            // A host that is drained by an operator has no end, and its streams finish there.
-            if let AnyHostState::Leaving(life) = hosts.stage(&one.spec.host)
-                && let Some(gone_at) = life.gone_at()
+        for (id, attempt) in attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.stage == MoveStage::Running)
+        {
+            // A host that an operator drains has no announced end; its streams finish there.
+            if let AnyHostState::Leaving(state) = hosts.state(&attempt.spec.host)
+                && let Some(gone_at) = state.gone_at()
             {
-                ids.push(id.clone());
-                streams.push(one.stream(gone_at, now));
+                requests.push(id.clone());
+                streams.push(attempt.stream(gone_at, now));
             }
         }
         if streams.is_empty() {
             return Vec::new();
         }
         let mut copies = Vec::new();
-        let steps = plan(
-            &numbered(&streams),
+        let actions = plan(
+            &numbered_sources(&streams),
             &self.rates(entry.settings.kv_export != KvExport::Off),
         );
-        for (at, how) in steps {
-            let Some(one) = aboard.get_mut(&ids[at]) else { continue };
-            match how {
-                StreamAction::Replay => one.ask(None, StreamAction::Replay),
-                StreamAction::Export if busy.insert(one.spec.id.clone()) => {
-                    one.stage = Stage::Exporting;
-                    copies.push(ids[at].clone());
+        for (index, action) in actions {
+            let Some(attempt) = attempts.get_mut(&requests[index]) else {
+                continue;
+            };
+            match action {
+                StreamAction::Replay => attempt.request_move(None, StreamAction::Replay),
+                StreamAction::Export if busy.insert(attempt.spec.id.clone()) => {
+                    attempt.stage = MoveStage::Exporting;
+                    copies.push(requests[index].clone());
                 }
                 StreamAction::Export | StreamAction::Finish => {}
             }
@@ -144,26 +155,28 @@
         copies
     }
 
-    /// Puts back what can't be copied yet.
-    fn put_back(&self, job: Job) {
+    /// Returns a copy that can't start yet to where it came from.
+    fn put_back(&self, job: CopyJob) {
         match job {
-            Job::Stream(id) => {
-                if let Some(one) = self.aboard.lock().get_mut(&id) {
-                    one.stage = Stage::Riding;
+            CopyJob::Stream(id) => {
+                if let Some(attempt) = self.attempts.lock().get_mut(&id) {
+                    attempt.stage = MoveStage::Running;
                 }
             }
-            Job::Ended(kept) => self.kept.lock().put_back(*kept),
+            CopyJob::Ended(answer) => self.ended.lock().put_back(*answer),
         }
     }
 }
 
-fn exporting(aboard: &HashMap<RequestId, Aboard>) -> HashSet<UpstreamId> {
-    let busy = aboard.values().filter(|one| one.stage == Stage::Exporting);
-    busy.map(|one| one.spec.id.clone()).collect()
+fn exporting_engines(attempts: &HashMap<RequestId, AttemptRecord>) -> HashSet<UpstreamId> {
+    let busy = attempts
+        .values()
+        .filter(|attempt| attempt.stage == MoveStage::Exporting);
+    busy.map(|attempt| attempt.spec.id.clone()).collect()
 }
 
-/// Gives each source a number, so that the plan needs no names.
-fn numbered(streams: &[Stream<&UpstreamId>]) -> Vec<Stream<usize>> {
+/// Replaces the source engines by numbers, so that the plan needs no names.
+fn numbered_sources(streams: &[Stream<&UpstreamId>]) -> Vec<Stream<usize>> {
     let mut numbers = HashMap::new();
     let number = |stream: &Stream<&UpstreamId>| {
         let next = numbers.len();
@@ -180,13 +193,13 @@
     streams.iter().map(number).collect()
 }
 
-/// Starts the threads of rescue.
+/// Starts the threads that watch the attempts and copy KV cache.
 ///
 /// # Errors
-/// Fails when the operating system refuses a thread.
-pub fn start(entry: &Arc<Entry>) -> std::io::Result<()> {
-    let (ring, jobs) = bounded::<Job>(COPIERS);
-    for _ in 0..COPIERS {
+/// Fails if a thread can't be started.
+pub fn start(entry: &Arc<EntryHost>) -> std::io::Result<()> {
+    let (queue, jobs) = bounded::<CopyJob>(COPY_THREADS);
+    for _ in 0..COPY_THREADS {
         let (entry, jobs) = (Arc::clone(entry), jobs.clone());
         std::thread::Builder::new()
             .name("copier".to_owned())
@@ -195,16 +208,16 @@
     let entry = Arc::clone(entry);
     std::thread::Builder::new()
         .name("rescue".to_owned())
-        .spawn(move || watch(&entry, &ring))?;
+        .spawn(move || watch_attempts(&entry, &queue))?;
     Ok(())
 }
 
-fn watch(entry: &Entry, ring: &Sender<Job>) {
-    while !entry.stopping() {
-        for job in entry.rescue.look(entry, entry.clock.now()) {
-            if let Err(refused) = ring.try_send(job) {
+fn watch_attempts(entry: &EntryHost, queue: &Sender<CopyJob>) {
+    while !entry.is_stopping() {
+        for job in entry.rescue.plan_copies(entry, entry.clock.now()) {
+            if let Err(rejected) = queue.try_send(job) {
                 counter!("gentian_rescue_copies_waiting_total").increment(1);
-                entry.rescue.put_back(refused.into_inner());
+                entry.rescue.put_back(rejected.into_inner());
             }
         }
         std::thread::sleep(CHECK_INTERVAL);
--- a/crates/entry/tests/crossed_answers.rs
+++ b/crates/entry/tests/crossed_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come late or in another order than their requests reach nobody else.
+//! Responses that arrive late or out of order reach only their own caller.
 
 mod common;
 
@@ -7,94 +7,94 @@
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use common::ask::{call, chat, post_chat, token_of};
-use common::{Host, PATIENCE, config, engine, fake, service};
+use common::client::{call, chat, post_chat, token_of};
+use common::{Host, TIMEOUT, config, engine, fake, service};
 use parking_lot::Mutex;
 use quickcheck::{Gen, QuickCheck};
 
-/// Requests under way at the same time.
-const CALLS: usize = 8;
+/// Concurrent requests.
+const CONCURRENT_CALLS: usize = 8;
 
-type Held = (String, TcpStream);
+type HeldCall = (String, TcpStream);
 
-/// Puts numbers into an order that follows from keys.
-fn order(keys: &[u8]) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..CALLS).collect();
-    order.sort_by_key(|at| keys.get(*at).copied().unwrap_or_default());
+/// Returns a permutation of the request numbers, derived from random keys.
+fn permutation(keys: &[u8]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..CONCURRENT_CALLS).collect();
+    order.sort_by_key(|number| keys.get(*number).copied().unwrap_or_default());
     order
 }
 
-fn holder() -> (Sender<Held>, Receiver<Held>) {
+fn call_channel() -> (Sender<HeldCall>, Receiver<HeldCall>) {
     channel()
 }
 
-/// Holds every call of a round until all are there, then answers them in the drawn order.
-fn answer_in_order(held: &Receiver<Held>, keys: &[u8], answer: impl Fn(&str, &TcpStream)) {
-    let mut calls: HashMap<usize, Held> = HashMap::new();
-    while calls.len() < CALLS {
-        let (name, stream) = held.recv_timeout(PATIENCE).unwrap();
+/// Collects all concurrent calls, then answers them in the order derived from the keys.
+fn answer_in_order(held: &Receiver<HeldCall>, keys: &[u8], answer: impl Fn(&str, &TcpStream)) {
+    let mut calls: HashMap<usize, HeldCall> = HashMap::new();
+    while calls.len() < CONCURRENT_CALLS {
+        let (name, stream) = held.recv_timeout(TIMEOUT).unwrap();
         let number = name.rsplit('-').next().unwrap().parse().unwrap();
         calls.insert(number, (name, stream));
     }
-    for at in order(keys) {
-        let (name, stream) = &calls[&at];
+    for number in permutation(keys) {
+        let (name, stream) = &calls[&number];
         answer(name, stream);
     }
 }
 
-fn check(property: fn(Vec<u8>) -> bool) {
+fn check_property(property: fn(Vec<u8>) -> bool) {
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(CALLS, 7))
+        .rng(Gen::from_size_and_seed(CONCURRENT_CALLS, 7))
         .tests(25)
         .quickcheck(property);
 }
 
-/// Eight lookups are under way at once and the service answers them in any order. A volunteer who got the answer to
-/// somebody else's lookup would seat the wrong family.
+/// Concurrent lookups get their responses in any order. Guards against a response being matched to another caller's
+/// request.
 #[test]
-fn lookups_cross() {
+fn responses_reordered() {
     fn property(keys: Vec<u8>) -> bool {
-        let (taken, calls) = holder();
-        let taken = Mutex::new(taken);
-        let address = fake::serve(move |got, stream| {
-            let name = got.head.split(' ').nth(1).unwrap().to_owned();
-            taken.lock().send((name, stream)).unwrap();
+        let (sender, calls) = call_channel();
+        let sender = Mutex::new(sender);
+        let address = fake::serve(move |request, stream| {
+            let name = request.head.split(' ').nth(1).unwrap().to_owned();
+            sender.lock().send((name, stream)).unwrap();
         });
         let host = Host::start(config([service("t", "seats", address)]));
-        let callers: Vec<_> = (0..CALLS)
-            .map(|at| {
+        let callers: Vec<_> = (0..CONCURRENT_CALLS)
+            .map(|number| {
                 let entry = host.address;
-                let path = format!("/services/seats/tent-{at}");
-                std::thread::spawn(move || call(entry, "GET", &path, &[], b"").text() == format!("/tent-{at}"))
+                let path = format!("/services/seats/tent-{number}");
+                std::thread::spawn(move || call(entry, "GET", &path, &[], b"").text() == format!("/tent-{number}"))
             })
             .collect();
         answer_in_order(&calls, &keys, |name, stream| fake::reply(stream, "200 OK", "", name));
         callers.into_iter().all(|caller| caller.join().unwrap())
     }
-    check(property);
+    check_property(property);
 }
 
-/// Eight chats are under way and tokens come crosswise. Every caller must see its own answer only.
+/// Tokens of concurrent chats arrive interleaved. Guards against a token reaching another caller's stream.
 #[test]
-fn tokens_cross() {
+fn tokens_interleaved() {
     fn property(keys: Vec<u8>) -> bool {
-        let (taken, calls) = holder();
-        let taken = Mutex::new(taken);
-        let address = fake::serve(move |got, stream| {
-            let body: serde_json::Value = serde_json::from_slice(&got.body).unwrap();
+        let (sender, calls) = call_channel();
+        let sender = Mutex::new(sender);
+        let address = fake::serve(move |request, stream| {
+            let body: serde_json::Value = serde_json::from_slice(&request.body).unwrap();
             let name = body["messages"][0]["content"].as_str().unwrap().to_owned();
             fake::begin(&stream);
-            taken.lock().send((name, stream)).unwrap();
+            sender.lock().send((name, stream)).unwrap();
         });
         let host = Host::start(config([engine("a", address)]));
-        let callers: Vec<_> = (0..CALLS)
-            .map(|at| {
+        let callers: Vec<_> = (0..CONCURRENT_CALLS)
+            .map(|number| {
                 let entry = host.address;
                 std::thread::spawn(move || {
-                    let body = chat(&format!("plan-{at}"), 2, true).to_string();
+                    let body = chat(&format!("plan-{number}"), 2, true).to_string();
                     let answer = post_chat(entry, &body).text();
                     let tokens = answer.lines().filter_map(|line| token_of(line.strip_prefix("data: ")?));
-                    tokens.collect::<String>() == format!("plan-{at} plan-{at} ")
+                    tokens.collect::<String>() == format!("plan-{number} plan-{number} ")
                 })
             })
             .collect();
@@ -110,21 +110,21 @@
         }
         callers.into_iter().all(|caller| caller.join().unwrap())
     }
-    check(property);
+    check_property(property);
 }
 
-/// A service answers a lookup only after the entry gave it up and asked another one. The late answer must not be taken
-/// for the answer to whatever the entry asks next.
+/// A service responds after the attempt timed out and another upstream was asked. Guards against the late response
+/// being taken for the response to a later request.
 #[test]
-fn late_answer() {
-    let (taken, calls) = holder();
-    let taken = Mutex::new(taken);
-    let slow = fake::serve(move |got, stream| {
-        let name = got.head.split(' ').nth(1).unwrap().to_owned();
-        taken.lock().send((name, stream)).unwrap();
+fn late_response() {
+    let (sender, calls) = call_channel();
+    let sender = Mutex::new(sender);
+    let slow = fake::serve(move |request, stream| {
+        let name = request.head.split(' ').nth(1).unwrap().to_owned();
+        sender.lock().send((name, stream)).unwrap();
     });
-    let quick = fake::serve(|got, stream| {
-        let name = got.head.split(' ').nth(1).unwrap().to_owned();
+    let quick = fake::serve(|request, stream| {
+        let name = request.head.split(' ').nth(1).unwrap().to_owned();
         fake::reply(&stream, "200 OK", "", &name);
     });
     let mut config = config([service("a", "seats", slow), service("b", "seats", quick)]);
@@ -133,9 +133,9 @@
         class.targets.whole_answer_ms = 3_000;
     }
     let host = Host::start(config);
-    for at in 0..6 {
-        let answer = call(host.address, "GET", &format!("/services/seats/tent-{at}"), &[], b"");
-        assert_eq!(answer.text(), format!("/tent-{at}"));
+    for number in 0..6 {
+        let answer = call(host.address, "GET", &format!("/services/seats/tent-{number}"), &[], b"");
+        assert_eq!(answer.text(), format!("/tent-{number}"));
         for (name, stream) in calls.try_iter() {
             fake::reply(&stream, "200 OK", "", &format!("late {name}"));
         }
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -1,11 +1,11 @@
-//! A leaving entry host hands its open answers to a peer, and callers go on by request id.
+//! A leaving entry host hands its open answers over to a peer, and callers continue by request id.
 
 mod common;
 
 use std::time::Duration;
 
-use common::ask::{self, call, chat, expected, token_of};
-use common::{Host, PATIENCE, Standin, config, engine, free_address};
+use common::client::{self, call, chat, expected, token_of};
+use common::{Host, Standin, TIMEOUT, config, engine, free_address};
 use contract::Revision;
 use entry::cli::Options;
 use entry::drain;
@@ -17,13 +17,13 @@
 
 const TOKENS: u64 = 400;
 
-fn pair(config: &contract::Config) -> (Host, Host) {
+fn host_pair(config: &contract::Config) -> (Host, Host) {
     let inners = [free_address().to_string(), free_address().to_string()];
-    let start = |at: usize| {
+    let start = |number: usize| {
         let options = Options {
-            node: Some(format!("entry-{at}")),
-            host: Some(format!("vm-{at}")),
-            inner: Some(inners[at].clone()),
+            node: Some(format!("entry-{number}")),
+            host: Some(format!("vm-{number}")),
+            inner: Some(inners[number].clone()),
             peers: Some(inners.join(",")),
             notice_ms: Some("0".into()),
             ..Options::default()
@@ -33,19 +33,19 @@
     (start(0), start(1))
 }
 
-fn notice(host: &Host, left_ms: u64) {
-    let calls = RpcRuntime::start(1, PATIENCE).unwrap();
+fn send_notice(host: &Host, left_ms: u64) {
+    let calls = RpcRuntime::start(1, TIMEOUT).unwrap();
     let client = calls.client(host.inner, Duration::ZERO).unwrap();
-    let sign = HostSignal {
+    let signal = HostSignal {
         host: "vm-0".into(),
         incarnation: 0,
         sign: Sign::Notice { left_ms },
     };
-    let message = Envelope::new(&"capacity-1".into(), Revision(1), vec![sign]);
+    let message = Envelope::new(&"capacity-1".into(), Revision(1), vec![signal]);
     calls.wait(client.hosts(message)).unwrap();
 }
 
-/// Fetches the rest of an answer, asking again as long as it is being made.
+/// Fetches the rest of an answer, polling until it is complete.
 fn fetch_rest(host: &Host, path: &str) -> String {
     let (id, from) = path.split_once("?from=").unwrap();
     let mut from: u64 = from.parse().unwrap();
@@ -62,17 +62,17 @@
     }
 }
 
-/// The cloud takes an entry host back within seconds while consultations are being written there. The callers'
-/// connections end with the host, but not their answers: each is told where its answer goes on and finds all of it.
+/// An entry host is reclaimed with a short notice while answers are open. Callers' connections end with the host; each
+/// caller must be told where its answer continues and find all of it there.
 #[test]
-fn open_streams_move() {
+fn open_streams_moved() {
     let (a, b) = (Standin::engine(&[]), Standin::engine(&[]));
-    let (leaving, peer) = pair(&config([engine("a", a.address), engine("b", b.address)]));
+    let (leaving, peer) = host_pair(&config([engine("a", a.address), engine("b", b.address)]));
     let callers: Vec<_> = (0..6)
-        .map(|turn| {
-            let (address, prompt) = (leaving.address, format!("consultation {turn}"));
+        .map(|number| {
+            let (address, prompt) = (leaving.address, format!("consultation {number}"));
             std::thread::spawn(move || {
-                let mut events = ask::stream(address, &prompt, TOKENS);
+                let mut events = client::stream(address, &prompt, TOKENS);
                 let mut text = String::new();
                 while let Some(data) = events.next() {
                     let event: Value = serde_json::from_str(&data).unwrap();
@@ -86,11 +86,11 @@
         })
         .collect();
     let address = leaving.address;
-    let whole = std::thread::spawn(move || ask::post_chat(address, &chat("a plan", TOKENS, false).to_string()));
+    let whole = std::thread::spawn(move || client::post_chat(address, &chat("a plan", TOKENS, false).to_string()));
     while leaving
         .entry
         .journals
-        .open_ones()
+        .open_journals()
         .iter()
         .filter(|(_, journal)| journal.len() > 3)
         .count()
@@ -98,9 +98,9 @@
     {
         std::thread::yield_now();
     }
-    notice(&leaving, 1_500);
-    assert!(leaving.entry.told.load(std::sync::atomic::Ordering::SeqCst));
-    drain::leave(&leaving.entry);
+    send_notice(&leaving, 1_500);
+    assert!(leaving.entry.leave_requested.load(std::sync::atomic::Ordering::SeqCst));
+    drain::drain(&leaving.entry);
     for caller in callers {
         let (prompt, mut text, resume) = caller.join().unwrap();
         text.push_str(&fetch_rest(&peer, &resume));
@@ -112,40 +112,40 @@
         fetch_rest(&peer, whole.header("Location").unwrap()),
         expected("a plan", TOKENS)
     );
-    // The host that left still knows where the answer is, as long as it is there.
+    // As long as the leaving host runs, it finds the answer at the peer.
     assert_eq!(
         fetch_rest(&leaving, whole.header("Location").unwrap()),
         expected("a plan", TOKENS)
     );
 }
 
-/// A host comes back under its old name, and the word that the old one is gone arrives late and twice. The new one has
-/// just begun to serve and must go on.
+/// A host is replaced by a new one of the same name, and signals about the old one arrive late and repeatedly. They
+/// must not stop the new one.
 #[test]
-fn late_word() {
+fn late_signal() {
     let options = Options {
         host: Some("vm-0".into()),
         incarnation: Some("2".into()),
         ..Options::default()
     };
     let host = Host::with(config([]), options);
-    let sign = |incarnation, sign| HostSignal {
+    let signal = |incarnation, sign| HostSignal {
         host: "vm-0".into(),
         incarnation,
         sign,
     };
-    let told = || host.entry.told.load(std::sync::atomic::Ordering::SeqCst);
-    drain::hear(&host.entry, &sign(1, Sign::Gone));
-    drain::hear(&host.entry, &sign(1, Sign::Notice { left_ms: 5 }));
-    drain::hear(&host.entry, &sign(2, Sign::Serving));
-    assert!(!told() && host.entry.gone_at().is_none());
-    drain::hear(&host.entry, &sign(2, Sign::Notice { left_ms: 5 }));
-    assert!(told() && host.entry.gone_at().is_some());
+    let leave_requested = || host.entry.leave_requested.load(std::sync::atomic::Ordering::SeqCst);
+    drain::handle_signal(&host.entry, &signal(1, Sign::Gone));
+    drain::handle_signal(&host.entry, &signal(1, Sign::Notice { left_ms: 5 }));
+    drain::handle_signal(&host.entry, &signal(2, Sign::Serving));
+    assert!(!leave_requested() && host.entry.gone_at().is_none());
+    drain::handle_signal(&host.entry, &signal(2, Sign::Notice { left_ms: 5 }));
+    assert!(leave_requested() && host.entry.gone_at().is_some());
 }
 
-/// The host leaves and no peer can be reached. The answers must go on where they are instead of being dropped.
+/// No peer is reachable when the host leaves. The answers must continue here instead of being dropped.
 #[test]
-fn no_peer_left() {
+fn no_peer_reachable() {
     let a = Standin::engine(&[]);
     let options = Options {
         peers: Some(free_address().to_string()),
@@ -153,20 +153,20 @@
         ..Options::default()
     };
     let host = Host::with(config([engine("a", a.address)]), options);
-    let mut events = ask::stream(host.address, "alone", 100);
+    let mut events = client::stream(host.address, "alone", 100);
     let first = events.token();
-    host.entry.will_go(Duration::from_millis(1));
+    host.entry.announce_end(Duration::from_millis(1));
     let entry = std::sync::Arc::clone(&host.entry);
-    let leaving = std::thread::spawn(move || drain::leave(&entry));
+    let leaving = std::thread::spawn(move || drain::drain(&entry));
     let (rest, done) = events.rest();
     assert_eq!(first + &rest, expected("alone", 100));
     assert!(done);
     leaving.join().unwrap();
 }
 
-/// The leaving host doesn't hear the peer's answer and asks again. The request must not be run a second time.
+/// The leaving host loses the peer's reply and repeats the handover. The request must not be run a second time.
 #[test]
-fn asked_twice() {
+fn repeated_handover() {
     let a = Standin::engine(&[]);
     let host = Host::start(config([engine("a", a.address)]));
     let handover = Handover {
