--- a/crates/capacity/src/api.rs
+++ b/crates/capacity/src/api.rs
@@ -1,4 +1,4 @@
-//! What operators are shown, and health checks.
+//! HTTP endpoints: the capacity report for operators, health checks and metrics.
 
 use contract::KeyHash;
 use parking_lot::Mutex;
@@ -8,38 +8,46 @@
 
 use crate::control::Report;
 
-/// The newest report of the loop.
+/// The report of the controller's latest round.
 #[derive(Debug, Default)]
-pub struct Shown {
+pub struct LatestReport {
     report: Mutex<Report>,
 }
 
-impl Shown {
+impl LatestReport {
     /// Replaces the report.
     pub fn set(&self, report: Report) {
         *self.report.lock() = report;
     }
 }
 
-/// Answers one request.
+/// Responds to one HTTP request; the report needs the operator key.
+///
+/// Without an operator key in the settings, the report is refused to everybody.
 #[must_use]
-pub fn answer(shown: &Shown, scrape: &MetricsExporter, key: Option<&KeyHash>, request: &Request) -> Response {
+pub fn respond(
+    latest: &LatestReport,
+    scrape: &MetricsExporter,
+    operator_key: Option<&KeyHash>,
+    request: &Request,
+) -> Response {
     match request.url().as_str() {
         "/livez" => Response::text("ok\n"),
         "/metrics" => Response::text(scrape.render()),
-        "/v1/capacity" if !is_allowed(key, request) => {
+        "/v1/capacity" if !is_authorized(operator_key, request) => {
             let detail = "a valid operator key is needed in the Authorization header";
             Response::json(&json!({"title": "refused", "status": 401, "detail": detail})).with_status_code(401)
         }
-        "/v1/capacity" => Response::json(&*shown.report.lock()),
+        "/v1/capacity" => Response::json(&*latest.report.lock()),
         _ => Response::empty_404(),
     }
 }
 
-fn is_allowed(key: Option<&KeyHash>, request: &Request) -> bool {
-    let shown = request
+fn is_authorized(operator_key: Option<&KeyHash>, request: &Request) -> bool {
+    let bearer = request
         .header("Authorization")
         .and_then(|value| value.strip_prefix("Bearer "));
-    key.zip(shown)
-        .is_some_and(|(key, shown)| KeyHash::of(shown).matches(key))
+    operator_key
+        .zip(bearer)
+        .is_some_and(|(expected, bearer)| KeyHash::of(bearer).matches(expected))
 }
--- a/crates/capacity/src/cli.rs
+++ b/crates/capacity/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line options of `gentian-capacity`.
 
 use argh::FromArgs;
 
--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -1,8 +1,8 @@
-//! The loop that keeps capacity: what is known, what the plan says, one step after the other.
+//! The control loop: each round reads the cloud and the engines, plans, and executes the plan's steps one by one.
 //!
-//! Nothing is remembered that a successor would need. Which hosts there are and what for stands in the cloud's list,
-//! what an engine has loaded is read from it, and what is registered or drained stands in the replicated
-//! configuration. A process that dies between any two steps leaves a world that the next one reads and goes on with.
+//! The controller keeps no state that the next lease holder would need. Which hosts exist, and for which model, is in
+//! the cloud's list; what an engine has loaded is read from the engine; and what is registered or drained is in the
+//! replicated configuration. When a process dies between any two steps, the next holder reads all this and continues.
 
 mod engines;
 mod hosts;
@@ -23,73 +23,83 @@
 use wire::client::StateClient;
 use wire::state::{Propose, Proposed};
 
-use crate::lease::{Keeper, Tenure};
+use crate::inventory::{self, CloudSnapshot, HostRow};
+use crate::lease::{HeldLease, LeaseKeeper};
 use crate::settings::Settings;
-use crate::world::{self, Cloud, Row};
 
 /// Pause between two rounds.
-pub const STEP: Duration = Duration::from_millis(500);
-/// Longest wait for the cloud API.
+pub const ROUND_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait for one call to the cloud API.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the beginning of a tenure in which the cloud's list may not yet show what the holder before has started.
+/// Longest time until the cloud's list shows a started host or omits a stopped one.
+///
+/// A new lease holder starts no hosts for as long, since the list may not yet show those of the previous holder.
 pub const LIST_LAG: Duration = Duration::from_secs(3);
-/// Time after the last step before hosts are drained for lack of work.
-const CALM: Duration = Duration::from_mins(2);
-/// Time after a host was taken in which no other is started in its zone.
-const LOST: Duration = Duration::from_secs(30);
-/// Factors on the busy slots up to which hosts are started and above which they are drained.
-const GROW: f64 = 1.3;
-const SHRINK: f64 = 1.8;
-
-/// Who accepts changes of the configuration; the state group, or a fake in tests.
-pub trait Changes {
-    /// Proposes a change; `None` when nobody can decide.
-    fn propose(&self, ask: &Propose) -> Option<Proposed>;
+/// Time after the last step in which no host is drained for lack of load.
+const DRAIN_COOLDOWN: Duration = Duration::from_mins(2);
+/// Time after a reclaim in which no host is started in the same zone.
+const RECLAIM_COOLDOWN: Duration = Duration::from_secs(30);
+/// Hosts are started until a model has this many times its busy slots.
+const GROW_FACTOR: f64 = 1.3;
+/// Hosts are drained while a model keeps more than this many times its busy slots.
+const SHRINK_FACTOR: f64 = 1.8;
+
+/// Decides on changes of the configuration: the state group, or a fake in tests.
+pub trait ConfigStore {
+    /// Proposes a change; `None` when no node can decide.
+    fn propose(&self, proposal: &Propose) -> Option<Proposed>;
 }
 
-impl Changes for StateClient {
-    fn propose(&self, ask: &Propose) -> Option<Proposed> {
-        Self::propose(self, Revision::default(), ask).ok()
+impl ConfigStore for StateClient {
+    fn propose(&self, proposal: &Propose) -> Option<Proposed> {
+        Self::propose(self, Revision::default(), proposal).ok()
     }
 }
 
-/// What operators are shown.
+/// The report that operators read on `/v1/capacity`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// Whether this process holds the lease.
     pub active: bool,
-    /// Its fencing token.
+    /// Fencing token of the lease; absent without the lease.
     pub token: Option<u64>,
-    /// Whether the cloud API answers.
+    /// Whether the cloud API answered in the last round.
     pub cloud: bool,
-    /// The hosts.
-    pub hosts: Vec<Row>,
-    /// The steps that the plan would take now.
+    /// The hosts in the cloud's list, as of the last round in which it answered.
+    pub hosts: Vec<HostRow>,
+    /// The steps that the plan would take now; empty while the cloud API doesn't answer.
     pub plan: Vec<String>,
 }
 
-/// The loop's state; all of it can be lost.
+/// The controller of one process; all of its state may be lost with the process.
 #[derive(Debug)]
-pub struct Control {
+pub struct Controller {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
     pub(crate) logger: Logger,
     pub(crate) cloud: CloudClient,
     pub(crate) engines: EngineClient,
     pub(crate) backoff: Backoff,
+    /// Hosts that were started and aren't in the cloud's list yet, with the time of their start.
     pub(crate) pending: Vec<(CloudHost, Tick)>,
+    /// Starts whose answer was lost.
     pub(crate) unanswered: Vec<StartHost>,
-    pub(crate) idle: HashMap<HostId, Tick>,
-    pub(crate) missing: HashMap<HostId, Tick>,
-    pub(crate) moved: Tick,
-    lost: BTreeMap<Zone, Tick>,
-    pub(crate) rounds: usize,
-    starts: u64,
+    /// Since when each drained host has been idle.
+    pub(crate) idle_since: HashMap<HostId, Tick>,
+    /// Since when each host of the configuration has been missing from the cloud's list.
+    pub(crate) missing_since: HashMap<HostId, Tick>,
+    /// When the last step of a plan was executed.
+    pub(crate) last_step: Tick,
+    /// When a host was last seen leaving, by zone.
+    reclaimed: BTreeMap<Zone, Tick>,
+    pub(crate) round_count: usize,
+    /// Steps of this process that start a host; part of the start tokens, which have to be unique.
+    start_count: u64,
     report: Mutex<Report>,
 }
 
-impl Control {
-    /// Makes the loop of a process.
+impl Controller {
+    /// Creates the controller of a process.
     #[must_use]
     pub fn new(settings: Settings, clock: Clock, logger: Logger) -> Self {
         Self {
@@ -100,58 +110,58 @@
             backoff: Backoff::default(),
             pending: Vec::new(),
             unanswered: Vec::new(),
-            idle: HashMap::new(),
-            missing: HashMap::new(),
-            moved: clock.now(),
+            idle_since: HashMap::new(),
+            missing_since: HashMap::new(),
+            last_step: clock.now(),
             clock,
-            lost: BTreeMap::new(),
-            rounds: 0,
-            starts: 0,
+            reclaimed: BTreeMap::new(),
+            round_count: 0,
+            start_count: 0,
             report: Mutex::default(),
         }
     }
 
-    /// Gives what operators are shown.
+    /// Returns the report of the last round.
     #[must_use]
     pub fn report(&self) -> Report {
         self.report.lock().clone()
     }
 
-    /// Makes one round; without the lease it only looks.
-    pub fn round(&mut self, config: &Config, keeper: &Keeper, changes: &dyn Changes) {
-        let cloud = match Cloud::read(&self.cloud) {
+    /// Runs one round; without the lease, or with the plan switched off, it only updates the report.
+    pub fn round(&mut self, config: &Config, keeper: &LeaseKeeper, store: &dyn ConfigStore) {
+        let cloud = match CloudSnapshot::read(&self.cloud) {
             Ok(cloud) => cloud,
-            Err(error) => return self.cut_off(keeper, &error),
+            Err(error) => return self.report_outage(keeper, &error),
         };
-        let busy = world::loads(&self.engines, &cloud.hosts);
+        let busy = inventory::read_loads(&self.engines, &cloud.hosts);
         let steps = self.plan(config, &cloud, &busy);
-        let tenure = keeper.held();
+        let lease = keeper.held();
         *self.report.lock() = Report {
-            active: tenure.is_some(),
-            token: tenure.map(|tenure| tenure.token),
+            active: lease.is_some(),
+            token: lease.map(|lease| lease.token),
             cloud: true,
-            hosts: world::rows(config, &cloud, &busy),
+            hosts: inventory::host_rows(config, &cloud, &busy),
             plan: steps.iter().map(ToString::to_string).collect(),
         };
         gauge!("gentian_capacity_hosts").set(cloud.hosts.len() as f64);
-        let Some(tenure) = tenure.filter(|_| self.settings.plan) else {
+        let Some(lease) = lease.filter(|_| self.settings.plan_enabled) else {
             return;
         };
-        self.rounds += 1;
-        self.prepare(config, &cloud, keeper, changes);
-        self.verify(config, &cloud, keeper, changes);
-        self.clear(config, &cloud, &busy, keeper, changes);
-        if self.clock.now() < tenure.since + LIST_LAG {
+        self.round_count += 1;
+        self.prepare_engines(config, &cloud, keeper, store);
+        self.verify_engine(config, &cloud, keeper, store);
+        self.remove_hosts(config, &cloud, &busy, keeper, store);
+        if self.clock.now() < lease.acquired + LIST_LAG {
             return;
         }
         self.retry_starts(keeper);
         for step in steps {
-            self.carry_out(&step, &tenure, &cloud, keeper, changes);
+            self.execute_step(&step, &lease, &cloud, keeper, store);
         }
     }
 
-    /// Without the cloud API nothing can be started or stopped; what serves goes on serving.
-    fn cut_off(&self, keeper: &Keeper, error: &upstream::UpstreamError) {
+    /// Reports that the cloud API doesn't answer: nothing can be started or stopped, and serving hosts go on serving.
+    fn report_outage(&self, keeper: &LeaseKeeper, error: &upstream::UpstreamError) {
         counter!("gentian_cloud_failures_total").increment(1);
         let mut report = self.report.lock();
         if std::mem::take(&mut report.cloud) {
@@ -161,83 +171,100 @@
         report.plan = Vec::new();
     }
 
-    fn plan(&mut self, config: &Config, cloud: &Cloud, busy: &BTreeMap<HostId, f64>) -> Vec<Step> {
+    /// Returns the steps that the plan takes from the hosts of this round.
+    fn plan(&mut self, config: &Config, cloud: &CloudSnapshot, busy: &BTreeMap<HostId, f64>) -> Vec<Step> {
         let now = self.clock.now();
-        let listed = |host: &CloudHost| cloud.hosts.iter().any(|known| known.id == host.id);
-        // A start that the list never shows has failed after all.
+        let listed = |host: &CloudHost| cloud.hosts.iter().any(|listed_host| listed_host.id == host.id);
+        // A started host that isn't in the list after three times its lag has failed to start.
         self.pending
             .retain(|(host, at)| !listed(host) && now.since(*at) < 3 * LIST_LAG);
         let pending: Vec<CloudHost> = self.pending.iter().map(|(host, _)| host.clone()).collect();
-        let held = world::held(config, cloud, &pending, busy);
-        let needs = world::needs(config, &self.settings, &held);
+        let held = inventory::held_hosts(config, cloud, &pending, busy);
+        let needs = inventory::model_needs(config, &self.settings, &held);
         let rules = ScalingRules {
             slots: self.settings.slots,
-            grow: GROW,
-            shrink: SHRINK,
+            grow: GROW_FACTOR,
+            shrink: SHRINK_FACTOR,
         };
         let pools = self.pools(cloud, now);
-        let calm = now.since(self.moved) >= CALM;
-        plan(&needs, &held, &pools, &config.rules, &rules, calm)
+        let cooled_down = now.since(self.last_step) >= DRAIN_COOLDOWN;
+        plan(&needs, &held, &pools, &config.rules, &rules, cooled_down)
     }
 
-    /// Gives where hosts can be started; not where some were taken lately, as long as there is another zone.
+    /// Returns where hosts can be started: not in zones with a recent reclaim, as long as another zone is open.
     ///
-    /// A reclaim takes a whole zone. What is started there again while it goes on is refused or taken as well, after its
-    /// weights were loaded for nothing.
-    fn pools(&mut self, cloud: &Cloud, now: Tick) -> Vec<HostPool> {
-        for host in cloud.hosts.iter().filter(|host| cloud.leaves(host)) {
-            self.lost.insert(host.zone.clone(), now);
+    /// A reclaim affects a whole zone. A host that is started there while it lasts is refused, or reclaimed as well
+    /// after its weights were loaded in vain.
+    fn pools(&mut self, cloud: &CloudSnapshot, now: Tick) -> Vec<HostPool> {
+        for host in cloud.hosts.iter().filter(|host| cloud.is_leaving(host)) {
+            self.reclaimed.insert(host.zone.clone(), now);
         }
-        self.lost.retain(|_, at| now.since(*at) < LOST);
+        self.reclaimed.retain(|_, at| now.since(*at) < RECLAIM_COOLDOWN);
         let pools = cloud.pools(&self.backoff, now);
-        let stays = |pool: &HostPool| pool.open && !self.lost.contains_key(&pool.zone);
-        if !pools.iter().any(stays) {
+        let is_usable = |pool: &HostPool| pool.open && !self.reclaimed.contains_key(&pool.zone);
+        if !pools.iter().any(is_usable) {
             return pools;
         }
-        let closed = pools.into_iter().map(|pool| HostPool {
-            open: stays(&pool),
+        let filtered = pools.into_iter().map(|pool| HostPool {
+            open: is_usable(&pool),
             ..pool
         });
-        closed.collect()
+        filtered.collect()
     }
 
-    fn carry_out(&mut self, step: &Step, tenure: &Tenure, cloud: &Cloud, keeper: &Keeper, changes: &dyn Changes) {
+    /// Executes one step of the plan.
+    fn execute_step(
+        &mut self,
+        step: &Step,
+        lease: &HeldLease,
+        cloud: &CloudSnapshot,
+        keeper: &LeaseKeeper,
+        store: &dyn ConfigStore,
+    ) {
         info!(self.logger, "step"; "step" => %step);
-        self.moved = self.clock.now();
+        self.last_step = self.clock.now();
         match step {
             Step::Start { model, zone, class, .. } => {
-                self.starts += 1;
+                self.start_count += 1;
                 let start = StartHost {
                     zone: zone.clone(),
                     class: *class,
-                    token: format!("{}-{}", tenure.token, self.starts),
+                    token: format!("{}-{}", lease.token, self.start_count),
                     tag: model.to_string(),
                 };
                 self.start(start, keeper);
             }
             Step::Drain { host, .. } => {
-                let known = cloud.hosts.iter().find(|one| one.id == *host);
-                if let Some(incarnation) = known.map(|one| one.incarnation) {
+                let listed_host = cloud.hosts.iter().find(|listed| listed.id == *host);
+                if let Some(incarnation) = listed_host.map(|listed| listed.incarnation) {
                     let host = host.clone();
-                    self.change("drain", Change::DrainHost { host, incarnation }, keeper, changes);
+                    self.propose_change("drain", Change::DrainHost { host, incarnation }, keeper, store);
                 }
             }
         }
     }
 
-    /// Proposes a change while the lease is held; one that nobody decides is proposed again in a later round.
-    pub(crate) fn change(&self, step: &str, change: Change, keeper: &Keeper, changes: &dyn Changes) -> bool {
-        let Some(tenure) = keeper.held() else {
+    /// Proposes a change if the lease is held, and returns whether it was accepted.
+    ///
+    /// A change that isn't decided is proposed again in a later round, if it's still needed.
+    pub(crate) fn propose_change(
+        &self,
+        step: &str,
+        change: Change,
+        keeper: &LeaseKeeper,
+        store: &dyn ConfigStore,
+    ) -> bool {
+        let Some(lease) = keeper.held() else {
             return false;
         };
-        let count = self.clock.now().0.as_micros();
-        let ask = Propose {
-            id: ChangeId::from(format!("capacity-{}-{step}-{count}", tenure.token)),
+        let micros = self.clock.now().0.as_micros();
+        let proposal = Propose {
+            id: ChangeId::from(format!("capacity-{}-{step}-{micros}", lease.token)),
             base: None,
             operator: "gentian-capacity".to_owned(),
             change,
         };
-        let accepted = matches!(changes.propose(&ask), Some(Proposed::Accepted(_)));
+        let accepted = matches!(store.propose(&proposal), Some(Proposed::Accepted(_)));
         if !accepted {
             counter!("gentian_capacity_changes_failed_total").increment(1);
         }
--- a/crates/capacity/src/control/engines.rs
+++ b/crates/capacity/src/control/engines.rs
@@ -1,4 +1,4 @@
-//! Engines on started hosts: what they must load before they serve, and their registration.
+//! Engines on started hosts: loading what they need before they serve, and registering them as upstreams.
 
 use contract::{Change, Config, HostSpec, ModelName, UpstreamKind, UpstreamSpec};
 use metrics::counter;
@@ -7,153 +7,172 @@
 use upstream::cloud::CloudHost;
 use upstream::orders::EngineAction;
 
-use super::{Changes, Control};
-use crate::lease::Keeper;
-use crate::orders::{Engine, Given, Read};
-use crate::world::{Cloud, is_drained, upstream_id};
+use super::{ConfigStore, Controller};
+use crate::inventory::{CloudSnapshot, is_drained, upstream_id};
+use crate::lease::LeaseKeeper;
+use crate::orders::{Engine, OrderOutcome, StateKnown};
 
-/// Sizes of loads, relative to each other.
+/// Size of a model's weights, in sizes of an adapter.
 const MODEL_SIZE: u64 = 20;
+/// Size of an adapter's weights, the unit of sizes.
 const ADAPTER_SIZE: u64 = 1;
-/// Version of models that the settings don't name.
+/// Version of adapters, and of models whose version isn't in the settings.
 const FIRST_VERSION: &str = "1";
 
-/// An engine that lacks something.
-struct Waiting<'a> {
+/// An engine that lacks a model or an adapter, and the order that makes it load it.
+struct PendingLoad<'a> {
     host: &'a CloudHost,
-    engine: Engine<'a, Read>,
+    engine: Engine<'a, StateKnown>,
     action: EngineAction,
     load: WeightLoad,
 }
 
-impl Control {
-    /// Has engines load what they lack and registers those that lack nothing.
-    pub(super) fn prepare(&self, config: &Config, cloud: &Cloud, keeper: &Keeper, changes: &dyn Changes) {
-        let mut waiting = Vec::new();
+impl Controller {
+    /// Orders engines to load what they lack and registers those that lack nothing.
+    pub(super) fn prepare_engines(
+        &self,
+        config: &Config,
+        cloud: &CloudSnapshot,
+        keeper: &LeaseKeeper,
+        store: &dyn ConfigStore,
+    ) {
+        let mut pending = Vec::new();
         let mut active = 0;
-        let stays = |host: &&CloudHost| !cloud.leaves(host) && !is_drained(config, host);
+        let stays = |host: &&CloudHost| !cloud.is_leaving(host) && !is_drained(config, host);
         for host in cloud.hosts.iter().filter(stays) {
-            // What is registered has everything; its orders are only looked at again when its host is a new one.
-            let Some(peer) = host
+            // Registered engines have everything loaded; `verify_engine` checks them in turn. A new incarnation of a
+            // host has a new upstream id, and so isn't registered yet.
+            let Some(address) = host
                 .address
                 .filter(|_| !config.upstreams.contains_key(&upstream_id(host)))
             else {
                 continue;
             };
-            let Ok(engine) = Engine::new(&self.engines, peer, self.settings.checks).read() else {
+            let Ok(engine) = Engine::new(&self.engines, address, self.settings.checks_fencing).read() else {
                 continue;
             };
             if engine.state().loading.is_some() {
                 active += 1;
                 continue;
             }
-            match self.lacking(host, &engine) {
-                Some(action) => waiting.push(Waiting {
-                    load: load_of(&action, shortfall(config, cloud, host)),
+            match self.next_action(host, &engine) {
+                Some(action) => pending.push(PendingLoad {
+                    load: weight_load(&action, shortfall(config, cloud, host)),
                     host,
                     engine,
                     action,
                 }),
-                None => self.register(host, keeper, changes),
+                None => self.register(host, keeper, store),
             }
         }
-        self.begin_loads(waiting, active, keeper);
+        self.start_loads(pending, active, keeper);
     }
 
-    /// Reads one registered engine a round; one that has lost its model is no longer registered and loads it anew.
+    /// Reads one registered engine a round, and unregisters it if it has lost its model; it's then loaded again.
     ///
-    /// An order of an earlier holder may arrive at an engine that doesn't check tokens long after it was registered.
-    /// Callers would get refusals for a model that the engine no longer has, until somebody looks.
-    pub(super) fn verify(&self, config: &Config, cloud: &Cloud, keeper: &Keeper, changes: &dyn Changes) {
+    /// An engine that doesn't check fencing tokens may receive a delayed order of an earlier lease holder long after it
+    /// was registered. Without this check, the engine would go on refusing requests for the model that it has lost.
+    pub(super) fn verify_engine(
+        &self,
+        config: &Config,
+        cloud: &CloudSnapshot,
+        keeper: &LeaseKeeper,
+        store: &dyn ConfigStore,
+    ) {
         let registered = |host: &&CloudHost| config.upstreams.contains_key(&upstream_id(host));
         let hosts: Vec<&CloudHost> = cloud.hosts.iter().filter(registered).collect();
-        let Some(host) = hosts.get(self.rounds % hosts.len().max(1)) else {
+        let Some(host) = hosts.get(self.round_count % hosts.len().max(1)) else {
             return;
         };
-        let read = host
+        let engine = host
             .address
-            .map(|peer| Engine::new(&self.engines, peer, self.settings.checks).read());
-        if let Some(Ok(engine)) = read
-            && matches!(self.lacking(host, &engine), Some(EngineAction::LoadModel { .. }))
+            .map(|address| Engine::new(&self.engines, address, self.settings.checks_fencing).read());
+        if let Some(Ok(engine)) = engine
+            && matches!(self.next_action(host, &engine), Some(EngineAction::LoadModel { .. }))
         {
             counter!("gentian_engines_changed_total").increment(1);
-            warn!(self.logger, "engine has lost its model"; "host" => %host.id, "model" => &host.tag);
-            self.change("unregister", Change::DropUpstream(upstream_id(host)), keeper, changes);
+            warn!(self.logger, "unregistering an engine that lost its model"; "host" => %host.id, "model" => &host.tag);
+            self.propose_change("unregister", Change::DropUpstream(upstream_id(host)), keeper, store);
         }
     }
 
-    fn begin_loads(&self, waiting: Vec<Waiting<'_>>, active: usize, keeper: &Keeper) {
-        let loads: Vec<WeightLoad> = waiting.iter().map(|one| one.load).collect();
-        let chosen = next_loads(&loads, active, self.settings.loads);
-        for (at, one) in waiting.into_iter().enumerate() {
-            let Some(tenure) = keeper.held().filter(|_| chosen.contains(&at)) else {
+    /// Sends load orders to as many engines as the weight store allows at once.
+    fn start_loads(&self, pending: Vec<PendingLoad<'_>>, active: usize, keeper: &LeaseKeeper) {
+        let loads: Vec<WeightLoad> = pending.iter().map(|item| item.load).collect();
+        let chosen = next_loads(&loads, active, self.settings.parallel_loads);
+        for (index, item) in pending.into_iter().enumerate() {
+            let Some(lease) = keeper.held().filter(|_| chosen.contains(&index)) else {
                 continue;
             };
-            match one.engine.give(&tenure, self.clock.now(), &one.action) {
-                Ok((Given::Waits, _)) => {}
-                Ok((given, _)) => {
-                    info!(self.logger, "order"; "host" => %one.host.id, "order" => %one.action, "result" => %given);
+            match item.engine.send(&lease, self.clock.now(), &item.action) {
+                Ok((OrderOutcome::Deferred, _)) => {}
+                Ok((outcome, _)) => {
+                    info!(
+                        self.logger, "order sent";
+                        "host" => %item.host.id, "order" => %item.action, "result" => %outcome
+                    );
                 }
-                Err(error) => warn!(self.logger, "order is not given"; "error" => %error),
+                Err(error) => warn!(self.logger, "order not sent"; "error" => %error),
             }
         }
     }
 
-    /// Gives the first thing that an engine lacks.
-    fn lacking(&self, host: &CloudHost, engine: &Engine<'_, Read>) -> Option<EngineAction> {
+    /// Returns the order for the first model or adapter that an engine lacks.
+    fn next_action(&self, host: &CloudHost, engine: &Engine<'_, StateKnown>) -> Option<EngineAction> {
         let model = ModelName::from(host.tag.as_str());
         let versions = &self.settings.versions;
         let version = versions.iter().find(|pair| pair.model == model);
         let load = EngineAction::LoadModel {
             model: model.clone(),
-            version: version.map_or_else(|| FIRST_VERSION.to_owned(), |pair| pair.name.clone()),
+            version: version.map_or_else(|| FIRST_VERSION.to_owned(), |pair| pair.value.clone()),
         };
         let adapters = self.settings.adapters.iter().filter(|pair| pair.model == model);
-        let warm = adapters.map(|pair| EngineAction::LoadAdapter {
-            adapter: ModelName::from(pair.name.as_str()),
+        let adapter_loads = adapters.map(|pair| EngineAction::LoadAdapter {
+            adapter: ModelName::from(pair.value.as_str()),
             version: FIRST_VERSION.to_owned(),
         });
         std::iter::once(load)
-            .chain(warm)
+            .chain(adapter_loads)
             .find(|action| !engine.state().satisfies(action))
     }
 
-    fn register(&self, host: &CloudHost, keeper: &Keeper, changes: &dyn Changes) {
+    /// Registers the engine on a host as an upstream.
+    fn register(&self, host: &CloudHost, keeper: &LeaseKeeper, store: &dyn ConfigStore) {
         let Some(address) = host.address else { return };
         let spec = UpstreamSpec {
             id: upstream_id(host),
             kind: UpstreamKind::Engine {
                 model: ModelName::from(host.tag.as_str()),
-                checks_fencing: self.settings.checks,
+                checks_fencing: self.settings.checks_fencing,
             },
             address,
             host: HostSpec {
                 id: host.id.clone(),
                 incarnation: host.incarnation,
                 zone: host.zone.clone(),
-                data_center: self.settings.place.clone(),
+                data_center: self.settings.data_center.clone(),
                 class: host.class,
                 price: host.price,
             },
             slots: self.settings.slots,
         };
-        if self.change("register", Change::PutUpstream(spec), keeper, changes) {
-            info!(self.logger, "host serves"; "host" => %host.id, "model" => &host.tag);
+        if self.propose_change("register", Change::PutUpstream(spec), keeper, store) {
+            info!(self.logger, "engine registered"; "host" => %host.id, "model" => &host.tag);
         }
     }
 }
 
-/// Gives the share of a model's hosts that don't serve yet.
-fn shortfall(config: &Config, cloud: &Cloud, host: &CloudHost) -> f64 {
-    let same = cloud.hosts.iter().filter(|one| one.tag == host.tag);
-    let (all, serving) = same.fold((0_u32, 0_u32), |(all, serving), one| {
-        let serves = config.upstreams.contains_key(&upstream_id(one)) && !cloud.leaves(one);
+/// Returns the share of a model's hosts that don't serve yet, from 0 to 1.
+fn shortfall(config: &Config, cloud: &CloudSnapshot, host: &CloudHost) -> f64 {
+    let same_model = cloud.hosts.iter().filter(|other| other.tag == host.tag);
+    let (all, serving) = same_model.fold((0_u32, 0_u32), |(all, serving), other| {
+        let serves = config.upstreams.contains_key(&upstream_id(other)) && !cloud.is_leaving(other);
         (all + 1, serving + u32::from(serves))
     });
     1.0 - f64::from(serving) / f64::from(all.max(1))
 }
 
-const fn load_of(action: &EngineAction, shortfall: f64) -> WeightLoad {
+const fn weight_load(action: &EngineAction, shortfall: f64) -> WeightLoad {
     let size = match action {
         EngineAction::LoadModel { .. } => MODEL_SIZE,
         _ => ADAPTER_SIZE,
--- a/crates/capacity/src/control/hosts.rs
+++ b/crates/capacity/src/control/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that are started, drained, stopped and forgotten.
+//! Starting hosts, stopping drained ones, and removing those that are gone from the configuration.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +10,23 @@
 use upstream::Fate;
 use upstream::cloud::{CloudHost, StartHost};
 
-use super::{Changes, Control, LIST_LAG};
-use crate::lease::Keeper;
-use crate::world::{Cloud, is_drained, is_ours, upstream_id};
+use super::{ConfigStore, Controller, LIST_LAG};
+use crate::inventory::{CloudSnapshot, is_drained, is_managed, upstream_id};
+use crate::lease::LeaseKeeper;
 
-/// Time without any request after which a drained host is stopped; entry hosts hear of a drain within two seconds.
-const IDLE: Duration = Duration::from_secs(4);
+/// Time without any request after which a drained host is stopped; entry hosts may go on sending it requests until they
+/// learn of the drain, which takes up to two seconds.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-impl Control {
-    /// Starts a host.
-    pub(super) fn start(&mut self, start: StartHost, keeper: &Keeper) {
+impl Controller {
+    /// Starts a host if the lease is held; a refused start closes its zone and class for a while.
+    pub(super) fn start(&mut self, start: StartHost, keeper: &LeaseKeeper) {
         if keeper.held().is_none() {
             return;
         }
         match self.cloud.start(&start) {
             Ok(host) => {
-                info!(self.logger, "host starts"; "host" => %host.id, "zone" => %host.zone, "for" => &host.tag);
+                info!(self.logger, "host started"; "host" => %host.id, "zone" => %host.zone, "for" => &host.tag);
                 self.backoff.started(&start.zone, start.class);
                 self.pending.push((host, self.clock.now()));
             }
@@ -33,79 +34,83 @@
                 counter!("gentian_starts_refused_total", "zone" => start.zone.to_string()).increment(1);
                 self.backoff.refused(&start.zone, start.class, self.clock.now());
             }
-            // It may have started: the same token asks for the same host again, so that none is started twice.
+            // The host may have been started. A repeated call with the same token returns that host and starts no
+            // second one.
             Err(error) => {
-                warn!(self.logger, "start is unanswered"; "error" => %error);
+                warn!(self.logger, "start not answered; repeating it with the same token"; "error" => %error);
                 self.unanswered.push(start);
             }
         }
     }
 
-    /// Asks again for the starts whose answer was lost.
-    pub(super) fn retry_starts(&mut self, keeper: &Keeper) {
+    /// Repeats the starts whose answer was lost.
+    pub(super) fn retry_starts(&mut self, keeper: &LeaseKeeper) {
         for start in std::mem::take(&mut self.unanswered) {
             self.start(start, keeper);
         }
     }
 
-    /// Stops drained hosts that are idle and takes hosts that are gone out of the configuration.
-    pub(super) fn clear(
+    /// Stops drained hosts that are idle, and removes hosts that are gone from the configuration.
+    pub(super) fn remove_hosts(
         &mut self,
         config: &Config,
-        cloud: &Cloud,
+        cloud: &CloudSnapshot,
         busy: &BTreeMap<HostId, f64>,
-        keeper: &Keeper,
-        changes: &dyn Changes,
+        keeper: &LeaseKeeper,
+        store: &dyn ConfigStore,
     ) {
         let now = self.clock.now();
         for host in cloud.hosts.iter().filter(|host| is_drained(config, host)) {
             let registered = config.upstreams.contains_key(&upstream_id(host));
-            // A registered engine that doesn't answer may be cut off from us alone and still serve callers; stopping its
-            // host would cut their answers short.
-            let idle = busy.get(&host.id).map_or(!registered, |busy| *busy <= 0.0);
+            // A registered engine that doesn't answer may be unreachable from this process only and still serve
+            // callers; stopping its host would break off their answers.
+            let idle = busy.get(&host.id).map_or(!registered, |requests| *requests <= 0.0);
             self.stop_idle(host, idle, now, keeper);
         }
         let listed = |id: &HostId, incarnation| {
-            let same = |host: &CloudHost| host.id == *id && host.incarnation == incarnation;
-            cloud.hosts.iter().any(same)
+            let is_same = |host: &CloudHost| host.id == *id && host.incarnation == incarnation;
+            cloud.hosts.iter().any(is_same)
         };
-        let specs = config.upstreams.values().filter(|spec| is_ours(spec));
+        let specs = config.upstreams.values().filter(|spec| is_managed(spec));
         for spec in specs.filter(|spec| !listed(&spec.host.id, spec.host.incarnation)) {
             if self.is_gone(&spec.host.id, now) {
-                self.change("forget", Change::DropUpstream(spec.id.clone()), keeper, changes);
+                self.propose_change("forget", Change::DropUpstream(spec.id.clone()), keeper, store);
             }
         }
         for (host, incarnation) in &config.drains {
-            let known = listed(host, *incarnation) || config.upstreams.values().any(|spec| spec.host.id == *host);
-            if !known && self.is_gone(host, now) {
-                self.change("forget", Change::ForgetDrain(host.clone()), keeper, changes);
+            let in_use = listed(host, *incarnation) || config.upstreams.values().any(|spec| spec.host.id == *host);
+            if !in_use && self.is_gone(host, now) {
+                self.propose_change("forget", Change::ForgetDrain(host.clone()), keeper, store);
             }
         }
-        self.missing
-            .retain(|host, _| !cloud.hosts.iter().any(|one| one.id == *host));
+        self.missing_since
+            .retain(|host, _| !cloud.hosts.iter().any(|listed| listed.id == *host));
     }
 
-    /// Tells whether a host was missing from the list for long enough; servers of the API may lag differently.
+    /// Returns whether a host has been missing from the cloud's list for long enough to count as gone.
+    ///
+    /// Servers of the cloud API lag by different times, so that one answer may omit a host that the last one listed.
     fn is_gone(&mut self, host: &HostId, now: Tick) -> bool {
-        let since = *self.missing.entry(host.clone()).or_insert(now);
+        let since = *self.missing_since.entry(host.clone()).or_insert(now);
         now.since(since) >= LIST_LAG
     }
 
-    fn stop_idle(&mut self, host: &CloudHost, idle: bool, now: Tick, keeper: &Keeper) {
+    /// Stops a drained host once it has been idle for long enough.
+    fn stop_idle(&mut self, host: &CloudHost, idle: bool, now: Tick, keeper: &LeaseKeeper) {
         if !idle {
-            self.idle.remove(&host.id);
+            self.idle_since.remove(&host.id);
             return;
         }
-        let since = *self.idle.entry(host.id.clone()).or_insert(now);
-        if now.since(since) < IDLE || keeper.held().is_none() {
+        let since = *self.idle_since.entry(host.id.clone()).or_insert(now);
+        if now.since(since) < IDLE_TIMEOUT || keeper.held().is_none() {
             return;
         }
         match self.cloud.stop(&host.id) {
             Ok(()) => {
-                info!(self.logger, "host is stopped"; "host" => %host.id, "upstream" => %upstream_id(host));
-                self.idle.remove(&host.id);
+                info!(self.logger, "host stopped"; "host" => %host.id, "upstream" => %upstream_id(host));
+                self.idle_since.remove(&host.id);
             }
-            Err(error) => warn!(self.logger, "host is not stopped"; "error" => %error),
+            Err(error) => warn!(self.logger, "cloud API did not stop the host"; "error" => %error),
         }
     }
 }
--- a/crates/capacity/src/lease.rs
+++ b/crates/capacity/src/lease.rs
@@ -1,8 +1,8 @@
-//! The lease under which one process acts.
+//! The lease of the state group that lets one process at a time change capacity.
 //!
-//! A lease that is believed to hold longer than it does lets two processes give orders at once: engines load and unload
-//! in turn, and hosts are started twice. So the holder counts from before it asked, on its own monotonic clock, and
-//! stops earlier than the group may give the lease to another.
+//! A process that believes in its lease for longer than the group does would act beside the next holder: engines would
+//! load and unload models in turn, and hosts would be started twice. The holder therefore measures the lease on its own
+//! monotonic clock, from before it sent the request, and stops before the group may grant the lease to another.
 
 use std::time::Duration;
 
@@ -13,99 +13,100 @@
 use telemetry::Clock;
 use wire::state::{Lease, Leased};
 
-/// Name of the lease.
-const NAME: &str = "capacity";
-/// How long the group holds it for a process that is silent.
-pub const TTL: Duration = Duration::from_secs(6);
-/// How far clocks may drift apart over a lease, and a margin for whatever is under way.
-pub const DRIFT: Duration = Duration::from_millis(800);
-/// Pause between two renewals.
-pub const RENEW: Duration = Duration::from_millis(1_500);
+/// Name of the lease in the state group.
+const LEASE_NAME: &str = "capacity";
+/// How long the group keeps the lease for a holder that doesn't renew it.
+pub const LEASE_TTL: Duration = Duration::from_secs(6);
+/// Part of the time to live in which the holder no longer acts: covers the drift between clocks over one lease, and
+/// calls that are still in flight.
+pub const DRIFT_MARGIN: Duration = Duration::from_millis(800);
+/// Pause between two renewals of the lease.
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// A lease as long as it's held.
+/// The lease while this process holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tenure {
-    /// Fencing token; it grows with every new holder.
+pub struct HeldLease {
+    /// Fencing token; grows with every new holder.
     pub token: u64,
-    /// When this process first held it under this token.
-    pub since: Tick,
-    /// When this process stops to act unless it renews before.
-    pub until: Tick,
+    /// When this process first received this token.
+    pub acquired: Tick,
+    /// When this process stops acting unless it has renewed the lease.
+    pub expires: Tick,
 }
 
-/// Who may hold leases; the state group, or a fake in tests.
-pub trait Grants {
-    /// Acquires, renews or releases; `None` when nobody can decide.
-    fn lease(&self, ask: &Lease) -> Option<Leased>;
+/// Grants leases: the state group, or a fake in tests.
+pub trait LeaseService {
+    /// Acquires, renews or releases a lease; `None` when no node answers.
+    fn lease(&self, request: &Lease) -> Option<Leased>;
 }
 
-impl Grants for wire::client::StateClient {
-    fn lease(&self, ask: &Lease) -> Option<Leased> {
-        Self::lease(self, Revision::default(), ask).ok()
+impl LeaseService for wire::client::StateClient {
+    fn lease(&self, request: &Lease) -> Option<Leased> {
+        Self::lease(self, Revision::default(), request).ok()
     }
 }
 
-/// The lease of this process.
+/// Acquires and renews the lease of this process.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct LeaseKeeper {
     clock: Clock,
     holder: NodeId,
-    tenure: Mutex<Option<Tenure>>,
+    lease: Mutex<Option<HeldLease>>,
 }
 
-impl Keeper {
-    /// Makes the keeper of a process; the holder's name must differ between two runs of it.
+impl LeaseKeeper {
+    /// Creates a keeper without a lease; `holder` must differ between two runs of a process.
     ///
-    /// A process that was restarted would otherwise renew the lease of the one before it, whose orders may still be on
-    /// the way under the same token.
+    /// Otherwise a restarted process would renew the lease of its previous run and share its token with orders of that
+    /// run that are still in flight.
     #[must_use]
     pub const fn new(clock: Clock, holder: NodeId) -> Self {
         Self {
             clock,
             holder,
-            tenure: Mutex::new(None),
+            lease: Mutex::new(None),
         }
     }
 
-    /// Gives the tenure if the lease is held now.
+    /// Returns the lease if this process holds it now.
     #[must_use]
-    pub fn held(&self) -> Option<Tenure> {
+    pub fn held(&self) -> Option<HeldLease> {
         let now = self.clock.now();
-        self.tenure.lock().filter(|tenure| now < tenure.until)
+        self.lease.lock().filter(|lease| now < lease.expires)
     }
 
-    /// Asks once to acquire or renew.
-    pub fn renew(&self, grants: &dyn Grants) {
-        let asked = self.clock.now();
-        let answer = grants.lease(&self.ask(TTL));
-        let mut tenure = self.tenure.lock();
+    /// Sends one request to acquire or renew the lease.
+    pub fn renew(&self, service: &dyn LeaseService) {
+        let requested = self.clock.now();
+        let answer = service.lease(&self.request(LEASE_TTL));
+        let mut lease = self.lease.lock();
         match answer {
             Some(Leased::Held { token }) => {
-                let same = tenure.filter(|before| before.token == token);
-                *tenure = Some(Tenure {
+                let renewed = lease.filter(|previous| previous.token == token);
+                *lease = Some(HeldLease {
                     token,
-                    since: same.map_or_else(|| self.clock.now(), |before| before.since),
-                    until: asked + TTL.saturating_sub(DRIFT),
+                    acquired: renewed.map_or_else(|| self.clock.now(), |previous| previous.acquired),
+                    expires: requested + LEASE_TTL.saturating_sub(DRIFT_MARGIN),
                 });
             }
-            Some(Leased::Taken { .. } | Leased::Released) => *tenure = None,
-            // Nobody decided; what was granted before holds until its own end.
+            Some(Leased::Taken { .. } | Leased::Released) => *lease = None,
+            // No decision: a lease that was granted before stays valid until it expires.
             Some(Leased::Unavailable(_)) | None => {}
         }
-        drop(tenure);
+        drop(lease);
         gauge!("gentian_capacity_is_active").set(f64::from(u8::from(self.held().is_some())));
     }
 
-    /// Gives the lease back, so that another process need not wait for its end.
-    pub fn release(&self, grants: &dyn Grants) {
-        if self.tenure.lock().take().is_some() {
-            grants.lease(&self.ask(Duration::ZERO));
+    /// Releases the lease, so that another process needn't wait until it expires.
+    pub fn release(&self, service: &dyn LeaseService) {
+        if self.lease.lock().take().is_some() {
+            service.lease(&self.request(Duration::ZERO));
         }
     }
 
-    fn ask(&self, ttl: Duration) -> Lease {
+    fn request(&self, ttl: Duration) -> Lease {
         Lease {
-            name: NAME.to_owned(),
+            name: LEASE_NAME.to_owned(),
             holder: self.holder.clone(),
             ttl_ms: ttl.as_millis() as u64,
         }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,14 +1,15 @@
-//! Capacity: watches the cloud API, tells entry hosts about hosts that leave, and keeps the hosts that contracts need.
+//! The capacity controller: watches the cloud API, notifies entry hosts of hosts that are being reclaimed, and keeps as
+//! many hosts running as contracts need.
 //!
-//! Any number of these processes may run. All of them tell entry hosts about notices; only the one that holds the lease
-//! starts and stops hosts and gives orders to engines.
+//! Any number of these processes may run. Every one notifies entry hosts of reclaims; only the holder of the lease
+//! starts and stops hosts and sends orders to engines.
 
 pub mod api;
 pub mod cli;
+pub mod config_watch;
 pub mod control;
-pub mod follow;
+pub mod inventory;
 pub mod lease;
 pub mod orders;
+pub mod reclaim_watch;
 pub mod settings;
-pub mod watch;
-pub mod world;
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! `gentian-capacity`: watches the cloud API and keeps capacity.
+//! `gentian-capacity`: the process of the capacity controller.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 use std::thread;
 use std::time::Duration;
 
-use capacity::api::{self, Shown};
+use capacity::api::{self, LatestReport};
 use capacity::cli::Options;
-use capacity::control::{self, Control};
-use capacity::follow::{self, Followed};
-use capacity::lease::{Keeper, RENEW};
+use capacity::config_watch::{self, LatestConfig};
+use capacity::control::{self, Controller};
+use capacity::lease::{LeaseKeeper, RENEW_INTERVAL};
+use capacity::reclaim_watch;
 use capacity::settings::Settings;
-use capacity::watch;
 use contract::NodeId;
 use contract::settings::{self, Sheet};
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -22,19 +22,20 @@
 use telemetry::{Clock, ended, log};
 use wire::client::{RpcRuntime, StateClient};
 
-/// Longest wait for an inner call.
-const TIMEOUT: Duration = Duration::from_secs(1);
-/// Threads that answer operators.
-const THREADS: usize = 2;
-const STEP: Duration = Duration::from_millis(50);
+/// Longest wait for an RPC to a state node or an entry host.
+const RPC_TIMEOUT: Duration = Duration::from_secs(1);
+/// Worker threads of the HTTP server for operators and health checks.
+const HTTP_THREADS: usize = 2;
+/// Longest time until a waiting thread notices that the process stops.
+const STOP_POLL: Duration = Duration::from_millis(50);
 
 fn main() -> ExitCode {
     ended("gentian-capacity", run(&argh::from_env()))
 }
 
 fn run(options: &Options) -> anyhow::Result<()> {
-    let read = |sheet: &mut Sheet| Settings::read(options, sheet);
-    let Some(settings) = settings::begin(options.print_settings, options.check_settings, read)? else {
+    let read_settings = |sheet: &mut Sheet| Settings::read(options, sheet);
+    let Some(settings) = settings::begin(options.print_settings, options.check_settings, read_settings)? else {
         return Ok(());
     };
     let logger = log::start(settings.log, "gentian-capacity", settings.node.as_str());
@@ -48,70 +49,76 @@
 }
 
 fn serve(settings: &Settings, logger: &Logger, stop: &AtomicBool) -> anyhow::Result<()> {
-    let calls = RpcRuntime::start(2, TIMEOUT)?;
-    let state = StateClient::new(&calls, &settings.node, &settings.state)?;
+    let rpc = RpcRuntime::start(2, RPC_TIMEOUT)?;
+    let state = StateClient::new(&rpc, &settings.node, &settings.state)?;
     let clock = Clock::start();
     let holder = NodeId::from(format!("{}/{}", settings.node, wall_ms()));
-    let keeper = Keeper::new(clock.clone(), holder);
-    let shown = Arc::new(Shown::default());
-    let followed = Followed::default();
-    let server = operators(settings, &shown)?;
+    let keeper = LeaseKeeper::new(clock.clone(), holder);
+    let report = Arc::new(LatestReport::default());
+    let latest = LatestConfig::default();
+    let server = start_http(settings, &report)?;
     info!(logger, "watching"; "cloud" => %settings.cloud, "ops" => %server.server_addr());
-    let control = Control::new(settings.clone(), clock, logger.clone());
+    let controller = Controller::new(settings.clone(), clock, logger.clone());
     thread::scope(|scope| {
-        scope.spawn(|| follow::run(&followed, &state, stop));
-        scope.spawn(|| keep(&keeper, &state, stop));
-        scope.spawn(|| steer(control, &keeper, &state, &followed, &shown, stop));
+        scope.spawn(|| config_watch::run(&latest, &state, stop));
+        scope.spawn(|| renew_lease(&keeper, &state, stop));
+        scope.spawn(|| run_controller(controller, &keeper, &state, &latest, &report, stop));
         scope.spawn(|| {
             while !stop.load(Ordering::Relaxed) {
-                server.poll_timeout(STEP);
+                server.poll_timeout(STOP_POLL);
             }
         });
-        watch::run(&settings.node, settings.cloud, &settings.entries, &calls, logger, stop)
+        reclaim_watch::run(&settings.node, settings.cloud, &settings.entries, &rpc, logger, stop)
     })?;
     keeper.release(&state);
     Ok(())
 }
 
-type Answer = Box<dyn Fn(&rouille::Request) -> rouille::Response + Send + Sync>;
+/// Handler of HTTP requests.
+type Handler = Box<dyn Fn(&rouille::Request) -> rouille::Response + Send + Sync>;
 
-fn operators(settings: &Settings, shown: &Arc<Shown>) -> anyhow::Result<rouille::Server<Answer>> {
+/// Starts the HTTP server for operators and health checks.
+fn start_http(settings: &Settings, report: &Arc<LatestReport>) -> anyhow::Result<rouille::Server<Handler>> {
     let scrape = MetricsExporter::install()?;
-    let (shown, key, listen) = (Arc::clone(shown), settings.key.clone(), settings.ops);
-    let answer: Answer = Box::new(move |request| api::answer(&shown, &scrape, key.as_ref(), request));
+    let (report, operator_key, listen) = (Arc::clone(report), settings.operator_key.clone(), settings.ops);
+    let handler: Handler = Box::new(move |request| api::respond(&report, &scrape, operator_key.as_ref(), request));
     let server =
-        rouille::Server::new(listen, answer).map_err(|error| anyhow::anyhow!("listen on {listen}: {error}"))?;
-    Ok(server.pool_size(THREADS))
+        rouille::Server::new(listen, handler).map_err(|error| anyhow::anyhow!("listen on {listen}: {error}"))?;
+    Ok(server.pool_size(HTTP_THREADS))
 }
 
-/// Renews the lease; a thread of its own, so that no slow cloud or engine lets it lapse.
-fn keep(keeper: &Keeper, state: &StateClient, stop: &AtomicBool) {
+/// Renews the lease until the process stops.
+///
+/// Runs on its own thread, so that a slow cloud API or engine can't make the lease expire.
+fn renew_lease(keeper: &LeaseKeeper, state: &StateClient, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
         keeper.renew(state);
-        pause(RENEW, stop);
+        pause(RENEW_INTERVAL, stop);
     }
 }
 
-fn steer(
-    mut control: Control,
-    keeper: &Keeper,
+/// Runs rounds of the controller until the process stops.
+fn run_controller(
+    mut controller: Controller,
+    keeper: &LeaseKeeper,
     state: &StateClient,
-    followed: &Followed,
-    shown: &Shown,
+    latest: &LatestConfig,
+    report: &LatestReport,
     stop: &AtomicBool,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        control.round(&followed.config(), keeper, state);
-        shown.set(control.report());
-        pause(control::STEP, stop);
+        controller.round(&latest.config(), keeper, state);
+        report.set(controller.report());
+        pause(control::ROUND_INTERVAL, stop);
     }
 }
 
-fn pause(time: Duration, stop: &AtomicBool) {
-    let mut left = time;
+/// Sleeps, but returns early when the process stops.
+fn pause(duration: Duration, stop: &AtomicBool) {
+    let mut left = duration;
     while !left.is_zero() && !stop.load(Ordering::Relaxed) {
-        let part = left.min(STEP);
-        thread::sleep(part);
-        left -= part;
+        let chunk = left.min(STOP_POLL);
+        thread::sleep(chunk);
+        left -= chunk;
     }
 }
--- a/crates/capacity/src/orders.rs
+++ b/crates/capacity/src/orders.rs
@@ -1,8 +1,8 @@
-//! Orders to one engine: its state is read before each, so that none is given on a guess.
+//! Orders to one engine; its state has to be read before each order.
 //!
-//! An order whose answer is lost may have been carried out, and may even arrive later. Giving it again on the strength of
-//! "no answer" would load weights twice; believing in it would register an engine that has nothing loaded. So an engine
-//! is known only by what it tells, and that knowledge is used up by the next order.
+//! An order whose answer is lost may have been executed, or may still arrive later. Repeating it blindly would load the
+//! weights twice; assuming that it was executed would register an engine that has nothing loaded. The types therefore
+//! allow an order only after the engine's state was read, and each order uses that state up.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,136 +14,137 @@
 use upstream::orders::{EngineAction, EngineOrder, EngineState};
 use upstream::{Fate, UpstreamError};
 
-use crate::lease::{DRIFT, Tenure};
+use crate::lease::{DRIFT_MARGIN, HeldLease};
 
-/// Longest time that an order may be on its way.
-pub const TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the beginning of a tenure in which orders of the holder before may still arrive.
-const LATE: Duration = TIMEOUT.saturating_add(DRIFT);
+/// Longest wait for an engine's answer, and so the longest time that an order is in flight.
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after the lease was acquired in which orders of the previous holder may still arrive.
+const STALE_WINDOW: Duration = ORDER_TIMEOUT.saturating_add(DRIFT_MARGIN);
 
-/// Nothing is known of the engine.
+/// The engine's state was not read, or an order was sent since.
 #[derive(Clone, Copy, Debug)]
-pub struct Unread;
+pub struct StateUnknown;
 
-/// The engine's state was read after the last order.
+/// The engine's state was read, and no order was sent since.
 #[derive(Clone, Debug)]
-pub struct Read {
+pub struct StateKnown {
     state: EngineState,
 }
 
-/// An engine that orders are given to.
+/// An engine that orders are sent to; `S` says whether its state is known.
 #[derive(Debug)]
 pub struct Engine<'a, S> {
     client: &'a EngineClient,
     peer: SocketAddr,
-    checks: bool,
-    stage: S,
+    checks_fencing: bool,
+    knowledge: S,
 }
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Given {
-    /// The engine took it.
+pub enum OrderOutcome {
+    /// The engine accepted the order.
     #[display("taken")]
-    Taken,
-    /// It must not be given yet.
+    Accepted,
+    /// The order was not sent, since orders of the previous lease holder may still arrive.
     #[display("waits until older orders can no longer arrive")]
-    Waits,
-    /// The engine refused it.
+    Deferred,
+    /// The engine refused the order and didn't execute it.
     #[display("refused")]
     Refused,
-    /// No answer came; only reading tells.
+    /// No answer came; only reading the state shows whether the order was executed.
     #[display("unanswered")]
     Unanswered,
 }
 
-/// The engine has taken orders of a newer holder, so this process is not the holder any more.
+/// The engine has accepted orders of a newer lease holder, so this process no longer holds the lease.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("engine at {peer} has seen token {seen}, newer than {own}")]
+#[display("engine at {peer} has seen fencing token {seen_token}, newer than {own_token}")]
 pub struct Superseded {
-    /// The engine.
+    /// Address of the engine.
     pub peer: SocketAddr,
-    /// The newest token that it has seen.
-    pub seen: u64,
-    /// The token of this process.
-    pub own: u64,
+    /// The newest fencing token that the engine has seen.
+    pub seen_token: u64,
+    /// The fencing token of this process.
+    pub own_token: u64,
 }
 
-impl<'a> Engine<'a, Unread> {
-    /// Names an engine of which nothing is known.
+impl<'a> Engine<'a, StateUnknown> {
+    /// Creates an engine whose state is not known yet; `checks_fencing` says whether it refuses old fencing tokens.
     #[must_use]
-    pub const fn new(client: &'a EngineClient, peer: SocketAddr, checks: bool) -> Self {
+    pub const fn new(client: &'a EngineClient, peer: SocketAddr, checks_fencing: bool) -> Self {
         Self {
             client,
             peer,
-            checks,
-            stage: Unread,
+            checks_fencing,
+            knowledge: StateUnknown,
         }
     }
 
-    /// Reads what the engine has.
+    /// Reads the engine's state.
     ///
     /// # Errors
     /// Fails when the engine doesn't answer.
-    pub fn read(self) -> Result<Engine<'a, Read>, UpstreamError> {
-        let state = self.client.state(self.peer, TIMEOUT)?;
+    pub fn read(self) -> Result<Engine<'a, StateKnown>, UpstreamError> {
+        let state = self.client.state(self.peer, ORDER_TIMEOUT)?;
         Ok(Engine {
             client: self.client,
             peer: self.peer,
-            checks: self.checks,
-            stage: Read { state },
+            checks_fencing: self.checks_fencing,
+            knowledge: StateKnown { state },
         })
     }
 }
 
-impl<'a> Engine<'a, Read> {
-    /// Gives what the engine has.
+impl<'a> Engine<'a, StateKnown> {
+    /// Returns the state that was read.
     #[must_use]
     pub const fn state(&self) -> &EngineState {
-        &self.stage.state
+        &self.knowledge.state
     }
 
-    /// Gives an order under a tenure; what was read is used up by it.
+    /// Sends an order under a lease, after which the engine's state is no longer known.
     ///
-    /// An engine that doesn't check tokens would carry out an order that the holder before had sent at its last moment,
-    /// after ours, and keep the wrong model. For such engines we wait until nothing of his can arrive any more.
+    /// An engine that doesn't check fencing tokens might execute a delayed order of the previous lease holder after
+    /// this one, and keep the wrong model. Orders to such engines are deferred until none of the previous holder can
+    /// arrive.
     ///
     /// # Errors
-    /// Fails when the engine knows of a newer holder.
-    pub fn give(
+    /// Fails when the engine has seen the token of a newer lease holder.
+    pub fn send(
         self,
-        tenure: &Tenure,
+        lease: &HeldLease,
         now: Tick,
         action: &EngineAction,
-    ) -> Result<(Given, Engine<'a, Unread>), Superseded> {
-        let seen = self.stage.state.token;
-        if seen > tenure.token {
+    ) -> Result<(OrderOutcome, Engine<'a, StateUnknown>), Superseded> {
+        let seen_token = self.knowledge.state.token;
+        if seen_token > lease.token {
             return Err(Superseded {
                 peer: self.peer,
-                seen,
-                own: tenure.token,
+                seen_token,
+                own_token: lease.token,
             });
         }
-        let given = if !self.checks && now < tenure.since + LATE {
-            Given::Waits
+        let outcome = if !self.checks_fencing && now < lease.acquired + STALE_WINDOW {
+            OrderOutcome::Deferred
         } else {
-            self.send(tenure, action)
+            self.post(lease, action)
         };
-        counter!("gentian_orders_total", "result" => given.to_string()).increment(1);
-        let unread = Engine::new(self.client, self.peer, self.checks);
-        Ok((given, unread))
+        counter!("gentian_orders_total", "result" => outcome.to_string()).increment(1);
+        let engine = Engine::new(self.client, self.peer, self.checks_fencing);
+        Ok((outcome, engine))
     }
 
-    fn send(&self, tenure: &Tenure, action: &EngineAction) -> Given {
+    fn post(&self, lease: &HeldLease, action: &EngineAction) -> OrderOutcome {
         let order = EngineOrder {
-            id: format!("{}/{action}", tenure.token).replace(' ', "-"),
-            token: tenure.token,
+            id: format!("{}/{action}", lease.token).replace(' ', "-"),
+            token: lease.token,
             action: action.clone(),
         };
-        match self.client.order(self.peer, &order, TIMEOUT) {
-            Ok(_) => Given::Taken,
-            Err(error) if error.fate == Fate::NotRun => Given::Refused,
-            Err(_) => Given::Unanswered,
+        match self.client.order(self.peer, &order, ORDER_TIMEOUT) {
+            Ok(_) => OrderOutcome::Accepted,
+            Err(error) if error.fate == Fate::NotRun => OrderOutcome::Refused,
+            Err(_) => OrderOutcome::Unanswered,
         }
     }
 }
--- a/crates/capacity/src/settings.rs
+++ b/crates/capacity/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the program.
+//! Settings of `gentian-capacity`.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -75,7 +75,7 @@
     "Requests that one host runs at once within its targets."
 );
 setting!(
-    CHECKS,
+    CHECKS_FENCING,
     "checks-fencing",
     "GENTIAN_CHECKS_FENCING",
     Some("off"),
@@ -122,7 +122,7 @@
     "json or terminal",
     "How log lines are written."
 );
-const KEY: Setting = Setting {
+const OPERATOR_KEY: Setting = Setting {
     flag: "operator-key",
     env: "GENTIAN_OPERATOR_KEY",
     default: Some(""),
@@ -131,7 +131,7 @@
     secret: true,
 };
 
-/// Every setting of the program, in the order of the reference page.
+/// Every setting of `gentian-capacity`, in the order of the reference page.
 pub static ALL: [&Setting; 15] = [
     &NODE,
     &CLOUD,
@@ -141,80 +141,80 @@
     &PLAN,
     &DATA_CENTER,
     &SLOTS,
-    &CHECKS,
+    &CHECKS_FENCING,
     &FLOOR,
     &LOADS,
     &VERSIONS,
     &ADAPTERS,
     &LOG,
-    &KEY,
+    &OPERATOR_KEY,
 ];
 
-/// Two names that belong together, written as `MODEL=NAME`.
+/// A version or an adapter of a model, written as `MODEL=NAME`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pair {
-    /// The model.
+pub struct ModelPair {
+    /// Name of the model; valid.
     pub model: ModelName,
-    /// A version or an adapter.
-    pub name: String,
+    /// Name of the version or of the adapter; not empty.
+    pub value: String,
 }
 
-/// Checked settings.
+/// The settings after validation.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this node.
     pub node: NodeId,
     /// Address of the cloud API.
     pub cloud: SocketAddr,
-    /// Inner addresses of the state group.
+    /// Addresses of the RPC servers of the state nodes.
     pub state: Vec<SocketAddr>,
-    /// Inner addresses of the entry hosts.
+    /// Addresses of the RPC servers of the entry hosts.
     pub entries: Vec<SocketAddr>,
-    /// Address for operators and health checks.
+    /// Address of the HTTP server for operators and health checks.
     pub ops: SocketAddr,
-    /// Whether the plan is carried out.
-    pub plan: bool,
-    /// Data centre that started hosts stand in.
-    pub place: DataCenter,
-    /// Requests that one host runs at once.
+    /// Whether the plan is executed; otherwise it is only in the report.
+    pub plan_enabled: bool,
+    /// Data centre that started hosts are registered in.
+    pub data_center: DataCenter,
+    /// Requests that one host runs at once within its targets, 1 to 100,000.
     pub slots: u32,
-    /// Whether engines on started hosts check fencing tokens.
-    pub checks: bool,
-    /// Percent of the contracts' concurrency that on-demand hosts carry.
-    pub floor: u32,
-    /// Loads from the weight store at once.
-    pub loads: usize,
-    /// Versions of models.
-    pub versions: Vec<Pair>,
-    /// Adapters that are kept warm.
-    pub adapters: Vec<Pair>,
-    /// Hash of the key that operators show; `None` lets nobody look.
-    pub key: Option<KeyHash>,
+    /// Whether engines on started hosts refuse orders with an old fencing token.
+    pub checks_fencing: bool,
+    /// Percent of the contracts' concurrency that on-demand hosts carry at any time, 0 to 100.
+    pub floor_percent: u32,
+    /// Loads from the weight store that run at once, 1 to 1,000.
+    pub parallel_loads: usize,
+    /// Versions of models; a model that isn't listed is loaded in version 1.
+    pub versions: Vec<ModelPair>,
+    /// Adapters that every host of a model loads before it serves.
+    pub adapters: Vec<ModelPair>,
+    /// Hash of the key that operators authenticate with; without one, the report is refused to everybody.
+    pub operator_key: Option<KeyHash>,
     /// How log lines are written.
     pub log: Format,
 }
 
-impl FromStr for Pair {
+impl FromStr for ModelPair {
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (model, name) = text.split_once('=').ok_or("expected MODEL=NAME")?;
+        let (model, value) = text.split_once('=').ok_or("expected MODEL=NAME")?;
         let model = ModelName::from(model);
-        if !model.is_valid() || name.is_empty() {
+        if !model.is_valid() || value.is_empty() {
             return Err("expected MODEL=NAME");
         }
         Ok(Self {
             model,
-            name: name.to_owned(),
+            value: value.to_owned(),
         })
     }
 }
 
 impl Settings {
-    /// Reads and checks every setting; the sheet also renders them.
+    /// Reads and validates every setting, and records each in the sheet, which renders them.
     ///
     /// # Errors
-    /// Returns every setting that is missing or not allowed.
+    /// Fails with all settings that are missing or not allowed.
     pub fn read(options: &Options, sheet: &mut Sheet) -> Result<Self, Problems> {
         let node = sheet.read::<String>(&NODE, options.node.as_deref()).map(NodeId::from);
         let node = sheet.check(&NODE, node, NodeId::is_valid);
@@ -222,20 +222,20 @@
         let state = sheet.read::<List<SocketAddr>>(&STATE, options.state.as_deref());
         let entries = sheet.read::<List<SocketAddr>>(&ENTRIES, options.entries.as_deref());
         let ops = sheet.read(&OPS, options.ops.as_deref());
-        let plan = switch(sheet, &PLAN, options.plan.as_deref());
-        let place = sheet.read::<String>(&DATA_CENTER, options.data_center.as_deref());
-        let place = sheet.check(&DATA_CENTER, place.map(DataCenter::from), DataCenter::is_valid);
+        let plan_enabled = read_switch(sheet, &PLAN, options.plan.as_deref());
+        let data_center = sheet.read::<String>(&DATA_CENTER, options.data_center.as_deref());
+        let data_center = sheet.check(&DATA_CENTER, data_center.map(DataCenter::from), DataCenter::is_valid);
         let slots = sheet.read(&SLOTS, options.slots.as_deref());
         let slots = sheet.check(&SLOTS, slots, |slots| (1..=100_000).contains(slots));
-        let checks = switch(sheet, &CHECKS, options.checks_fencing.as_deref());
-        let floor = sheet.read(&FLOOR, options.floor.as_deref());
-        let floor = sheet.check(&FLOOR, floor, |floor| *floor <= 100);
-        let loads = sheet.read(&LOADS, options.loads.as_deref());
-        let loads = sheet.check(&LOADS, loads, |loads| (1..=1_000).contains(loads));
-        let versions = sheet.read::<List<Pair>>(&VERSIONS, options.versions.as_deref());
-        let adapters = sheet.read::<List<Pair>>(&ADAPTERS, options.adapters.as_deref());
+        let checks_fencing = read_switch(sheet, &CHECKS_FENCING, options.checks_fencing.as_deref());
+        let floor_percent = sheet.read(&FLOOR, options.floor.as_deref());
+        let floor_percent = sheet.check(&FLOOR, floor_percent, |percent| *percent <= 100);
+        let parallel_loads = sheet.read(&LOADS, options.loads.as_deref());
+        let parallel_loads = sheet.check(&LOADS, parallel_loads, |loads| (1..=1_000).contains(loads));
+        let versions = sheet.read::<List<ModelPair>>(&VERSIONS, options.versions.as_deref());
+        let adapters = sheet.read::<List<ModelPair>>(&ADAPTERS, options.adapters.as_deref());
         let log = sheet.read(&LOG, options.log.as_deref());
-        let key = sheet.read::<String>(&KEY, None);
+        let key = sheet.read::<String>(&OPERATOR_KEY, None);
         sheet.finish()?;
         let settings = || {
             Some(Self {
@@ -244,15 +244,15 @@
                 state: state?.0,
                 entries: entries?.0,
                 ops: ops?,
-                plan: plan?,
-                place: place?,
+                plan_enabled: plan_enabled?,
+                data_center: data_center?,
                 slots: slots?,
-                checks: checks?,
-                floor: floor?,
-                loads: loads?,
+                checks_fencing: checks_fencing?,
+                floor_percent: floor_percent?,
+                parallel_loads: parallel_loads?,
                 versions: versions?.0,
                 adapters: adapters?.0,
-                key: key.filter(|key| !key.is_empty()).map(|key| KeyHash::of(&key)),
+                operator_key: key.filter(|key| !key.is_empty()).map(|key| KeyHash::of(&key)),
                 log: log?,
             })
         };
@@ -260,8 +260,8 @@
     }
 }
 
-/// Reads a setting that is on or off.
-fn switch(sheet: &mut Sheet, setting: &'static Setting, flag: Option<&str>) -> Option<bool> {
+/// Reads a setting that is `on` or `off`.
+fn read_switch(sheet: &mut Sheet, setting: &'static Setting, flag: Option<&str>) -> Option<bool> {
     let text = sheet.read::<String>(setting, flag);
     let text = sheet.check(setting, text, |text| text == "on" || text == "off");
     text.map(|text| text == "on")
--- a/crates/capacity/tests/common/mod.rs
+++ b/crates/capacity/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of capacity share: a cloud in this process, a configuration and a lease that the test holds.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Test helpers: a cloud stand-in within the test process, a fake state group, and a capacity process on a mock clock.
+#![allow(dead_code, reason = "each test file uses other helpers")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,8 +7,8 @@
 
 use argh::FromArgs;
 use capacity::cli::Options;
-use capacity::control::{Changes, Control};
-use capacity::lease::{Grants, Keeper};
+use capacity::control::{ConfigStore, Controller};
+use capacity::lease::{LeaseKeeper, LeaseService};
 use capacity::settings::Settings;
 use contract::settings::Sheet;
 use contract::{
@@ -22,124 +22,129 @@
 use telemetry::Clock;
 use wire::state::{Lease, Leased, Propose, Proposed};
 
-/// Most rounds until anything must have happened; only there so that a test can't hang.
-const PATIENCE: usize = 2_000;
+/// Limit on the rounds that a test waits for a condition, so that it fails instead of hanging.
+const MAX_ROUNDS: usize = 2_000;
 
-/// The replicated state, reduced to what capacity needs of it.
+/// A fake state group: one configuration and one lease, which expires only when the test says so.
 #[derive(Debug, Default)]
-pub struct State {
+pub struct FakeGroup {
     pub config: Mutex<Config>,
     lease: Mutex<(Option<NodeId>, u64)>,
 }
 
-impl Changes for State {
-    fn propose(&self, ask: &Propose) -> Option<Proposed> {
+impl ConfigStore for FakeGroup {
+    fn propose(&self, proposal: &Propose) -> Option<Proposed> {
         let mut config = self.config.lock();
-        if let Err(problems) = ask.change.validate() {
+        if let Err(problems) = proposal.change.validate() {
             return Some(Proposed::Invalid(problems.to_string()));
         }
         let revision = config.revision.next();
         config.apply(&ChangeRecord {
             revision,
-            id: ask.id.clone(),
-            operator: ask.operator.clone(),
-            change: ask.change.clone(),
+            id: proposal.id.clone(),
+            operator: proposal.operator.clone(),
+            change: proposal.change.clone(),
         });
         Some(Proposed::Accepted(revision))
     }
 }
 
-impl Grants for State {
-    fn lease(&self, ask: &Lease) -> Option<Leased> {
+impl LeaseService for FakeGroup {
+    fn lease(&self, request: &Lease) -> Option<Leased> {
         let mut lease = self.lease.lock();
         let (holder, token) = &mut *lease;
-        if let Some(by) = holder.clone().filter(|by| *by != ask.holder) {
+        if let Some(by) = holder.clone().filter(|by| *by != request.holder) {
             return Some(Leased::Taken { by });
         }
-        if ask.ttl_ms == 0 {
+        if request.ttl_ms == 0 {
             *holder = None;
             return Some(Leased::Released);
         }
         if holder.is_none() {
             *token += 1;
-            *holder = Some(ask.holder.clone());
+            *holder = Some(request.holder.clone());
         }
         Some(Leased::Held { token: *token })
     }
 }
 
-impl State {
-    pub fn with(config: Config) -> Self {
+impl FakeGroup {
+    pub fn with_config(config: Config) -> Self {
         Self {
             config: Mutex::new(config),
             ..Self::default()
         }
     }
 
-    /// Lets the lease of a process that is gone run out.
-    pub fn expire(&self) {
+    /// Expires the lease, as when its holder has stopped.
+    pub fn expire_lease(&self) {
         self.lease.lock().0 = None;
     }
 
-    pub fn change(&self, change: Change) {
-        let ask = Propose {
+    /// Applies a change as an operator.
+    pub fn apply_change(&self, change: Change) {
+        let proposal = Propose {
             id: "operator-1".into(),
             base: None,
             operator: "operator".to_owned(),
             change,
         };
-        self.propose(&ask);
+        self.propose(&proposal);
     }
 }
 
-/// One capacity process.
+/// One capacity process on a clock of its own.
 pub struct Process {
-    pub control: Control,
-    pub keeper: Keeper,
+    pub controller: Controller,
+    pub keeper: LeaseKeeper,
     clock: Arc<Mock>,
 }
 
 impl Process {
     pub fn start(name: &str, cloud: SocketAddr, options: Options) -> Self {
-        let text = || Some("127.0.0.1:1".to_owned());
+        let unused_address = || Some("127.0.0.1:1".to_owned());
         let options = Options {
             node: Some(name.to_owned()),
             cloud: Some(cloud.to_string()),
-            state: text(),
-            entries: text(),
+            state: unused_address(),
+            entries: unused_address(),
             slots: Some("10".to_owned()),
             ..options
         };
         let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
         let (clock, mock) = Clock::mock();
         Self {
-            control: Control::new(settings, clock.clone(), Logger::root(Discard, o!())),
-            keeper: Keeper::new(clock, NodeId::from(name)),
+            controller: Controller::new(settings, clock.clone(), Logger::root(Discard, o!())),
+            keeper: LeaseKeeper::new(clock, NodeId::from(name)),
             clock: mock,
         }
     }
 
-    /// Lets half a second pass for this process and makes a round.
-    pub fn round(&mut self, state: &State) {
+    /// Advances the process's clock by half a second, renews the lease and runs one round.
+    pub fn round(&mut self, state: &FakeGroup) {
         self.clock.increment(Duration::from_millis(500));
         self.keeper.renew(state);
         let config = state.config.lock().clone();
-        self.control.round(&config, &self.keeper, state);
+        self.controller.round(&config, &self.keeper, state);
         std::thread::sleep(Duration::from_millis(5));
     }
 
-    /// Makes rounds until something holds.
-    pub fn until(&mut self, state: &State, holds: impl Fn(&Config) -> bool) {
-        for _ in 0..PATIENCE {
+    /// Runs rounds until a condition on the configuration holds.
+    pub fn run_until(&mut self, state: &FakeGroup, holds: impl Fn(&Config) -> bool) {
+        for _ in 0..MAX_ROUNDS {
             if holds(&state.config.lock()) {
                 return;
             }
             self.round(state);
         }
-        panic!("never came: {:?}", self.control.report());
+        panic!(
+            "condition not met after {MAX_ROUNDS} rounds: {:?}",
+            self.controller.report()
+        );
     }
 }
 
+/// Starts a cloud stand-in without list lag, whose hosts start in 10 ms.
 pub fn start_cloud(flags: &[&str]) -> standin::Running {
     let engine = "--model none --lag-ms 0 --decode-us 20000";
     let base = ["--lag-ms", "0", "--start-ms", "10", "--engine", engine];
@@ -147,7 +152,8 @@
     cloud::start(&CloudOptions::from_args(&["cloud"], &flags).unwrap()).unwrap()
 }
 
-pub const POOLS: [&str; 12] = [
+/// Flags for three zones with 20 hosts of each class, reclaimable ones being cheaper.
+pub const POOL_FLAGS: [&str; 12] = [
     "--pool",
     "zone-a:reclaimable:100:20",
     "--pool",
@@ -162,8 +168,8 @@
     "zone-c:on_demand:302:20",
 ];
 
-/// Makes a configuration with one contract for a model.
-pub fn config(concurrency: u32) -> Config {
+/// Creates a configuration with one contract, which is for model `m`.
+pub fn contract_config(concurrency: u32) -> Config {
     let contract = Contract {
         customer: "mwangaza".into(),
         accounts: vec![Account {
@@ -203,8 +209,8 @@
     answer.body_mut().read_to_string().unwrap()
 }
 
-/// Reads what a stand-in did.
-pub fn seen(address: SocketAddr) -> serde_json::Value {
+/// Reads a stand-in's record of the calls that it received.
+pub fn standin_report(address: SocketAddr) -> serde_json::Value {
     let mut answer = ureq::get(format!("http://{address}/_standin/seen")).call().unwrap();
     serde_json::from_str(&answer.body_mut().read_to_string().unwrap()).unwrap()
 }
--- a/crates/capacity/tests/lease_clock.rs
+++ b/crates/capacity/tests/lease_clock.rs
@@ -1,33 +1,33 @@
-//! Two processes never act at the same time, however slow the answers and however far their clocks drift.
+//! Two processes never hold the lease at the same time, whatever the delay of answers and the drift of their clocks.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-use capacity::lease::{Grants, Keeper, TTL};
+use capacity::lease::{LEASE_TTL, LeaseKeeper, LeaseService};
 use contract::NodeId;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use telemetry::Clock;
 use wire::state::{Lease, Leased};
 
-/// The group: grants by its own clock.
+/// A fake state group, which grants the lease by its own clock.
 struct Group {
     now: Cell<Duration>,
     holder: Cell<Option<(u8, Duration)>>,
     token: Cell<u64>,
     reachable: Cell<bool>,
-    /// Time that passes between the grant and its answer.
+    /// Time between the grant and the arrival of its answer.
     delay: Cell<Duration>,
 }
 
-/// One process as the group sees it; its clock runs a little slower than the group's.
-struct Seen<'a> {
+/// The group's lease service as one process reaches it.
+struct GroupLink<'a> {
     group: &'a Group,
-    who: u8,
+    process: u8,
     advance: &'a dyn Fn(Duration),
 }
 
-impl Grants for Seen<'_> {
-    fn lease(&self, ask: &Lease) -> Option<Leased> {
+impl LeaseService for GroupLink<'_> {
+    fn lease(&self, request: &Lease) -> Option<Leased> {
         let group = self.group;
         if !group.reachable.get() {
             return None;
@@ -35,14 +35,14 @@
         let now = group.now.get();
         let current = group.holder.get().filter(|(_, until)| now < *until);
         let answer = match current {
-            Some((other, _)) if other != self.who => Leased::Taken { by: "other".into() },
+            Some((other, _)) if other != self.process => Leased::Taken { by: "other".into() },
             Some(_) | None => {
                 if current.is_none() {
                     group.token.set(group.token.get() + 1);
                 }
                 group
                     .holder
-                    .set(Some((self.who, now + Duration::from_millis(ask.ttl_ms))));
+                    .set(Some((self.process, now + Duration::from_millis(request.ttl_ms))));
                 Leased::Held {
                     token: group.token.get(),
                 }
@@ -55,28 +55,29 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Pass(u64),
+    Elapse(u64),
     Renew(u8, u64),
-    Cut(bool),
+    SetCut(bool),
 }
 
 impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 8 {
-            0..=2 => Self::Pass(u64::arbitrary(g) % 3_000),
+            0..=2 => Self::Elapse(u64::arbitrary(g) % 3_000),
             3..=6 => Self::Renew(u8::arbitrary(g) % 2, u64::arbitrary(g) % 4_000),
-            _ => Self::Cut(bool::arbitrary(g)),
+            _ => Self::SetCut(bool::arbitrary(g)),
         }
     }
 }
 
-/// A process is cut off silently or gets its answers late, and goes on to believe in its lease while the group gives it
-/// to another. Both would start hosts and give orders.
+/// A process loses its connection or gets late answers, and still believes in its lease when the group grants it to
+/// another. Both would then start hosts and send orders.
 #[test]
 fn one_holder() {
-    fn alone(events: Vec<Event>) -> bool {
+    fn at_most_one(events: Vec<Event>) -> bool {
         let clocks = [Clock::mock(), Clock::mock()];
-        let keepers = [0, 1].map(|who: usize| Keeper::new(clocks[who].0.clone(), NodeId::from(format!("n{who}"))));
+        let keepers = [0, 1]
+            .map(|process: usize| LeaseKeeper::new(clocks[process].0.clone(), NodeId::from(format!("n{process}"))));
         let group = Group {
             now: Cell::default(),
             holder: Cell::default(),
@@ -84,7 +85,7 @@
             reachable: Cell::new(true),
             delay: Cell::default(),
         };
-        // The first clock loses a tenth of a second on each second's lease, well within the stated drift.
+        // The first clock runs a tenth slower than the group's, well within `DRIFT_MARGIN` over one lease.
         let advance = |time: Duration| {
             group.now.set(group.now.get() + time);
             clocks[0].1.increment(time.mul_f64(0.9));
@@ -92,16 +93,16 @@
         };
         events.into_iter().all(|event| {
             match event {
-                Event::Pass(ms) => advance(Duration::from_millis(ms)),
-                Event::Cut(cut) => group.reachable.set(!cut),
-                Event::Renew(who, delay) => {
+                Event::Elapse(ms) => advance(Duration::from_millis(ms)),
+                Event::SetCut(is_cut) => group.reachable.set(!is_cut),
+                Event::Renew(process, delay) => {
                     group.delay.set(Duration::from_millis(delay));
-                    let seen = Seen {
+                    let link = GroupLink {
                         group: &group,
-                        who,
+                        process,
                         advance: &advance,
                     };
-                    keepers[usize::from(who)].renew(&seen);
+                    keepers[usize::from(process)].renew(&link);
                 }
             }
             keepers.iter().filter(|keeper| keeper.held().is_some()).count() <= 1
@@ -110,24 +111,24 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 47))
         .tests(5_000)
-        .quickcheck(alone as fn(Vec<Event>) -> bool);
+        .quickcheck(at_most_one as fn(Vec<Event>) -> bool);
 }
 
-/// The group falls silent. The holder stops to act before its lease ends there.
+/// The group stops answering. The holder must stop acting before the group lets the lease expire.
 #[test]
 fn stops_early() {
-    struct Once(Cell<bool>);
-    impl Grants for Once {
-        fn lease(&self, _ask: &Lease) -> Option<Leased> {
+    struct GrantOnce(Cell<bool>);
+    impl LeaseService for GrantOnce {
+        fn lease(&self, _request: &Lease) -> Option<Leased> {
             (!self.0.replace(true)).then_some(Leased::Held { token: 1 })
         }
     }
     let (clock, mock) = Clock::mock();
-    let keeper = Keeper::new(clock, "n".into());
-    let group = Once(Cell::new(false));
+    let keeper = LeaseKeeper::new(clock, "n".into());
+    let group = GrantOnce(Cell::new(false));
     keeper.renew(&group);
     assert!(keeper.held().is_some());
-    mock.increment(TTL.mul_f64(0.9));
+    mock.increment(LEASE_TTL.mul_f64(0.9));
     keeper.renew(&group);
     assert!(keeper.held().is_none());
 }
