--- a/crates/ctl/src/admin.rs
+++ b/crates/ctl/src/admin.rs
@@ -1,4 +1,4 @@
-//! The client of the administration API.
+//! Client of the administration API of the state group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,77 +7,81 @@
 use serde_json::Value;
 use ureq::Agent;
 
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// Rounds over all addresses before giving up; with the pauses longer than an election takes.
-const ROUNDS: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(200);
-const UNAVAILABLE: u16 = 503;
-const CONFLICT: u16 = 409;
+/// Longest wait for the answer of one node.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Rounds over all nodes before giving up; with the pauses between them, they take longer than an election.
+const MAX_ROUNDS: u32 = 20;
+/// Pause between two rounds.
+const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// HTTP status of a node that can't decide at the moment.
+const STATUS_UNAVAILABLE: u16 = 503;
+/// HTTP status for a change whose base revision is outdated.
+const STATUS_CONFLICT: u16 = 409;
 
-/// A call to the administration API that failed.
+/// A failed call to the administration API.
 #[derive(Debug, Display, Error)]
 pub enum AdminError {
-    /// No node could decide it.
-    #[display("{step}: no node of {peers} could decide it: {reason}; try again, changes with the same --change-id")]
+    /// No node could decide on the call.
+    #[display("{call}: no node of {peers} could decide it: {reason}; try again, changes with the same --change-id")]
     Undecided {
-        /// The step.
-        step: String,
-        /// The nodes that were asked.
+        /// Method and path of the call.
+        call: String,
+        /// Addresses of the nodes that were called, separated by commas.
         peers: String,
-        /// What the last one said.
+        /// Answer or error of the node that was called last.
         reason: String,
     },
-    /// Another change came first.
-    #[display("{step} at {peer}: {detail}; read the item again and repeat")]
+    /// Another change was accepted before this one.
+    #[display("{call} at {peer}: {detail}; read the item again and repeat")]
     Conflict {
-        /// The step.
-        step: String,
-        /// The node.
+        /// Method and path of the call.
+        call: String,
+        /// Address of the node that answered.
         peer: SocketAddr,
-        /// What it said.
+        /// The `detail` of its answer.
         detail: String,
     },
-    /// A node refused.
-    #[display("{step} at {peer}: status {status}: {detail}")]
+    /// A node refused the call.
+    #[display("{call} at {peer}: status {status}: {detail}")]
     Refused {
-        /// The step.
-        step: String,
-        /// The node.
+        /// Method and path of the call.
+        call: String,
+        /// Address of the node that answered.
         peer: SocketAddr,
-        /// HTTP status.
+        /// HTTP status of its answer.
         status: u16,
-        /// What it said.
+        /// The `detail` of its answer.
         detail: String,
     },
 }
 
-/// A client that finds a node able to answer.
+/// A client that tries nodes until one can answer.
 #[derive(Debug)]
-pub struct Admin {
+pub struct AdminClient {
     agent: Agent,
     peers: Vec<SocketAddr>,
     key: String,
 }
 
-/// A call to the API.
+/// One call to the administration API.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AdminRequest<'a> {
     /// HTTP method.
     pub method: &'a str,
-    /// Path with query.
+    /// Path, with the query if there is one.
     pub path: &'a str,
-    /// Id of the change, for changes.
-    pub change: Option<&'a str>,
-    /// Body.
+    /// Id of the change; absent for calls that change nothing.
+    pub change_id: Option<&'a str>,
+    /// JSON body; empty for calls without one.
     pub body: &'a str,
 }
 
-impl Admin {
-    /// Makes a client.
+impl AdminClient {
+    /// Creates a client for the given nodes, which authenticates with the operator's key.
     #[must_use]
     pub fn new(peers: Vec<SocketAddr>, key: String) -> Self {
         let config = Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .http_status_as_error(false)
             .allow_non_standard_methods(false)
             .proxy(None)
@@ -89,49 +93,49 @@
         }
     }
 
-    /// Asks one node after the other until one decides.
+    /// Calls one node after the other until one decides.
     ///
-    /// A change carries its id, so that asking another node after a lost answer can't apply it twice.
+    /// A change carries its id, so that repeating it at another node after a lost answer can't apply it twice.
     ///
     /// # Errors
     /// Fails when a node refuses or none can decide.
-    pub fn call(&self, ask: &Ask<'_>) -> Result<Value, AdminError> {
-        let step = format!("{} {}", ask.method, ask.path);
+    pub fn call(&self, request: &AdminRequest<'_>) -> Result<Value, AdminError> {
+        let call = format!("{} {}", request.method, request.path);
         let mut reason = String::new();
-        let mut silent: Vec<SocketAddr> = Vec::new();
-        for round in 0..ROUNDS {
+        let mut timed_out: Vec<SocketAddr> = Vec::new();
+        for round in 0..MAX_ROUNDS {
             if round > 0 {
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(ROUND_PAUSE);
             }
             for peer in self
                 .peers
                 .iter()
-                .filter(|peer| !silent.contains(peer))
+                .filter(|peer| !timed_out.contains(peer))
                 .collect::<Vec<_>>()
             {
-                match self.one(*peer, ask) {
+                match self.call_node(*peer, request) {
                     Ok((status, value)) if status < 300 => return Ok(value),
-                    Ok((UNAVAILABLE, value)) => reason = format!("{peer}: {}", detail(&value)),
-                    Ok((CONFLICT, value)) => {
+                    Ok((STATUS_UNAVAILABLE, value)) => reason = format!("{peer}: {}", detail(&value)),
+                    Ok((STATUS_CONFLICT, value)) => {
                         return Err(AdminError::Conflict {
-                            step,
+                            call,
                             peer: *peer,
                             detail: detail(&value),
                         });
                     }
                     Ok((status, value)) => {
                         return Err(AdminError::Refused {
-                            step,
+                            call,
                             peer: *peer,
                             status,
                             detail: detail(&value),
                         });
                     }
                     Err(error) => {
-                        // A node that was cut off silently would cost its whole timeout in every round, and the operator
-                        // minutes of waiting for the same answer.
+                        // An unreachable node that drops packets would take the whole timeout in every round, and the
+                        // operator would wait for minutes for the same error.
                         if matches!(error, ureq::Error::Timeout(_)) {
-                            silent.push(*peer);
+                            timed_out.push(*peer);
                         }
                         reason = format!("{peer}: {error}");
                     }
@@ -140,24 +144,25 @@
         }
         let peers: Vec<String> = self.peers.iter().map(ToString::to_string).collect();
         Err(AdminError::Undecided {
-            step,
+            call,
             peers: peers.join(", "),
             reason,
         })
     }
 
-    fn one(&self, peer: SocketAddr, ask: &Ask<'_>) -> Result<(u16, Value), ureq::Error> {
-        let request = ureq::http::Request::builder()
-            .method(ask.method)
-            .uri(format!("http://{peer}{}", ask.path))
+    fn call_node(&self, peer: SocketAddr, request: &AdminRequest<'_>) -> Result<(u16, Value), ureq::Error> {
+        let http_request = ureq::http::Request::builder()
+            .method(request.method)
+            .uri(format!("http://{peer}{}", request.path))
             .header("Authorization", format!("Bearer {}", self.key))
-            .header("Change-Id", ask.change.unwrap_or_default());
-        let mut answer = self.agent.run(request.body(ask.body)?)?;
+            .header("Change-Id", request.change_id.unwrap_or_default());
+        let mut answer = self.agent.run(http_request.body(request.body)?)?;
         let status = answer.status().as_u16();
         Ok((status, answer.body_mut().read_json().unwrap_or_default()))
     }
 }
 
+/// Returns the `detail` of an error answer.
 fn detail(value: &Value) -> String {
     value
         .get("detail")
--- a/crates/ctl/src/burn.rs
+++ b/crates/ctl/src/burn.rs
@@ -1,4 +1,4 @@
-//! `gentianctl burn`.
+//! `gentianctl burn`: merges the error budget counts of all entry hosts into one report.
 
 use serde_json::Value;
 use telemetry::burn::{Part, Report, ReportRow};
@@ -6,33 +6,31 @@
 use wire::entry::EntryRpcClient;
 
 use crate::chart::{Bars, Page};
-use crate::cli::Burn;
-use crate::entries::Entries;
+use crate::cli::BurnOptions;
+use crate::entries::EntryClients;
 use crate::exit::Output;
 
-/// Causes that a table line names.
-const NAMED: usize = 3;
+/// Most causes that a row of the table names.
+const MAX_CAUSES: usize = 3;
 
-/// Asks every entry host and prints the report.
+/// Asks every entry host and returns the report to print; writes it as a page if a file is given.
 ///
 /// # Errors
 /// Fails when no entry host answers or the page can't be written.
-pub fn run(entries: &Entries, options: &Burn, json: bool) -> anyhow::Result<Output> {
-    let answers = entries.ask(
-        "burn",
-        &Value::Null,
-        |client, ask| async move { client.burn(ask).await },
-    );
+pub fn run(entries: &EntryClients, options: &BurnOptions, json: bool) -> anyhow::Result<Output> {
+    let answers = entries.call_all("burn", &Value::Null, |client, message| async move {
+        client.burn(message).await
+    });
     anyhow::ensure!(
-        !answers.good.is_empty(),
+        !answers.received.is_empty(),
         "no entry host answered: {}",
         answers.notes.join("; ")
     );
     let mut parts = Vec::new();
-    for (peer, value) in answers.good {
-        let own: Vec<Part> = serde_json::from_value(value)
+    for (peer, value) in answers.received {
+        let host_parts: Vec<Part> = serde_json::from_value(value)
             .map_err(|error| anyhow::anyhow!("burn at {peer}: {error}; is it of another version?"))?;
-        parts.extend(own);
+        parts.extend(host_parts);
     }
     let mut report = Report::new(parts, answers.notes.clone(), wall_ms() / 1_000);
     if let Some(customer) = &options.customer {
@@ -70,7 +68,7 @@
             row.budget_left * 100.0,
             burn.join(" "),
             row.windows[3].requests,
-            causes(row)
+            top_causes(row)
         ));
     }
     let share = report.objective * 100.0;
@@ -86,26 +84,27 @@
     lines.join("\n")
 }
 
-fn causes(row: &ReportRow) -> String {
+/// Renders the most frequent causes over three days.
+fn top_causes(row: &ReportRow) -> String {
     let all = &row.windows[3].causes;
-    let named = all.iter().take(NAMED).map(|cause| {
-        let place = cause.host.as_ref().map_or_else(String::new, |host| {
+    let named = all.iter().take(MAX_CAUSES).map(|cause| {
+        let location = cause.host.as_ref().map_or_else(String::new, |host| {
             let zone = cause.zone.as_ref().map_or("?", |zone| zone.as_str());
             format!(" on {host} ({zone})")
         });
-        format!("{} {}{place}", cause.count, cause.cause)
+        format!("{} {}{location}", cause.count, cause.cause)
     });
     let mut texts: Vec<String> = named.collect();
-    if all.len() > NAMED {
+    if all.len() > MAX_CAUSES {
         texts.push("…".to_owned());
     }
     texts.join(", ")
 }
 
-/// Renders the report as one page with plots.
+/// Renders the report as an HTML page with charts.
 ///
 /// # Errors
-/// Fails when a plot can't be drawn.
+/// Fails when a chart can't be drawn.
 pub fn page(report: &Report) -> anyhow::Result<String> {
     let mut page = Page::new("Error budgets");
     page.paragraph(&format!(
@@ -118,7 +117,7 @@
     for note in &report.missing {
         page.paragraph(&format!("Missing: {note}"));
     }
-    let rows: Vec<Vec<String>> = report.rows.iter().map(cells).collect();
+    let rows: Vec<Vec<String>> = report.rows.iter().map(table_cells).collect();
     page.table(
         &[
             "customer / class",
@@ -133,23 +132,25 @@
         &rows,
     );
     for row in &report.rows {
-        page.heading(&name(row));
-        page.plot(&burn_plot(row))?;
+        page.heading(&row_title(row));
+        page.plot(&burn_chart(row))?;
         if !row.windows[3].causes.is_empty() {
-            page.plot(&cause_plot(row))?;
-            page.paragraph(&format!("Over 3 d: {}", causes(row)));
+            page.plot(&cause_chart(row))?;
+            page.paragraph(&format!("Over 3 d: {}", top_causes(row)));
         }
     }
     Ok(page.finish())
 }
 
-fn name(row: &ReportRow) -> String {
+/// Returns customer and class, as the title of a row.
+fn row_title(row: &ReportRow) -> String {
     format!("{} / {}", row.customer, row.class)
 }
 
-fn cells(row: &ReportRow) -> Vec<String> {
+/// Renders a row of the report as the cells of the page's table.
+fn table_cells(row: &ReportRow) -> Vec<String> {
     let mut cells = vec![
-        name(row),
+        row_title(row),
         row.alert.to_string(),
         format!("{:.1}%", row.budget_left * 100.0),
     ];
@@ -158,7 +159,7 @@
     cells
 }
 
-fn burn_plot(row: &ReportRow) -> Bars {
+fn burn_chart(row: &ReportRow) -> Bars {
     Bars {
         title: "burn rate by window".to_owned(),
         groups: row.windows.iter().map(|window| window.window.to_string()).collect(),
@@ -169,7 +170,7 @@
     }
 }
 
-fn cause_plot(row: &ReportRow) -> Bars {
+fn cause_chart(row: &ReportRow) -> Bars {
     let mut names: Vec<String> = Vec::new();
     for cause in row.windows.iter().flat_map(|window| &window.causes) {
         let name = cause.cause.to_string();
--- a/crates/ctl/src/capacity.rs
+++ b/crates/ctl/src/capacity.rs
@@ -1,4 +1,4 @@
-//! `gentianctl capacity`: what is held, what the plan would do, and rules that go before the plan.
+//! `gentianctl capacity`: shows the hosts and the plan, and sets operators' rules, which take precedence over the plan.
 
 use std::net::SocketAddr;
 
@@ -6,9 +6,9 @@
 use contract::{HostRule, MachineClass, ModelName, Zone};
 use serde_json::{Value, json};
 
-use crate::admin::{Admin, Ask};
-use crate::cli::listed;
-use crate::contracts::fresh_id;
+use crate::admin::{AdminClient, AdminRequest};
+use crate::cli::parse_addresses;
+use crate::contracts::new_change_id;
 
 /// Look at capacity, start it and stop it.
 #[derive(Debug, FromArgs)]
@@ -28,20 +28,20 @@
     pub command: CapacityCommand,
 }
 
-/// What to do with capacity.
+/// Subcommands of `gentianctl capacity`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum CapacityCommand {
-    /// Show.
-    Show(Held),
-    /// Plan.
-    Plan(Plan),
-    /// Start.
-    Start(Start),
-    /// Stop.
-    Stop(Stop),
-    /// Release.
-    Release(Release),
+    /// Shows the hosts and the rules.
+    Show(ShowCapacity),
+    /// Shows the steps of the plan.
+    Plan(ShowPlan),
+    /// Sets the least number of hosts.
+    Start(StartHosts),
+    /// Sets the largest number of hosts.
+    Stop(StopHosts),
+    /// Drops a rule.
+    Release(ReleaseRule),
 }
 
 /// Show the hosts that are held and the rules of operators.
@@ -51,7 +51,7 @@
     clippy::empty_structs_with_brackets,
     reason = "the derive of argh asks for named fields"
 )]
-pub struct Held {}
+pub struct ShowCapacity {}
 
 /// Show the steps that would be taken now, and take none.
 #[derive(Debug, FromArgs)]
@@ -60,12 +60,12 @@
     clippy::empty_structs_with_brackets,
     reason = "the derive of argh asks for named fields"
 )]
-pub struct Plan {}
+pub struct ShowPlan {}
 
 /// Hold at least so many hosts, whatever the plan says.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "start")]
-pub struct Start {
+pub struct StartHosts {
     /// model that the hosts serve
     #[argh(option)]
     pub model: String,
@@ -83,7 +83,7 @@
 /// Hold at most so many hosts, whatever the plan says; the others are drained, then stopped.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "stop")]
-pub struct Stop {
+pub struct StopHosts {
     /// model that the hosts serve
     #[argh(option)]
     pub model: String,
@@ -105,67 +105,75 @@
     name = "release",
     example = "gentianctl capacity release iftar-1/zone-b/on_demand"
 )]
-pub struct Release {
+pub struct ReleaseRule {
     /// the rule as MODEL/ZONE/CLASS
     #[argh(positional)]
     pub rule: String,
 }
 
-/// Most hosts of a rule that only says how many are held at least.
-const MANY: u32 = 10_000;
+/// Largest number of hosts in a rule that only sets the least number.
+const MAX_HOSTS: u32 = 10_000;
 
-/// Carries out a command and gives what is to be printed.
+/// Runs a subcommand and returns the text to print.
 ///
 /// # Errors
 /// Fails when an address is missing, nobody answers or the API refuses.
 pub fn run(
-    admin: impl FnOnce() -> anyhow::Result<Admin>,
+    admin: impl FnOnce() -> anyhow::Result<AdminClient>,
     key: &str,
     options: &CapacityOptions,
     json: bool,
 ) -> anyhow::Result<String> {
     match &options.command {
-        CapacityCommand::Show(_) => show(&admin()?, &report(options.at.as_deref(), key)?, json),
-        CapacityCommand::Plan(_) => plan(&report(options.at.as_deref(), key)?, json),
-        CapacityCommand::Start(ask) => put(&admin()?, &rule(&ask.model, &ask.zone, &ask.class, ask.hosts, MANY)?),
-        CapacityCommand::Stop(ask) => put(&admin()?, &rule(&ask.model, &ask.zone, &ask.class, 0, ask.hosts)?),
-        CapacityCommand::Release(ask) => {
-            let path = format!("/v1/rules/{}", ask.rule);
-            change(&admin()?, "DELETE", &path, "")?;
-            Ok(format!("rule {} is dropped; the plan decides again", ask.rule))
+        CapacityCommand::Show(_) => show(&admin()?, &fetch_report(options.at.as_deref(), key)?, json),
+        CapacityCommand::Plan(_) => show_plan(&fetch_report(options.at.as_deref(), key)?, json),
+        CapacityCommand::Start(args) => put_rule(
+            &admin()?,
+            &parse_rule(&args.model, &args.zone, &args.class, args.hosts, MAX_HOSTS)?,
+        ),
+        CapacityCommand::Stop(args) => put_rule(
+            &admin()?,
+            &parse_rule(&args.model, &args.zone, &args.class, 0, args.hosts)?,
+        ),
+        CapacityCommand::Release(args) => {
+            let path = format!("/v1/rules/{}", args.rule);
+            send_change(&admin()?, "DELETE", &path, "")?;
+            Ok(format!("rule {} is dropped; the plan decides again", args.rule))
         }
     }
 }
 
-/// Reads the report of the process that holds the lease, or of any other when none says so.
+/// Reads the report of the process that holds the lease; if none does, of the last process that answered.
 ///
 /// # Errors
 /// Fails when no process answers.
-pub fn report(at: Option<&str>, key: &str) -> anyhow::Result<Value> {
-    let mut last = Err(anyhow::anyhow!("no process of capacity was asked"));
-    for peer in listed(at, "--at", "GENTIAN_CAPACITY")? {
-        match read(peer, key) {
+pub fn fetch_report(at: Option<&str>, key: &str) -> anyhow::Result<Value> {
+    let mut fallback = Err(anyhow::anyhow!("no process of capacity was asked"));
+    for peer in parse_addresses(at, "--at", "GENTIAN_CAPACITY")? {
+        match fetch_from(peer, key) {
             Ok(report) if report["active"] == true => return Ok(report),
-            Ok(report) => last = Ok(report),
-            Err(error) if last.is_err() => last = Err(error),
+            Ok(report) => fallback = Ok(report),
+            Err(error) if fallback.is_err() => fallback = Err(error),
             Err(_) => {}
         }
     }
-    last
+    fallback
 }
 
-fn read(peer: SocketAddr, key: &str) -> anyhow::Result<Value> {
-    let admin = Admin::new(vec![peer], key.to_owned());
-    let ask = Ask {
+/// Reads the report of one process.
+fn fetch_from(peer: SocketAddr, key: &str) -> anyhow::Result<Value> {
+    let admin = AdminClient::new(vec![peer], key.to_owned());
+    let request = AdminRequest {
         method: "GET",
         path: "/v1/capacity",
-        change: None,
+        change_id: None,
         body: "",
     };
-    Ok(admin.call(&ask)?)
+    Ok(admin.call(&request)?)
 }
 
-fn rule(model: &str, zone: &str, class: &str, least: u32, most: u32) -> anyhow::Result<HostRule> {
+/// Builds a rule from the options and validates it.
+fn parse_rule(model: &str, zone: &str, class: &str, least: u32, most: u32) -> anyhow::Result<HostRule> {
     let class = match class {
         "reclaimable" => MachineClass::Reclaimable,
         "on_demand" => MachineClass::OnDemand,
@@ -182,41 +190,42 @@
     Ok(rule)
 }
 
-fn put(admin: &Admin, rule: &HostRule) -> anyhow::Result<String> {
-    let revision = change(admin, "PUT", "/v1/rules", &serde_json::to_string(rule)?)?;
+fn put_rule(admin: &AdminClient, rule: &HostRule) -> anyhow::Result<String> {
+    let revision = send_change(admin, "PUT", "/v1/rules", &serde_json::to_string(rule)?)?;
     Ok(format!("rule {rule} is accepted at revision {revision}"))
 }
 
-/// Makes a change; its id is fresh, so that trying one node after the other applies it once.
-pub(crate) fn change(admin: &Admin, method: &str, path: &str, body: &str) -> anyhow::Result<Value> {
-    let id = fresh_id();
-    let value = admin.call(&Ask {
+/// Sends a change with a new id, so that trying one node after the other applies it only once, and returns its
+/// revision.
+pub(crate) fn send_change(admin: &AdminClient, method: &str, path: &str, body: &str) -> anyhow::Result<Value> {
+    let id = new_change_id();
+    let value = admin.call(&AdminRequest {
         method,
         path,
-        change: Some(&id),
+        change_id: Some(&id),
         body,
     })?;
     Ok(value["revision"].clone())
 }
 
-fn show(admin: &Admin, report: &Value, json: bool) -> anyhow::Result<String> {
-    let rules = admin.call(&Ask {
+fn show(admin: &AdminClient, report: &Value, json: bool) -> anyhow::Result<String> {
+    let rules = admin.call(&AdminRequest {
         method: "GET",
         path: "/v1/rules",
-        change: None,
+        change_id: None,
         body: "",
     })?;
     if json {
         let value = json!({"capacity": report, "rules": rules["item"]});
         return Ok(serde_json::to_string_pretty(&value)?);
     }
-    let mut lines = vec![state(report), table(report)];
+    let mut lines = vec![summary(report), host_table(report)];
     let rules = rules["item"].as_object().into_iter().flatten();
     lines.extend(rules.map(|(key, rule)| format!("rule {key}: {} to {} hosts", rule["least"], rule["most"])));
     Ok(lines.join("\n"))
 }
 
-fn plan(report: &Value, json: bool) -> anyhow::Result<String> {
+fn show_plan(report: &Value, json: bool) -> anyhow::Result<String> {
     if json {
         return Ok(serde_json::to_string_pretty(&report["plan"])?);
     }
@@ -231,10 +240,11 @@
     } else {
         steps.join("\n")
     };
-    Ok(format!("{}\n{steps}", state(report)))
+    Ok(format!("{}\n{steps}", summary(report)))
 }
 
-fn state(report: &Value) -> String {
+/// Renders whether the process holds the lease and reaches the cloud API.
+fn summary(report: &Value) -> String {
     let lease = if report["active"] == true {
         format!("acts under lease {}", report["token"])
     } else {
@@ -248,9 +258,9 @@
     format!("capacity {lease}; {cloud}")
 }
 
-/// Renders the hosts of a report.
+/// Renders the hosts of a report as a table.
 #[must_use]
-pub fn table(report: &Value) -> String {
+pub fn host_table(report: &Value) -> String {
     let mut lines = vec![format!(
         "{:<14} {:>4} {:<16} {:<12} {:<12} {:>8} {:>6}  STAGE",
         "HOST", "INC", "MODEL", "ZONE", "CLASS", "PRICE", "BUSY"
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The options and subcommands of `gentianctl`.
 
 use std::net::SocketAddr;
 
@@ -39,31 +39,31 @@
     pub command: Command,
 }
 
-/// What to do.
+/// Subcommands of `gentianctl`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Contracts.
+    /// Reads and changes contracts.
     Contract(ContractOptions),
-    /// Upstreams.
+    /// Registers and lists upstreams.
     Upstream(UpstreamOptions),
-    /// The state group.
+    /// Maintains the state group and its disks.
     State(StateOptions),
-    /// Processes.
-    Status(Status),
-    /// Error budgets.
-    Burn(Burn),
-    /// Requests.
+    /// Shows state nodes and entry hosts.
+    Status(StatusOptions),
+    /// Shows how fast error budgets are used up.
+    Burn(BurnOptions),
+    /// Shows and explains single requests.
     Request(RequestOptions),
-    /// Keys.
+    /// Hashes account keys.
     Key(KeyOptions),
-    /// Capacity.
+    /// Shows capacity and sets rules for it.
     Capacity(CapacityOptions),
-    /// Hosts.
+    /// Lists and drains hosts.
     Host(HostOptions),
-    /// Logs.
+    /// Finds what logs say about one request.
     Trace(TraceOptions),
-    /// What logs say of all requests.
+    /// Counts the requests in logs by cause of loss.
     Losses(LossesOptions),
 }
 
@@ -74,7 +74,7 @@
     clippy::empty_structs_with_brackets,
     reason = "the derive of argh asks for named fields"
 )]
-pub struct Status {}
+pub struct StatusOptions {}
 
 /// Show how fast each customer's classes use up their error budgets.
 #[derive(Debug, FromArgs)]
@@ -83,7 +83,7 @@
     name = "burn",
     example = "gentianctl burn --customer mwangaza --html burn.html"
 )]
-pub struct Burn {
+pub struct BurnOptions {
     /// only this customer
     #[argh(option)]
     pub customer: Option<String>,
@@ -101,20 +101,20 @@
     pub command: RequestCommand,
 }
 
-/// What to do with a request.
+/// Subcommands of `gentianctl request`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum RequestCommand {
-    /// Show.
-    Show(Show),
-    /// Explain.
-    Explain(Explain),
+    /// Shows the owner of a request and the progress of its answer.
+    Show(ShowRequest),
+    /// Shows the choice of upstream for each attempt.
+    Explain(ExplainRequest),
 }
 
 /// Show who made a request and how far its answer is.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "show", example = "gentianctl request show entry-1-19a3-7")]
-pub struct Show {
+pub struct ShowRequest {
     /// request id, as in the X-Request-Id header of the answer
     #[argh(positional)]
     pub id: String,
@@ -123,7 +123,7 @@
 /// Tell for each attempt which upstream was chosen and why the others were not.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain", example = "gentianctl request explain entry-1-19a3-7")]
-pub struct Explain {
+pub struct ExplainRequest {
     /// request id, as in the X-Request-Id header of the answer
     #[argh(positional)]
     pub id: String,
@@ -138,12 +138,12 @@
     pub command: KeyCommand,
 }
 
-/// What to do with a key.
+/// Subcommands of `gentianctl key`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum KeyCommand {
-    /// Hash.
-    Hash(Hash),
+    /// Hashes a key from standard input.
+    Hash(HashKey),
 }
 
 /// Read a bearer key from standard input and print the `key_hash` for its account.
@@ -153,7 +153,7 @@
     clippy::empty_structs_with_brackets,
     reason = "the derive of argh asks for named fields"
 )]
-pub struct Hash {}
+pub struct HashKey {}
 
 /// Read and change contracts.
 #[derive(Debug, FromArgs)]
@@ -164,26 +164,26 @@
     pub command: ContractCommand,
 }
 
-/// What to do with contracts.
+/// Subcommands of `gentianctl contract`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum ContractCommand {
-    /// Apply.
+    /// Applies a contract from a JSON file.
     Apply(Apply),
-    /// Get.
-    Get(Get),
-    /// List.
+    /// Shows one contract.
+    Get(GetContract),
+    /// Lists the contracts.
     List(List),
-    /// Diff.
-    Diff(Diff),
-    /// History.
-    History(History),
+    /// Shows what applying a file would change.
+    Diff(DiffContract),
+    /// Lists recorded changes of contracts.
+    History(ContractHistory),
 }
 
 /// Show what applying a JSON file would change; standard input for -.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "diff", example = "gentianctl contract diff mwangaza.json")]
-pub struct Diff {
+pub struct DiffContract {
     /// the file
     #[argh(positional)]
     pub file: String,
@@ -192,7 +192,7 @@
 /// List the changes of contracts that the state group still keeps, the newest last.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "history", example = "gentianctl contract history mwangaza")]
-pub struct History {
+pub struct ContractHistory {
     /// only this customer
     #[argh(positional)]
     pub name: Option<String>,
@@ -207,13 +207,13 @@
     pub command: UpstreamCommand,
 }
 
-/// What to do with upstreams.
+/// Subcommands of `gentianctl upstream`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum UpstreamCommand {
-    /// Apply.
+    /// Registers the upstreams of a JSON file.
     Apply(Apply),
-    /// List.
+    /// Lists the upstreams.
     List(List),
 }
 
@@ -239,7 +239,7 @@
 /// Show one item.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "get", example = "gentianctl contract get mwangaza")]
-pub struct Get {
+pub struct GetContract {
     /// name of the customer
     #[argh(positional)]
     pub name: String,
@@ -255,24 +255,25 @@
 pub struct List {}
 
 impl Options {
-    /// Gives the addresses of the administration API.
+    /// Returns the addresses of the administration API.
     ///
     /// # Errors
-    /// Fails when none is given or one is not an address.
-    pub fn addresses(&self) -> anyhow::Result<Vec<SocketAddr>> {
-        listed(self.admin.as_deref(), "--admin", "GENTIAN_ADMIN")
+    /// Fails when no address is given, or one is malformed.
+    pub fn admin_addresses(&self) -> anyhow::Result<Vec<SocketAddr>> {
+        parse_addresses(self.admin.as_deref(), "--admin", "GENTIAN_ADMIN")
     }
 
-    /// Gives the inner addresses of the entry hosts.
+    /// Returns the inner addresses of the entry hosts.
     ///
     /// # Errors
-    /// Fails when none is given or one is not an address.
-    pub fn entry_hosts(&self) -> anyhow::Result<Vec<SocketAddr>> {
-        listed(self.entries.as_deref(), "--entries", "GENTIAN_ENTRIES")
+    /// Fails when no address is given, or one is malformed.
+    pub fn entry_addresses(&self) -> anyhow::Result<Vec<SocketAddr>> {
+        parse_addresses(self.entries.as_deref(), "--entries", "GENTIAN_ENTRIES")
     }
 }
 
-pub(crate) fn listed(flag: Option<&str>, name: &str, variable: &str) -> anyhow::Result<Vec<SocketAddr>> {
+/// Parses a list of addresses from a flag, or from an environment variable without the flag.
+pub(crate) fn parse_addresses(flag: Option<&str>, name: &str, variable: &str) -> anyhow::Result<Vec<SocketAddr>> {
     let text = flag.map(str::to_owned).or_else(|| std::env::var(variable).ok());
     let text = text.unwrap_or_default();
     let list: contract::settings::List<SocketAddr> = text
--- a/crates/ctl/src/contracts.rs
+++ b/crates/ctl/src/contracts.rs
@@ -1,30 +1,31 @@
-//! `gentianctl contract`.
+//! `gentianctl contract`: applies, shows, lists and compares contracts, and lists their recorded changes.
 
 use contract::{ChangeId, Contract, Revision};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::admin::{Admin, AdminError, Ask};
+use crate::admin::{AdminClient, AdminError, AdminRequest};
 use crate::cli::{Apply, ContractCommand};
-use crate::diff::changes;
-use crate::exit::{Ending, Output};
+use crate::diff::list_changes;
+use crate::exit::{ExitStatus, Output};
 
-/// A change as the state group records it for operators.
+/// An accepted change, as the state group keeps it in its history.
 #[derive(Debug, Serialize, Deserialize)]
-struct Recorded {
+struct RecordedChange {
     revision: Revision,
     id: ChangeId,
     operator: String,
+    /// Description of the change; for contracts, it ends in ` contract ` and the customer.
     change: String,
     wall_ms: u64,
 }
 
-/// Carries out a command and gives what is to be printed.
+/// Runs a subcommand and returns the text to print.
 ///
 /// # Errors
 /// Fails when the file is not a contract or the API refuses.
-pub fn run(admin: &Admin, command: &ContractCommand, json: bool) -> anyhow::Result<Output> {
+pub fn run(admin: &AdminClient, command: &ContractCommand, json: bool) -> anyhow::Result<Output> {
     match command {
         ContractCommand::Apply(apply) => self::apply(admin, apply, json).map(Output::from),
         ContractCommand::Get(get) => {
@@ -45,12 +46,12 @@
     }
 }
 
-fn apply(admin: &Admin, apply: &Apply, json: bool) -> anyhow::Result<String> {
-    let contract: Contract = read_file(&apply.file)?;
+fn apply(admin: &AdminClient, apply: &Apply, json: bool) -> anyhow::Result<String> {
+    let contract: Contract = read_json(&apply.file)?;
     contract
         .validate()
         .map_err(|problems| anyhow::anyhow!("{}: {problems}", apply.file))?;
-    let revision = put(admin, "contracts", contract.customer.as_str(), &contract, apply)?;
+    let revision = put_item(admin, "contracts", contract.customer.as_str(), &contract, apply)?;
     if json {
         return Ok(json!({"contract": contract.customer, "revision": revision}).to_string());
     }
@@ -60,9 +61,9 @@
     ))
 }
 
-/// Compares a file with the contract in force; a contract that is not there yet is compared with nothing.
-fn diff(admin: &Admin, file: &str, json: bool) -> anyhow::Result<Output> {
-    let contract: Contract = read_file(file)?;
+/// Compares a file with the contract in force; a contract that doesn't exist yet is compared with an empty one.
+fn diff(admin: &AdminClient, file: &str, json: bool) -> anyhow::Result<Output> {
+    let contract: Contract = read_json(file)?;
     contract
         .validate()
         .map_err(|problems| anyhow::anyhow!("{file}: {problems}"))?;
@@ -71,11 +72,11 @@
         Err(AdminError::Refused { status: 404, .. }) => json!({"revision": null, "item": {}}),
         Err(error) => return Err(error.into()),
     };
-    let lines = changes(&answer["item"], &serde_json::to_value(&contract)?);
-    let ending = if lines.is_empty() {
-        Ending::Done
+    let lines = list_changes(&answer["item"], &serde_json::to_value(&contract)?);
+    let status = if lines.is_empty() {
+        ExitStatus::Complete
     } else {
-        Ending::Different
+        ExitStatus::Different
     };
     let text = if json {
         serde_json::to_string_pretty(&json!({"revision": answer["revision"], "changes": lines}))?
@@ -85,17 +86,18 @@
         lines.join("\n")
     };
     Ok(Output {
-        ending,
+        status,
         ..Output::from(text)
     })
 }
 
-fn history(admin: &Admin, name: Option<&str>, json: bool) -> anyhow::Result<String> {
+/// Lists the recorded changes of contracts, or of one customer's contract.
+fn history(admin: &AdminClient, name: Option<&str>, json: bool) -> anyhow::Result<String> {
     let value = read(admin, "/v1/history")?;
-    let mut records: Vec<Recorded> = serde_json::from_value(value["item"].clone())?;
+    let mut records: Vec<RecordedChange> = serde_json::from_value(value["item"].clone())?;
     records.retain(|record| {
-        let of = record.change.split_once(" contract ").map(|(_, customer)| customer);
-        of.is_some_and(|customer| name.is_none_or(|name| customer == name))
+        let changed = record.change.split_once(" contract ").map(|(_, customer)| customer);
+        changed.is_some_and(|customer| name.is_none_or(|name| customer == name))
     });
     if json {
         return Ok(serde_json::to_string_pretty(&records)?);
@@ -106,7 +108,7 @@
     )];
     lines.extend(records.iter().map(|record| {
         let (operator, change) = (&record.operator, &record.change);
-        let at = utc(record.wall_ms / 1_000);
+        let at = format_utc(record.wall_ms / 1_000);
         format!(
             "{:>8} {at:<20} {operator:<16} {change:<32} {}",
             record.revision.0, record.id
@@ -115,17 +117,18 @@
     Ok(lines.join("\n"))
 }
 
-fn read(admin: &Admin, path: &str) -> Result<Value, AdminError> {
-    admin.call(&Ask {
+/// Sends a GET request.
+fn read(admin: &AdminClient, path: &str) -> Result<Value, AdminError> {
+    admin.call(&AdminRequest {
         method: "GET",
         path,
-        change: None,
+        change_id: None,
         body: "",
     })
 }
 
 /// Reads an item from a file, or from standard input for `-`.
-pub(crate) fn read_file<T: DeserializeOwned>(file: &str) -> anyhow::Result<T> {
+pub(crate) fn read_json<T: DeserializeOwned>(file: &str) -> anyhow::Result<T> {
     let text = if file == "-" {
         std::io::read_to_string(std::io::stdin())
     } else {
@@ -135,9 +138,9 @@
     serde_json::from_str(&text).map_err(|error| anyhow::anyhow!("read {file}: {error}"))
 }
 
-/// Puts an item and gives the revision under which it is accepted.
-pub(crate) fn put<T: serde::Serialize>(
-    admin: &Admin,
+/// Puts an item and returns the revision at which it is accepted.
+pub(crate) fn put_item<T: serde::Serialize>(
+    admin: &AdminClient,
     kind: &str,
     name: &str,
     item: &T,
@@ -145,23 +148,23 @@
 ) -> anyhow::Result<Revision> {
     let base = apply.base.map(|base| format!("?base={base}")).unwrap_or_default();
     let path = format!("/v1/{kind}/{name}{base}");
-    let id = apply.change_id.clone().unwrap_or_else(fresh_id);
+    let id = apply.change_id.clone().unwrap_or_else(new_change_id);
     let body = serde_json::to_string(item)?;
-    let answer = admin.call(&Ask {
+    let answer = admin.call(&AdminRequest {
         method: "PUT",
         path: &path,
-        change: Some(&id),
+        change_id: Some(&id),
         body: &body,
     })?;
     Ok(serde_json::from_value(answer["revision"].clone())?)
 }
 
-/// Makes an id that no other run of the program makes.
-pub(crate) fn fresh_id() -> String {
-    let since = std::time::SystemTime::now()
+/// Creates the id of a change; no other run of the program creates the same.
+pub(crate) fn new_change_id() -> String {
+    let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
-    format!("ctl-{}-{}", std::process::id(), since.as_nanos())
+    format!("ctl-{}-{}", std::process::id(), since_epoch.as_nanos())
 }
 
 fn table(value: &Value) -> anyhow::Result<String> {
@@ -181,19 +184,20 @@
     Ok(lines.join("\n"))
 }
 
-/// Renders seconds since 1970 as a date and time of day.
+/// Renders seconds since 1970 as date and time in UTC.
 #[must_use]
-pub fn utc(seconds: u64) -> String {
-    let (days, rest) = (seconds / 86_400, seconds % 86_400);
-    // Days are counted from 1 March of the year 0, so that the leap day comes last in a year.
+pub fn format_utc(seconds: u64) -> String {
+    let (days, second_of_day) = (seconds / 86_400, seconds % 86_400);
+    // Days are counted from 1 March of the year 0, so that the leap day is the last day of a year. An era is 400 years,
+    // after which the calendar repeats.
     let days = days + 719_468;
     let (era, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
-    let left = day - (365 * year + year / 4 - year / 100);
-    let month = (5 * left + 2) / 153;
-    let day = left - (153 * month + 2) / 5 + 1;
-    let (month, late) = if month < 10 { (month + 3, 0) } else { (month - 9, 1) };
-    let year = era * 400 + year + late;
-    let (hour, minute, second) = (rest / 3_600, rest / 60 % 60, rest % 60);
+    let day_of_year = day - (365 * year + year / 4 - year / 100);
+    let month = (5 * day_of_year + 2) / 153;
+    let day = day_of_year - (153 * month + 2) / 5 + 1;
+    let (month, next_year) = if month < 10 { (month + 3, 0) } else { (month - 9, 1) };
+    let year = era * 400 + year + next_year;
+    let (hour, minute, second) = (second_of_day / 3_600, second_of_day / 60 % 60, second_of_day % 60);
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}")
 }
--- a/crates/ctl/src/entries.rs
+++ b/crates/ctl/src/entries.rs
@@ -1,4 +1,4 @@
-//! Questions to entry hosts over the inner protocol.
+//! RPC calls from the command line to all entry hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,67 +9,67 @@
 use wire::Envelope;
 use wire::client::{CallError, RpcRuntime};
 
-/// Longest wait for one entry host.
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest wait for the answer of one entry host.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client of every entry host.
+/// Calls every entry host.
 #[derive(Debug)]
-pub struct Entries {
-    calls: RpcRuntime,
+pub struct EntryClients {
+    rpc: RpcRuntime,
     peers: Vec<SocketAddr>,
 }
 
-/// What the entry hosts answered.
+/// The answers of the entry hosts to one call.
 #[derive(Debug)]
 pub struct Answers<T> {
-    /// Answers with the addresses that gave them.
-    pub good: Vec<(SocketAddr, T)>,
-    /// A line for each entry host that did not answer.
+    /// Each answer, with the address of the host that sent it.
+    pub received: Vec<(SocketAddr, T)>,
+    /// A line for standard error for each entry host that didn't answer.
     pub notes: Vec<String>,
 }
 
-impl Entries {
-    /// Makes a client for inner addresses.
+impl EntryClients {
+    /// Creates clients for inner addresses of entry hosts.
     ///
     /// # Errors
     /// Fails when the operating system refuses a thread.
     pub fn new(peers: Vec<SocketAddr>) -> anyhow::Result<Self> {
-        let calls = RpcRuntime::start(1, TIMEOUT)?;
-        Ok(Self { calls, peers })
+        let rpc = RpcRuntime::start(1, CALL_TIMEOUT)?;
+        Ok(Self { rpc, peers })
     }
 
-    /// Asks every entry host, all at the same time.
+    /// Calls every entry host at the same time; `step` names the call in error messages.
     ///
     /// # Panics
-    /// Panics when a question does.
-    pub fn ask<B, T, F, G>(&self, step: &'static str, body: &B, ask: F) -> Answers<T>
+    /// Panics when a call panics.
+    pub fn call_all<B, T, F, G>(&self, step: &'static str, body: &B, start_call: F) -> Answers<T>
     where
         B: Clone,
         F: Fn(HttpClient, Envelope<B>) -> G,
         G: Future<Output = Result<Envelope<T>, ClientError>> + Send + 'static,
         T: Send + 'static,
     {
-        let me = NodeId::from("gentianctl");
-        let waiting: Vec<_> = self
+        let sender = NodeId::from("gentianctl");
+        let in_flight: Vec<_> = self
             .peers
             .iter()
             .map(|peer| {
-                let client = self.calls.client(*peer, Duration::ZERO);
-                let message = Envelope::new(&me, Revision::default(), body.clone());
-                (*peer, client.map(|client| self.calls.spawn(ask(client, message))))
+                let client = self.rpc.client(*peer, Duration::ZERO);
+                let message = Envelope::new(&sender, Revision::default(), body.clone());
+                (*peer, client.map(|client| self.rpc.spawn(start_call(client, message))))
             })
             .collect();
         let mut answers = Answers {
-            good: Vec::new(),
+            received: Vec::new(),
             notes: Vec::new(),
         };
-        for (peer, started) in waiting {
-            let ended = started.and_then(|task| {
-                let ended = self.calls.wait(task).expect("a question does not panic");
-                ended.map_err(|source| CallError { step, peer, source })
+        for (peer, call) in in_flight {
+            let result = call.and_then(|task| {
+                let result = self.rpc.wait(task).expect("a call does not panic");
+                result.map_err(|source| CallError { step, peer, source })
             });
-            match ended {
-                Ok(answer) => answers.good.push((peer, answer.body)),
+            match result {
+                Ok(answer) => answers.received.push((peer, answer.body)),
                 Err(error) => answers.notes.push(format!(
                     "{error}; is the entry host up and its inner port reachable from here?"
                 )),
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,45 +1,45 @@
-//! What a command prints and how it ends.
+//! The output of a command and the exit codes; `Options` documents the codes for operators.
 
 use std::process::ExitCode;
 
 use crate::admin::AdminError;
 use derive_more::{Display, Error};
 
-const FAILED: u8 = 1;
-const CONFLICT: u8 = 2;
-const ABSENT: u8 = 3;
-const INCOMPLETE: u8 = 4;
-const DIFFERENT: u8 = 5;
+const EXIT_FAILED: u8 = 1;
+const EXIT_CONFLICT: u8 = 2;
+const EXIT_NOT_FOUND: u8 = 3;
+const EXIT_INCOMPLETE: u8 = 4;
+const EXIT_DIFFERENT: u8 = 5;
 
-/// Something that was asked for and is not there.
+/// The requested item doesn't exist.
 #[derive(Clone, Debug, Display, Error)]
-#[display("{what} is not there; {next}")]
-pub struct Absent {
-    /// What was asked for.
-    pub what: String,
-    /// What to do next.
-    pub next: &'static str,
+#[display("{item} is not there; {hint}")]
+pub struct NotFound {
+    /// Kind and name of the item.
+    pub item: String,
+    /// What the operator can do next.
+    pub hint: &'static str,
 }
 
-/// What a command prints.
+/// What a command prints, and how it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Output {
-    /// For standard output.
+    /// Text for standard output, without the last line break.
     pub text: String,
-    /// For standard error.
+    /// Lines for standard error, one for each process that didn't answer.
     pub notes: Vec<String>,
-    /// How it ends.
-    pub ending: Ending,
+    /// How the command ends; sets the exit code.
+    pub status: ExitStatus,
 }
 
-/// How a command ends that did not fail.
+/// How a command ends that doesn't fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// As asked.
-    Done,
-    /// Some processes did not answer.
+pub enum ExitStatus {
+    /// The command did all that it was asked for.
+    Complete,
+    /// Some processes didn't answer, and the output lacks their part.
     Incomplete,
-    /// The contracts differ.
+    /// The compared contracts differ.
     Different,
 }
 
@@ -48,43 +48,43 @@
         Self {
             text,
             notes: Vec::new(),
-            ending: Ending::Done,
+            status: ExitStatus::Complete,
         }
     }
 }
 
 impl Output {
-    /// Makes the output of a command that asked several processes, with a note for each that did not answer.
+    /// Creates the output of a command that asks several processes, with a note for each that didn't answer.
     #[must_use]
     pub fn partial(text: String, notes: Vec<String>) -> Self {
-        let ending = if notes.is_empty() {
-            Ending::Done
+        let status = if notes.is_empty() {
+            ExitStatus::Complete
         } else {
-            Ending::Incomplete
+            ExitStatus::Incomplete
         };
-        Self { text, notes, ending }
+        Self { text, notes, status }
     }
 }
 
-impl From<Ending> for ExitCode {
-    fn from(ending: Ending) -> Self {
-        match ending {
-            Ending::Done => Self::SUCCESS,
-            Ending::Incomplete => Self::from(INCOMPLETE),
-            Ending::Different => Self::from(DIFFERENT),
+impl From<ExitStatus> for ExitCode {
+    fn from(status: ExitStatus) -> Self {
+        match status {
+            ExitStatus::Complete => Self::SUCCESS,
+            ExitStatus::Incomplete => Self::from(EXIT_INCOMPLETE),
+            ExitStatus::Different => Self::from(EXIT_DIFFERENT),
         }
     }
 }
 
-/// Gives the exit code of a failure.
+/// Returns the exit code for an error.
 #[must_use]
-pub fn code(error: &anyhow::Error) -> ExitCode {
-    if error.is::<Absent>() {
-        return ExitCode::from(ABSENT);
+pub fn exit_code(error: &anyhow::Error) -> ExitCode {
+    if error.is::<NotFound>() {
+        return ExitCode::from(EXIT_NOT_FOUND);
     }
     match error.downcast_ref() {
-        Some(AdminError::Conflict { .. }) => ExitCode::from(CONFLICT),
-        Some(AdminError::Refused { status: 404, .. }) => ExitCode::from(ABSENT),
-        _ => ExitCode::from(FAILED),
+        Some(AdminError::Conflict { .. }) => ExitCode::from(EXIT_CONFLICT),
+        Some(AdminError::Refused { status: 404, .. }) => ExitCode::from(EXIT_NOT_FOUND),
+        _ => ExitCode::from(EXIT_FAILED),
     }
 }
--- a/crates/ctl/src/host.rs
+++ b/crates/ctl/src/host.rs
@@ -1,4 +1,4 @@
-//! `gentianctl host`: hosts under upstreams, and their drain.
+//! `gentianctl host`: lists and drains hosts.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
 use argh::FromArgs;
 use contract::UpstreamSpec;
 
-use crate::admin::{Admin, Ask};
-use crate::capacity::{change, report, table};
+use crate::admin::{AdminClient, AdminRequest};
+use crate::capacity::{fetch_report, host_table, send_change};
 
 /// Look at hosts and drain them.
 #[derive(Debug, FromArgs)]
@@ -26,14 +26,14 @@
     pub command: HostCommand,
 }
 
-/// What to do with hosts.
+/// Subcommands of `gentianctl host`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum HostCommand {
-    /// List.
-    List(Hosts),
-    /// Drain.
-    Drain(Drain),
+    /// Lists hosts.
+    List(ListHosts),
+    /// Drains a host.
+    Drain(DrainHost),
 }
 
 /// List the hosts that capacity has started.
@@ -43,12 +43,12 @@
     clippy::empty_structs_with_brackets,
     reason = "the derive of argh asks for named fields"
 )]
-pub struct Hosts {}
+pub struct ListHosts {}
 
 /// Send a host nothing new; it finishes what it has. A drain can't be taken back, a host that comes back is a new one.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "drain")]
-pub struct Drain {
+pub struct DrainHost {
     /// the host
     #[argh(positional)]
     pub host: String,
@@ -57,32 +57,32 @@
     pub incarnation: Option<u64>,
 }
 
-/// Carries out a command and gives what is to be printed.
+/// Runs a subcommand and returns the text to print.
 ///
 /// # Errors
 /// Fails when nobody answers, the host is unknown or the API refuses.
 pub fn run(
-    admin: impl FnOnce() -> anyhow::Result<Admin>,
+    admin: impl FnOnce() -> anyhow::Result<AdminClient>,
     key: &str,
     options: &HostOptions,
     json: bool,
 ) -> anyhow::Result<String> {
     match &options.command {
         HostCommand::List(_) => {
-            let report = report(options.at.as_deref(), key)?;
+            let report = fetch_report(options.at.as_deref(), key)?;
             if json {
                 return Ok(serde_json::to_string_pretty(&report["hosts"])?);
             }
-            Ok(table(&report))
+            Ok(host_table(&report))
         }
         HostCommand::Drain(drain) => {
             let admin = admin()?;
             let incarnation = match drain.incarnation {
                 Some(incarnation) => incarnation,
-                None => find(&admin, &drain.host)?,
+                None => find_incarnation(&admin, &drain.host)?,
             };
             let path = format!("/v1/drains/{}/{incarnation}", drain.host);
-            let revision = change(&admin, "PUT", &path, "")?;
+            let revision = send_change(&admin, "PUT", &path, "")?;
             Ok(format!(
                 "drain of host {} is accepted at revision {revision}",
                 drain.host
@@ -91,12 +91,12 @@
     }
 }
 
-/// Finds the incarnation under which a host carries upstreams.
-fn find(admin: &Admin, host: &str) -> anyhow::Result<u64> {
-    let value = admin.call(&Ask {
+/// Finds the latest incarnation of a host that has upstreams.
+fn find_incarnation(admin: &AdminClient, host: &str) -> anyhow::Result<u64> {
+    let value = admin.call(&AdminRequest {
         method: "GET",
         path: "/v1/upstreams",
-        change: None,
+        change_id: None,
         body: "",
     })?;
     let specs: BTreeMap<String, UpstreamSpec> = serde_json::from_value(value["item"].clone())?;
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! `gentianctl`, the command line tool of operators.
 
 pub mod admin;
 pub mod burn;
--- a/crates/ctl/src/losses.rs
+++ b/crates/ctl/src/losses.rs
@@ -1,4 +1,4 @@
-//! Where answers in time are lost: the requests of a run's logs, counted by cause.
+//! `gentianctl losses`: counts the requests in logs that were not answered in time, by cause.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,10 +9,10 @@
 use serde_json::Value;
 
 use crate::exit::Output;
-use crate::logs::{read, text, time};
+use crate::logs::{read_lines, text_field, time_s};
 
-/// Part of the time to the first event that a prediction may miss and still count as right.
-const RIGHT: f64 = 0.5;
+/// Smallest part of the time to the first event that a prediction has to reach to count as right.
+const MIN_PREDICTED_PART: f64 = 0.5;
 
 /// Count the requests of logs by what became of them, and why.
 #[derive(Debug, FromArgs)]
@@ -29,58 +29,58 @@
 /// Why a request was not answered in time.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Its own prompt takes longer to read than the answer may take to begin.
+    /// The prefill of its own prompt took longer than the target for the first event.
     #[display("own prompt too long")]
-    OwnPrompt,
-    /// It was sent behind others in the knowledge that it would be late.
+    LongPrompt,
+    /// It was queued behind other prompts although it was already predicted to be late.
     #[display("behind known prompts")]
-    Known,
-    /// It waited for what its host did not know of.
+    PredictedLate,
+    /// It waited for work that its entry host's prediction didn't include.
     #[display("waited longer than predicted")]
-    Unknown,
-    /// Its answer began in time and paused.
+    Unpredicted,
+    /// Its answer began in time, but paused for too long.
     #[display("paused")]
     Paused,
-    /// A plain call took too long.
+    /// A call to a plain service took too long.
     #[display("slow plain answer")]
-    Slow,
-    /// Its time was over.
+    SlowCall,
+    /// Its deadline passed.
     #[display("out of time")]
-    TimeOver,
-    /// Its stream broke off.
+    DeadlinePassed,
+    /// Its stream was interrupted.
     #[display("broken off")]
-    Broken,
-    /// An upstream answered with a failure, or did not answer.
+    StreamBroken,
+    /// An upstream answered with a failure, or didn't answer.
     #[display("upstream failed")]
-    Failed,
+    UpstreamFailed,
     /// Its account had used up its quota.
     #[display("over quota")]
-    Quota,
+    QuotaExceeded,
     /// It was refused for another reason.
     #[display("refused")]
     Refused,
 }
 
-/// Requests by cause.
+/// Requests counted by cause of loss.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Losses {
-    /// All that are in the logs.
-    pub all: u64,
-    /// Those that were answered in time, as far as they were logged.
-    pub served: u64,
-    /// The others by cause and route.
+    /// All requests in the logs.
+    pub total: u64,
+    /// Requests that were answered in time, as far as they were logged.
+    pub in_time: u64,
+    /// The other requests, by cause and route.
     pub lost: BTreeMap<(Cause, String), u64>,
-    /// The others by cause and the second in which their row of time begins.
+    /// The other requests, by the start of their row in seconds since the first log line, and by cause.
     pub by_time: BTreeMap<u64, BTreeMap<Cause, u64>>,
 }
 
-/// Reads the files and prints the tables.
+/// Reads the files and returns the tables to print.
 ///
 /// # Errors
 /// Fails when a file can't be read.
 pub fn run(options: &LossesOptions, json: bool) -> anyhow::Result<Output> {
-    let lines = read(&options.files)?;
-    let losses = count(&lines, options.every.max(1));
+    let lines = read_lines(&options.files)?;
+    let losses = count_losses(&lines, options.every.max(1));
     let shown = if json {
         losses.to_json().to_string()
     } else {
@@ -89,71 +89,73 @@
     Ok(Output::from(shown))
 }
 
-/// Counts requests by cause, with rows of so many seconds.
+/// Counts requests by cause, with a row of time for every `every_s` seconds.
 #[must_use]
-pub fn count(lines: &[Value], every_s: u32) -> Losses {
+pub fn count_losses(lines: &[Value], every_s: u32) -> Losses {
     let mut losses = Losses::default();
-    let begun = lines.iter().map(time).fold(f64::INFINITY, f64::min);
+    let start_s = lines.iter().map(time_s).fold(f64::INFINITY, f64::min);
     for line in lines {
-        let cause = match text(line, "msg") {
-            "request ended" => of_ended(line),
-            "request refused" => Some(of_refused(line)),
+        let cause = match text_field(line, "msg") {
+            "request ended" => ended_cause(line),
+            "request refused" => Some(refused_cause(line)),
             _ => continue,
         };
-        losses.all += 1;
+        losses.total += 1;
         let Some(cause) = cause else {
-            losses.served += 1;
+            losses.in_time += 1;
             continue;
         };
-        let route = text(line, "route").to_owned();
+        let route = text_field(line, "route").to_owned();
         *losses.lost.entry((cause, route)).or_default() += 1;
-        let every = u64::from(every_s);
-        let row = ((time(line) - begun) as u64) / every * every;
+        let interval_s = u64::from(every_s);
+        let row = ((time_s(line) - start_s) as u64) / interval_s * interval_s;
         *losses.by_time.entry(row).or_default().entry(cause).or_default() += 1;
     }
     losses
 }
 
-/// Tells why a request that found its route was not answered in time; nothing if it was.
-fn of_ended(line: &Value) -> Option<Cause> {
-    let why = text(line, "why");
-    match text(line, "outcome") {
+/// Returns why a request that had a route was not answered in time; `None` if it was.
+fn ended_cause(line: &Value) -> Option<Cause> {
+    let reason = text_field(line, "why");
+    match text_field(line, "outcome") {
         "passed" if line["late"] != true => None,
-        "passed" => Some(of_late(line)),
-        "refused" => Some(of_refused(line)),
-        _ if why.contains("time is over") => Some(Cause::TimeOver),
-        "broken" => Some(Cause::Broken),
-        _ => Some(Cause::Failed),
+        "passed" => Some(late_cause(line)),
+        "refused" => Some(refused_cause(line)),
+        _ if reason.contains("time is over") => Some(Cause::DeadlinePassed),
+        "broken" => Some(Cause::StreamBroken),
+        _ => Some(Cause::UpstreamFailed),
     }
 }
 
-fn of_refused(line: &Value) -> Cause {
-    let why = text(line, "why");
-    if why.contains("quota") {
-        Cause::Quota
-    } else if why.contains("may have run") {
-        Cause::Failed
+/// Returns why a request was refused.
+fn refused_cause(line: &Value) -> Cause {
+    let reason = text_field(line, "why");
+    if reason.contains("quota") {
+        Cause::QuotaExceeded
+    } else if reason.contains("may have run") {
+        Cause::UpstreamFailed
     } else {
         Cause::Refused
     }
 }
 
-fn of_late(line: &Value) -> Cause {
+/// Returns why an answer was late.
+fn late_cause(line: &Value) -> Cause {
     let ms = |name: &str| line[name].as_f64().unwrap_or_default();
     if line["prompt"].is_null() {
-        return Cause::Slow;
+        return Cause::SlowCall;
     }
     if ms("first_ms") <= ms("target_ms") {
         return Cause::Paused;
     }
     if ms("reading_ms") > ms("target_ms") {
-        return Cause::OwnPrompt;
+        return Cause::LongPrompt;
     }
-    let right = ms("predicted_ms") >= ms("first_ms") * RIGHT;
-    if right && ms("predicted_ms") > ms("target_ms") {
-        Cause::Known
+    let prediction_right = ms("predicted_ms") >= ms("first_ms") * MIN_PREDICTED_PART;
+    if prediction_right && ms("predicted_ms") > ms("target_ms") {
+        Cause::PredictedLate
     } else {
-        Cause::Unknown
+        Cause::Unpredicted
     }
 }
 
@@ -170,8 +172,8 @@
             serde_json::json!({ "second": second, "causes": causes })
         });
         serde_json::json!({
-            "all": self.all,
-            "served": self.served,
+            "all": self.total,
+            "served": self.in_time,
             "lost": lost.collect::<Vec<_>>(),
             "by_time": by_time.collect::<Vec<_>>(),
         })
@@ -180,7 +182,7 @@
 
 impl std::fmt::Display for Losses {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        writeln!(f, "{} requests, {} answered in time", self.all, self.served)?;
+        writeln!(f, "{} requests, {} answered in time", self.total, self.in_time)?;
         writeln!(f, "{:<30} {:<16} {:>7}", "CAUSE", "ROUTE", "COUNT")?;
         for ((cause, route), count) in &self.lost {
             writeln!(f, "{:<30} {route:<16} {count:>7}", cause.to_string())?;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,11 +1,11 @@
-//! `gentianctl`: operates gentianspring.
+//! `gentianctl`: parses the command line, runs the subcommand and sets the exit code.
 
 use std::process::ExitCode;
 
-use ctl::admin::Admin;
+use ctl::admin::AdminClient;
 use ctl::cli::{Command, KeyCommand, Options};
-use ctl::entries::Entries;
-use ctl::exit::{Output, code};
+use ctl::entries::EntryClients;
+use ctl::exit::{Output, exit_code};
 use ctl::{burn, capacity, contracts, host, keys, losses, requests, state, status, trace, upstreams};
 
 fn main() -> ExitCode {
@@ -16,11 +16,11 @@
             for note in &output.notes {
                 eprintln!("gentianctl: {note}");
             }
-            output.ending.into()
+            output.status.into()
         }
         Err(error) => {
             eprintln!("gentianctl: {error:#}");
-            code(&error)
+            exit_code(&error)
         }
     }
 }
@@ -28,30 +28,33 @@
 fn run(options: &Options) -> anyhow::Result<Output> {
     let json = options.json;
     match &options.command {
-        Command::Contract(of) => contracts::run(&admin(options)?, &of.command, json),
-        Command::Upstream(of) => upstreams::run(&admin(options)?, &of.command, json).map(Output::from),
-        Command::State(of) => state::run(|| admin(options), &of.command, json).map(Output::from),
-        Command::Status(_) => status::run(&options.addresses()?, &operator_key()?, &entries(options)?, json),
-        Command::Burn(of) => burn::run(&entries(options)?, of, json),
-        Command::Request(of) => requests::run(&entries(options)?, &of.command, json),
-        Command::Capacity(of) => capacity::run(|| admin(options), &operator_key()?, of, json).map(Output::from),
-        Command::Host(of) => host::run(|| admin(options), &operator_key()?, of, json).map(Output::from),
-        Command::Trace(of) => trace::run(of, json),
-        Command::Losses(of) => losses::run(of, json),
-        Command::Key(of) => match &of.command {
-            KeyCommand::Hash(_) => keys::hash(std::io::stdin()).map(Output::from),
+        Command::Contract(args) => contracts::run(&admin(options)?, &args.command, json),
+        Command::Upstream(args) => upstreams::run(&admin(options)?, &args.command, json).map(Output::from),
+        Command::State(args) => state::run(|| admin(options), &args.command, json).map(Output::from),
+        Command::Status(_) => status::run(&options.admin_addresses()?, &operator_key()?, &entries(options)?, json),
+        Command::Burn(args) => burn::run(&entries(options)?, args, json),
+        Command::Request(args) => requests::run(&entries(options)?, &args.command, json),
+        Command::Capacity(args) => capacity::run(|| admin(options), &operator_key()?, args, json).map(Output::from),
+        Command::Host(args) => host::run(|| admin(options), &operator_key()?, args, json).map(Output::from),
+        Command::Trace(args) => trace::run(args, json),
+        Command::Losses(args) => losses::run(args, json),
+        Command::Key(args) => match &args.command {
+            KeyCommand::Hash(_) => keys::hash_key(std::io::stdin()).map(Output::from),
         },
     }
 }
 
-fn admin(options: &Options) -> anyhow::Result<Admin> {
-    Ok(Admin::new(options.addresses()?, operator_key()?))
+/// Creates a client of the administration API.
+fn admin(options: &Options) -> anyhow::Result<AdminClient> {
+    Ok(AdminClient::new(options.admin_addresses()?, operator_key()?))
 }
 
-fn entries(options: &Options) -> anyhow::Result<Entries> {
-    Entries::new(options.entry_hosts()?)
+/// Creates clients of the entry hosts.
+fn entries(options: &Options) -> anyhow::Result<EntryClients> {
+    EntryClients::new(options.entry_addresses()?)
 }
 
+/// Reads the operator's key from the environment.
 fn operator_key() -> anyhow::Result<String> {
     std::env::var("GENTIAN_OPERATOR_KEY")
         .map_err(|_absent| anyhow::anyhow!("GENTIAN_OPERATOR_KEY is not set, expected the operator's bearer key"))
--- a/crates/ctl/src/state.rs
+++ b/crates/ctl/src/state.rs
@@ -1,4 +1,4 @@
-//! `gentianctl state`: members of the state group, replacement of lost disks, and the offline check of a data folder.
+//! `gentianctl state`: lists the members of the state group, replaces lost disks, and checks a data folder offline.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use state::disk;
 
-use crate::admin::{Admin, Ask};
+use crate::admin::{AdminClient, AdminRequest};
 
 /// Look after the state group and its disks.
 #[derive(Debug, FromArgs)]
@@ -18,15 +18,15 @@
     pub command: StateCommand,
 }
 
-/// What to do with the state group.
+/// Subcommands of `gentianctl state`.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum StateCommand {
-    /// Members.
+    /// Lists members and blank disks.
     Members(Members),
-    /// Replace.
+    /// Replaces a member whose disk is lost.
     Replace(Replace),
-    /// Check.
+    /// Verifies a data folder.
     Check(Check),
 }
 
@@ -70,8 +70,9 @@
     pub folder: PathBuf,
 }
 
+/// A member of the state group, or a blank disk that has announced itself.
 #[derive(Debug, Deserialize)]
-struct Row {
+struct MemberRow {
     id: String,
     node: String,
     address: String,
@@ -82,41 +83,41 @@
     replaces: Option<String>,
 }
 
-/// Carries out a command and gives what is to be printed.
+/// Runs a subcommand and returns the text to print.
 ///
 /// # Errors
 /// Fails when the API refuses or the folder is damaged.
 pub fn run(
-    admin: impl FnOnce() -> anyhow::Result<Admin>,
+    admin: impl FnOnce() -> anyhow::Result<AdminClient>,
     command: &StateCommand,
     json: bool,
 ) -> anyhow::Result<String> {
     match command {
         StateCommand::Members(_) => members(&admin()?, json),
-        StateCommand::Replace(replace) => begin(&admin()?, replace),
-        StateCommand::Check(check) => verify(check, json),
+        StateCommand::Replace(replace) => replace_disk(&admin()?, replace),
+        StateCommand::Check(check) => check_folder(check, json),
     }
 }
 
-fn members(admin: &Admin, json: bool) -> anyhow::Result<String> {
-    let value = admin.call(&Ask {
+fn members(admin: &AdminClient, json: bool) -> anyhow::Result<String> {
+    let value = admin.call(&AdminRequest {
         method: "GET",
         path: "/v1/members",
-        change: None,
+        change_id: None,
         body: "",
     })?;
     if json {
         return Ok(serde_json::to_string_pretty(&value)?);
     }
-    let rows = |kind: &str| serde_json::from_value::<Vec<Row>>(value["item"][kind].clone());
+    let rows = |kind: &str| serde_json::from_value::<Vec<MemberRow>>(value["item"][kind].clone());
     let mut lines = vec![format!("{:<20} {:<22} {:<16} ROLE", "NODE", "ADDRESS", "DISK")];
-    lines.extend(rows("members")?.iter().map(|row| line(row, role(row))));
+    lines.extend(rows("members")?.iter().map(|row| table_row(row, role(row))));
     let blank = "blank, see gentianctl state replace".to_owned();
-    lines.extend(rows("blank")?.iter().map(|row| line(row, blank.clone())));
+    lines.extend(rows("blank")?.iter().map(|row| table_row(row, blank.clone())));
     Ok(lines.join("\n"))
 }
 
-fn role(row: &Row) -> String {
+fn role(row: &MemberRow) -> String {
     let role = match (row.leads, row.votes) {
         (true, _) => "leader",
         (false, true) => "voter",
@@ -128,16 +129,17 @@
     }
 }
 
-fn line(row: &Row, role: String) -> String {
+fn table_row(row: &MemberRow, role: String) -> String {
     format!("{:<20} {:<22} {:<16} {role}", row.node, row.address, row.id)
 }
 
-fn begin(admin: &Admin, replace: &Replace) -> anyhow::Result<String> {
+/// Asks the state group to replace a member's disk by a blank one.
+fn replace_disk(admin: &AdminClient, replace: &Replace) -> anyhow::Result<String> {
     let body = json!({"old": replace.node, "new": replace.by}).to_string();
-    let value: Value = admin.call(&Ask {
+    let value: Value = admin.call(&AdminRequest {
         method: "POST",
         path: "/v1/members/replace",
-        change: None,
+        change_id: None,
         body: &body,
     })?;
     let (old, new) = (&value["replacing"]["old"], &value["replacing"]["new"]);
@@ -148,7 +150,8 @@
     ))
 }
 
-fn verify(check: &Check, json: bool) -> anyhow::Result<String> {
+/// Verifies a data folder on this machine.
+fn check_folder(check: &Check, json: bool) -> anyhow::Result<String> {
     let report = disk::check_folder(&check.folder)?;
     let id = report.id.map_or_else(|| "blank".to_owned(), |id| id.to_string());
     if json {
--- a/crates/ctl/src/upstreams.rs
+++ b/crates/ctl/src/upstreams.rs
@@ -1,34 +1,34 @@
-//! `gentianctl upstream`.
+//! `gentianctl upstream`: registers and lists upstreams.
 
 use std::collections::BTreeMap;
 
 use contract::{UpstreamKind, UpstreamSpec};
 
-use crate::admin::{Admin, Ask};
+use crate::admin::{AdminClient, AdminRequest};
 use crate::cli::UpstreamCommand;
-use crate::contracts::{put, read_file};
+use crate::contracts::{put_item, read_json};
 
-/// Carries out a command and gives what is to be printed.
+/// Runs a subcommand and returns the text to print.
 ///
 /// # Errors
 /// Fails when the file is not a list of upstreams or the API refuses.
-pub fn run(admin: &Admin, command: &UpstreamCommand, json: bool) -> anyhow::Result<String> {
+pub fn run(admin: &AdminClient, command: &UpstreamCommand, json: bool) -> anyhow::Result<String> {
     match command {
         UpstreamCommand::Apply(apply) => {
-            let specs: Vec<UpstreamSpec> = read_file(&apply.file)?;
+            let specs: Vec<UpstreamSpec> = read_json(&apply.file)?;
             let mut lines = Vec::new();
             for spec in &specs {
                 spec.validate()?;
-                let revision = put(admin, "upstreams", spec.id.as_str(), spec, apply)?;
+                let revision = put_item(admin, "upstreams", spec.id.as_str(), spec, apply)?;
                 lines.push(format!("upstream {} is accepted at revision {revision}", spec.id));
             }
             Ok(lines.join("\n"))
         }
         UpstreamCommand::List(_) => {
-            let value = admin.call(&Ask {
+            let value = admin.call(&AdminRequest {
                 method: "GET",
                 path: "/v1/upstreams",
-                change: None,
+                change_id: None,
                 body: "",
             })?;
             if json {
@@ -39,13 +39,14 @@
                 "{:<20} {:<24} {:<22} {:<12} ZONE",
                 "UPSTREAM", "SERVES", "ADDRESS", "HOST"
             )];
-            lines.extend(specs.values().map(line));
+            lines.extend(specs.values().map(table_row));
             Ok(lines.join("\n"))
         }
     }
 }
 
-fn line(spec: &UpstreamSpec) -> String {
+/// Renders one upstream as a row of the table.
+fn table_row(spec: &UpstreamSpec) -> String {
     let serves = match &spec.kind {
         UpstreamKind::Engine { model, .. } => format!("model {model}"),
         UpstreamKind::Service { service, .. } => format!("service {service}"),
--- a/crates/ctl/tests/log_trace.rs
+++ b/crates/ctl/tests/log_trace.rs
@@ -1,11 +1,13 @@
-//! From a request's id to its cause, with the logs alone.
+//! `gentianctl trace`: from the id of a request to the cause of its end, with logs alone.
 
 use ctl::trace::trace;
 use serde_json::{Value, json};
 
-fn line(at_s: u32, node: &str, msg: &str, more: Value) -> Value {
+fn line(at_s: u32, node: &str, msg: &str, fields: Value) -> Value {
     let mut line = json!({"ts": format!("2026-03-20T18:02:{at_s:02}.5Z"), "node": node, "msg": msg, "level": "INFO"});
-    line.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+    line.as_object_mut()
+        .unwrap()
+        .extend(fields.as_object().unwrap().clone());
     line
 }
 
@@ -13,8 +15,8 @@
     trace(id, lines).unwrap().cause
 }
 
-/// An engine is reclaimed in the middle of a stream. The line of the request names only a closed connection; the news of
-/// the list, two seconds before on the same host, names the reason.
+/// An engine is reclaimed in the middle of a stream. The request's own line only says that the connection was closed;
+/// the cause is in a line of the same entry host, two seconds before.
 #[test]
 fn reclaimed_engine() {
     let lines = [
@@ -29,13 +31,14 @@
         ),
     ];
     let found = trace("q", &lines).unwrap();
-    assert_eq!(found.lines.len(), 2, "news of other hosts are left out");
+    assert_eq!(found.lines.len(), 2, "lines of other hosts are left out");
     assert!(found.cause.contains("taken away"), "{}", found.cause);
 }
 
-/// The notice of a reclaim is shorter than the list lags: the stream ends first, and its host hears why a second later.
+/// A reclaim is faster than the list of upstreams: the stream ends first, and its entry host learns the cause a second
+/// later.
 #[test]
-fn reclaim_heard_late() {
+fn late_reclaim() {
     let lines = [
         line(
             12,
@@ -46,14 +49,15 @@
         ),
         line(13, "e1", "upstreams leave", json!({"upstreams": "i-1,i-2"})),
     ];
-    let told = cause("q", &lines);
-    assert!(told.contains("taken away"), "{told}");
+    let cause_text = cause("q", &lines);
+    assert!(cause_text.contains("taken away"), "{cause_text}");
     let much_later = line(25, "e1", "upstreams leave", json!({"upstreams": "i-2"}));
-    let told = cause("q", &[lines[0].clone(), much_later]);
-    assert!(told.contains("upstream failed"), "{told}");
+    let cause_text = cause("q", &[lines[0].clone(), much_later]);
+    assert!(cause_text.contains("upstream failed"), "{cause_text}");
 }
 
-/// A long answer is still under way when its time is over. That its first event was late besides is not why it broke off.
+/// A long answer is not complete at its deadline. Its first event was late as well, but that must not be named as the
+/// cause.
 #[test]
 fn out_of_time() {
     let ended = line(
@@ -63,13 +67,15 @@
         json!({"request": "q", "upstream": "i-2", "outcome": "broken", "late": true, "first_ms": 2_031, "took_ms": 2_693,
         "why": "the time is over"}),
     );
-    let told = cause("q", &[ended]);
+    let cause_text = cause("q", &[ended]);
     assert!(
-        told.contains("2031 ms") && told.contains("not whole in its time"),
-        "{told}"
+        cause_text.contains("2031 ms") && cause_text.contains("not whole in its time"),
+        "{cause_text}"
     );
 }
 
+/// A refusal by quota has three causes: the account's use, a host that was cut off from the leader, and one that has
+/// just started. The operator must learn which.
 #[test]
 fn quota_causes() {
     let refused = line(
@@ -93,6 +99,7 @@
     assert!(cause("q", &[started, refused]).contains("start"));
 }
 
+/// A failure of an upstream and a late answer are confused, though they call for different actions.
 #[test]
 fn failed_and_late() {
     let attempt = line(
@@ -118,6 +125,7 @@
     assert!(cause("r", &[late]).contains("9.0 requests"));
 }
 
+/// A mistyped id must not be explained by unrelated lines.
 #[test]
 fn unknown_id() {
     assert_eq!(trace("nobody", &[line(1, "e1", "serving", json!({}))]), None);
--- a/crates/ctl/tests/state_group.rs
+++ b/crates/ctl/tests/state_group.rs
@@ -1,4 +1,4 @@
-//! An operator looks after the state group: replaces a lost disk and verifies folders.
+//! `gentianctl state` against running state nodes: replacing a lost disk and verifying data folders.
 
 #[path = "../../state/tests/nodes/mod.rs"]
 #[expect(dead_code, reason = "the tests of the state package use more of it")]
@@ -12,6 +12,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gentianctl");
 
+/// Builds the state node and starts a group of them.
 fn start(count: usize) -> Nodes {
     let mut build = Command::new(env!("CARGO"));
     build.args(["build", "--locked", "--quiet", "--package", "state", "--bins"]);
@@ -31,16 +32,18 @@
     command.arg("state").args(arguments).output().unwrap()
 }
 
+/// Returns standard output and standard error as one text.
 fn text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// A node loses its disk. The operator starts it with an empty folder, which votes only after it was put in the place of
-/// the lost one; before that the name is refused, so that a typing error removes nobody.
+/// A node loses its disk and is started with an empty folder. The blank disk must vote only after the operator has put
+/// it in the place of the lost one, and a replacement without a blank disk must be refused, so that a mistyped name
+/// removes no member.
 #[test]
 fn lost_disk() {
     let mut nodes = start(3);
-    // The first one in the list is asked first, also after it lost its disk.
+    // The first node in the list is called first, also after it has lost its disk.
     let lost = 0;
     let name = format!("state-{lost}");
     let refused = run(&nodes, &["replace", &name]);
@@ -55,8 +58,8 @@
     wait("the announcement", || {
         text(&run(&nodes, &["members"])).contains("blank").then_some(())
     });
-    let begun = run(&nodes, &["replace", &name]);
-    assert!(begun.status.success(), "{}", text(&begun));
+    let replaced = run(&nodes, &["replace", &name]);
+    assert!(replaced.status.success(), "{}", text(&replaced));
     wait("three voters", || {
         let members = text(&run(&nodes, &["members"]));
         let voters = members
@@ -67,9 +70,9 @@
     });
 }
 
-/// A bit of the log has flipped. The check names the file and the place and fails, so that a script notices.
+/// A bit of the log has flipped. The check must name the file and the offset, and fail with an exit code for scripts.
 #[test]
-fn folder_check() {
+fn corrupt_log() {
     let mut nodes = start(1);
     nodes.kill(0);
     let folder = nodes.data(0);
@@ -85,9 +88,9 @@
     bytes[22] ^= 1;
     fs::write(&log, bytes).unwrap();
     let damaged = run(&nodes, &["check", folder]);
-    let said = text(&damaged);
+    let report = text(&damaged);
     assert!(
-        !damaged.status.success() && said.contains("log-0000000000000001") && said.contains("offset 8"),
-        "{said}"
+        !damaged.status.success() && report.contains("log-0000000000000001") && report.contains("offset 8"),
+        "{report}"
     );
 }
