--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -41,7 +41,8 @@
 const RECLAIM_COOLDOWN: Duration = Duration::from_secs(30);
 /// Hosts are started until a model has this many times its busy slots.
 const GROW_FACTOR: f64 = 1.3;
-/// Hosts are drained while a model keeps more than this many times its busy slots.
+/// Hosts are drained while a model keeps more than this many times its busy slots; the gap to `GROW_FACTOR` keeps hosts
+/// from being started and drained with every wave of load.
 const SHRINK_FACTOR: f64 = 1.8;
 
 /// Decides on changes of the configuration: the state group, or a fake in tests.
@@ -133,14 +134,14 @@
             Ok(cloud) => cloud,
             Err(error) => return self.report_outage(keeper, &error),
         };
-        let busy = inventory::read_loads(&self.engines, &cloud.hosts);
-        let steps = self.plan(config, &cloud, &busy);
+        let loads = inventory::read_loads(&self.engines, &cloud.hosts);
+        let steps = self.plan(config, &cloud, &loads);
         let lease = keeper.held();
         *self.report.lock() = Report {
             active: lease.is_some(),
             token: lease.map(|lease| lease.token),
             cloud: true,
-            hosts: inventory::host_rows(config, &cloud, &busy),
+            hosts: inventory::host_rows(config, &cloud, &loads),
             plan: steps.iter().map(ToString::to_string).collect(),
         };
         gauge!("gentian_capacity_hosts").set(cloud.hosts.len() as f64);
@@ -150,7 +151,7 @@
         self.round_count += 1;
         self.prepare_engines(config, &cloud, keeper, store);
         self.verify_engine(config, &cloud, keeper, store);
-        self.remove_hosts(config, &cloud, &busy, keeper, store);
+        self.remove_hosts(config, &cloud, &loads, keeper, store);
         if self.clock.now() < lease.acquired + LIST_LAG {
             return;
         }
@@ -172,14 +173,14 @@
     }
 
     /// Returns the steps that the plan takes from the hosts of this round.
-    fn plan(&mut self, config: &Config, cloud: &CloudSnapshot, busy: &BTreeMap<HostId, f64>) -> Vec<Step> {
+    fn plan(&mut self, config: &Config, cloud: &CloudSnapshot, loads: &BTreeMap<HostId, f64>) -> Vec<Step> {
         let now = self.clock.now();
         let listed = |host: &CloudHost| cloud.hosts.iter().any(|listed_host| listed_host.id == host.id);
         // A started host that isn't in the list after three times its lag has failed to start.
         self.pending
             .retain(|(host, at)| !listed(host) && now.since(*at) < 3 * LIST_LAG);
         let pending: Vec<CloudHost> = self.pending.iter().map(|(host, _)| host.clone()).collect();
-        let held = inventory::held_hosts(config, cloud, &pending, busy);
+        let held = inventory::held_hosts(config, cloud, &pending, loads);
         let needs = inventory::model_needs(config, &self.settings, &held);
         let rules = ScalingRules {
             slots: self.settings.slots,
--- a/crates/capacity/src/control/engines.rs
+++ b/crates/capacity/src/control/engines.rs
@@ -172,6 +172,7 @@
     1.0 - f64::from(serving) / f64::from(all.max(1))
 }
 
+/// Returns the size and urgency of a load, by which loads are ordered.
 const fn weight_load(action: &EngineAction, shortfall: f64) -> WeightLoad {
     let size = match action {
         EngineAction::LoadModel { .. } => MODEL_SIZE,
--- a/crates/capacity/src/control/hosts.rs
+++ b/crates/capacity/src/control/hosts.rs
@@ -55,7 +55,7 @@
         &mut self,
         config: &Config,
         cloud: &CloudSnapshot,
-        busy: &BTreeMap<HostId, f64>,
+        loads: &BTreeMap<HostId, f64>,
         keeper: &LeaseKeeper,
         store: &dyn ConfigStore,
     ) {
@@ -64,7 +64,7 @@
             let registered = config.upstreams.contains_key(&upstream_id(host));
             // A registered engine that doesn't answer may be unreachable from this process only and still serve
             // callers; stopping its host would break off their answers.
-            let idle = busy.get(&host.id).map_or(!registered, |requests| *requests <= 0.0);
+            let idle = loads.get(&host.id).map_or(!registered, |requests| *requests <= 0.0);
             self.stop_idle(host, idle, now, keeper);
         }
         let listed = |id: &HostId, incarnation| {
--- a/crates/capacity/src/inventory.rs
+++ b/crates/capacity/src/inventory.rs
@@ -54,7 +54,7 @@
     /// Reads notices, hosts and prices from the cloud API.
     ///
     /// # Errors
-    /// Returns an error when any part can't be read: with a partial snapshot, running hosts would look gone.
+    /// Fails when any part can't be read: with a partial snapshot, running hosts would look gone.
     pub fn read(client: &CloudClient) -> Result<Self, UpstreamError> {
         let notices = client.notices()?;
         let mut hosts = client.hosts()?;
@@ -106,8 +106,9 @@
     spec.id.as_str().starts_with(UPSTREAM_PREFIX)
 }
 
-/// Reads the number of requests that run or wait at each host's engine; hosts that don't answer are
-/// left out, and the plan counts them as idle.
+/// Reads the number of requests that run or wait at each host's engine.
+///
+/// Hosts that don't answer are left out, and the plan counts them as idle.
 #[must_use]
 pub fn read_loads(engines: &EngineClient, hosts: &[CloudHost]) -> BTreeMap<HostId, f64> {
     let read_load = |host: &CloudHost| {
@@ -124,7 +125,7 @@
     config: &Config,
     cloud: &CloudSnapshot,
     pending: &[CloudHost],
-    busy: &BTreeMap<HostId, f64>,
+    loads: &BTreeMap<HostId, f64>,
 ) -> Vec<HeldHost> {
     let listed = |host: &CloudHost| cloud.hosts.iter().any(|known| known.id == host.id);
     let unlisted = pending.iter().filter(|host| !listed(host));
@@ -135,7 +136,7 @@
         zone: host.zone.clone(),
         class: host.class,
         price: host.price,
-        busy: busy.get(&host.id).copied().unwrap_or_default(),
+        busy: loads.get(&host.id).copied().unwrap_or_default(),
     };
     cloud.hosts.iter().chain(unlisted).filter(stays).map(to_held).collect()
 }
@@ -145,19 +146,19 @@
 pub fn model_needs(config: &Config, settings: &Settings, hosts: &[HeldHost]) -> Vec<ModelNeed> {
     let mut by_model: BTreeMap<ModelName, ModelNeed> = BTreeMap::new();
     let rule_models = config.rules.values().map(|rule| rule.model.clone());
-    let model_floors = model_floors(config, settings.floor_percent);
+    let floors = model_floors(config, settings.floor_percent);
     let models = hosts
         .iter()
         .map(|host| host.model.clone())
         .chain(rule_models)
-        .chain(model_floors.keys().cloned());
+        .chain(floors.keys().cloned());
     for model in models {
         let busy = hosts
             .iter()
             .filter(|host| host.model == model)
             .map(|host| host.busy)
             .sum();
-        let floor = model_floors.get(&model).copied().unwrap_or_default();
+        let floor = floors.get(&model).copied().unwrap_or_default();
         by_model.insert(
             model.clone(),
             ModelNeed {
@@ -174,27 +175,27 @@
 ///
 /// Engines that operators have registered themselves already cover a part of it.
 fn model_floors(config: &Config, percent: u32) -> BTreeMap<ModelName, u32> {
-    let mut model_floors: BTreeMap<ModelName, u32> = BTreeMap::new();
+    let mut floors: BTreeMap<ModelName, u32> = BTreeMap::new();
     for contract in config.contracts.values() {
         let models = contract.classes.iter().filter_map(|class| class.matches.model.clone());
         let share = (contract.limits.concurrency * percent).div_ceil(100);
         for model in models.collect::<std::collections::BTreeSet<_>>() {
-            *model_floors.entry(model).or_default() += share;
+            *floors.entry(model).or_default() += share;
         }
     }
     for spec in config.upstreams.values().filter(|spec| !is_managed(spec)) {
         if let UpstreamKind::Engine { model, .. } = &spec.kind
-            && let Some(floor) = model_floors.get_mut(model)
+            && let Some(floor) = floors.get_mut(model)
         {
             *floor = floor.saturating_sub(spec.slots);
         }
     }
-    model_floors
+    floors
 }
 
 /// Returns the hosts as rows of the report to operators.
 #[must_use]
-pub fn host_rows(config: &Config, cloud: &CloudSnapshot, busy: &BTreeMap<HostId, f64>) -> Vec<HostRow> {
+pub fn host_rows(config: &Config, cloud: &CloudSnapshot, loads: &BTreeMap<HostId, f64>) -> Vec<HostRow> {
     let stage = |host: &CloudHost| {
         if cloud.is_leaving(host) {
             "leaving"
@@ -216,7 +217,7 @@
         class: host.class.to_string(),
         price: host.price,
         stage: stage(host),
-        busy: busy.get(&host.id).copied().unwrap_or_default(),
+        busy: loads.get(&host.id).copied().unwrap_or_default(),
     };
     cloud.hosts.iter().map(to_row).collect()
 }
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -33,6 +33,8 @@
     ended("gentian-capacity", run(&argh::from_env()))
 }
 
+/// Reads the settings and serves until SIGTERM or SIGINT; ends earlier if the settings are only to be checked or
+/// printed.
 fn run(options: &Options) -> anyhow::Result<()> {
     let read_settings = |sheet: &mut Sheet| Settings::read(options, sheet);
     let Some(settings) = settings::begin(options.print_settings, options.check_settings, read_settings)? else {
@@ -48,6 +50,7 @@
     Ok(())
 }
 
+/// Runs all threads of the process until it is told to stop, then releases the lease.
 fn serve(settings: &Settings, logger: &Logger, stop: &AtomicBool) -> anyhow::Result<()> {
     let rpc = RpcRuntime::start(2, RPC_TIMEOUT)?;
     let state = StateClient::new(&rpc, &settings.node, &settings.state)?;
@@ -55,14 +58,14 @@
     let holder = NodeId::from(format!("{}/{}", settings.node, wall_ms()));
     let keeper = LeaseKeeper::new(clock.clone(), holder);
     let report = Arc::new(LatestReport::default());
-    let latest = LatestConfig::default();
+    let latest_config = LatestConfig::default();
     let server = start_http(settings, &report)?;
     info!(logger, "watching"; "cloud" => %settings.cloud, "ops" => %server.server_addr());
     let controller = Controller::new(settings.clone(), clock, logger.clone());
     thread::scope(|scope| {
-        scope.spawn(|| config_watch::run(&latest, &state, stop));
+        scope.spawn(|| config_watch::run(&latest_config, &state, stop));
         scope.spawn(|| renew_lease(&keeper, &state, stop));
-        scope.spawn(|| run_controller(controller, &keeper, &state, &latest, &report, stop));
+        scope.spawn(|| run_controller(controller, &keeper, &state, &latest_config, &report, stop));
         scope.spawn(|| {
             while !stop.load(Ordering::Relaxed) {
                 server.poll_timeout(STOP_POLL);
@@ -102,12 +105,12 @@
     mut controller: Controller,
     keeper: &LeaseKeeper,
     state: &StateClient,
-    latest: &LatestConfig,
+    latest_config: &LatestConfig,
     report: &LatestReport,
     stop: &AtomicBool,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        controller.round(&latest.config(), keeper, state);
+        controller.round(&latest_config.config(), keeper, state);
         report.set(controller.report());
         pause(control::ROUND_INTERVAL, stop);
     }
--- a/crates/capacity/tests/common/mod.rs
+++ b/crates/capacity/tests/common/mod.rs
@@ -101,6 +101,7 @@
 }
 
 impl Process {
+    /// Creates a process with 10 slots a host, whose settings name no reachable state nodes or entry hosts.
     pub fn start(name: &str, cloud: SocketAddr, options: Options) -> Self {
         let unused_address = || Some("127.0.0.1:1".to_owned());
         let options = Options {
--- a/crates/ctl/src/capacity.rs
+++ b/crates/ctl/src/capacity.rs
@@ -117,7 +117,7 @@
 /// Runs a subcommand and returns the text to print.
 ///
 /// # Errors
-/// Fails when an address is missing, nobody answers or the API refuses.
+/// Fails when an address is missing, no process answers or the API refuses.
 pub fn run(
     admin: impl FnOnce() -> anyhow::Result<AdminClient>,
     key: &str,
--- a/crates/ctl/src/host.rs
+++ b/crates/ctl/src/host.rs
@@ -60,7 +60,7 @@
 /// Runs a subcommand and returns the text to print.
 ///
 /// # Errors
-/// Fails when nobody answers, the host is unknown or the API refuses.
+/// Fails when no process answers, the host is unknown or the API refuses.
 pub fn run(
     admin: impl FnOnce() -> anyhow::Result<AdminClient>,
     key: &str,
