--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -14,7 +14,7 @@
 use capacity::settings::Settings;
 use capacity::watch;
 use contract::NodeId;
-use contract::settings::{self, Sheet};
+use contract::settings::{self, SettingsReader};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use slog::{Logger, info};
 use telemetry::clock::wall_ms;
@@ -33,8 +33,8 @@
 }
 
 fn run(options: &Options) -> anyhow::Result<()> {
-    let read = |sheet: &mut Sheet| Settings::read(options, sheet);
-    let Some(settings) = settings::begin(options.print_settings, options.check_settings, read)? else {
+    let read = |sheet: &mut SettingsReader| Settings::read(options, sheet);
+    let Some(settings) = settings::load(options.print_settings, options.check_settings, read)? else {
         return Ok(());
     };
     let logger = log::start(settings.log, "gentian-capacity", settings.node.as_str());
--- a/crates/capacity/src/settings.rs
+++ b/crates/capacity/src/settings.rs
@@ -4,8 +4,8 @@
 use std::str::FromStr;
 
 use contract::setting;
-use contract::settings::{List, Setting, Sheet};
-use contract::{DataCenter, KeyHash, ModelName, NodeId, Problems};
+use contract::settings::{List, Setting, SettingsReader};
+use contract::{DataCenter, KeyHash, ModelName, NodeId, ValidationErrors};
 use telemetry::log::Format;
 
 use crate::cli::Options;
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     /// Returns every setting that is missing or not allowed.
-    pub fn read(options: &Options, sheet: &mut Sheet) -> Result<Self, Problems> {
+    pub fn read(options: &Options, sheet: &mut SettingsReader) -> Result<Self, ValidationErrors> {
         let node = sheet.read::<String>(&NODE, options.node.as_deref()).map(NodeId::from);
         let node = sheet.check(&NODE, node, NodeId::is_valid);
         let cloud = sheet.read(&CLOUD, options.cloud.as_deref());
@@ -256,12 +256,12 @@
                 log: log?,
             })
         };
-        settings().ok_or_else(Problems::default)
+        settings().ok_or_else(ValidationErrors::default)
     }
 }
 
 /// Reads a setting that is on or off.
-fn switch(sheet: &mut Sheet, setting: &'static Setting, flag: Option<&str>) -> Option<bool> {
+fn switch(sheet: &mut SettingsReader, setting: &'static Setting, flag: Option<&str>) -> Option<bool> {
     let text = sheet.read::<String>(setting, flag);
     let text = sheet.check(setting, text, |text| text == "on" || text == "off");
     text.map(|text| text == "on")
--- a/crates/capacity/src/watch.rs
+++ b/crates/capacity/src/watch.rs
@@ -12,7 +12,7 @@
 use upstream::cloud::{CloudClient, CloudHost, ReclaimNotice};
 use wire::Envelope;
 use wire::client::RpcRuntime;
-use wire::entry::{EntryRpcClient, HostSignal, Sign};
+use wire::entry::{EntryRpcClient, HostSignal, HostSignalKind};
 
 /// Longest time from a notice at the cloud API until entry hosts that can be reached have heard of it.
 pub const BOUND: Duration = Duration::from_secs(2);
@@ -79,7 +79,7 @@
     HostSignal {
         host: notice.host,
         incarnation: notice.incarnation,
-        sign: Sign::Notice {
+        sign: HostSignalKind::Notice {
             left_ms: notice.left_ms,
         },
     }
@@ -89,7 +89,7 @@
     HostSignal {
         host: host.id,
         incarnation: host.incarnation,
-        sign: Sign::Leaving,
+        sign: HostSignalKind::Leaving,
     }
 }
 
--- a/crates/capacity/tests/capacity_loop.rs
+++ b/crates/capacity/tests/capacity_loop.rs
@@ -4,7 +4,7 @@
 
 use capacity::cli::Options;
 use common::{POOLS, Process, State, config, post, seen, start_cloud};
-use contract::{Change, Config, HostRule, MachineClass, UpstreamSpec};
+use contract::{Change, Config, HostClass, HostRule, UpstreamSpec};
 
 /// With a concurrency of 80 and a floor of a quarter, two hosts of ten slots must be left after any zone is lost.
 const CONCURRENCY: u32 = 80;
@@ -26,7 +26,7 @@
     let mut process = Process::start("capacity-1", cloud.address(), Options::default());
     process.until(&state, |config| after_loss(config) >= 2);
     let config = state.config.lock().clone();
-    let dear = |spec: &&&UpstreamSpec| spec.host.class == MachineClass::OnDemand;
+    let dear = |spec: &&&UpstreamSpec| spec.host.class == HostClass::OnDemand;
     assert_eq!(serving(&config).iter().filter(dear).count(), 2);
 }
 
@@ -100,7 +100,7 @@
         Change::PutRule(HostRule {
             model: "m".into(),
             zone: "zone-b".into(),
-            class: MachineClass::Reclaimable,
+            class: HostClass::Reclaimable,
             least,
             most,
         })
@@ -131,7 +131,7 @@
     state.change(Change::PutRule(HostRule {
         model: "m".into(),
         zone: "zone-a".into(),
-        class: MachineClass::OnDemand,
+        class: HostClass::OnDemand,
         least: 1,
         most: 1,
     }));
--- a/crates/capacity/tests/common/mod.rs
+++ b/crates/capacity/tests/common/mod.rs
@@ -10,9 +10,10 @@
 use capacity::control::{Changes, Control};
 use capacity::lease::{Grants, Keeper};
 use capacity::settings::Settings;
-use contract::settings::Sheet;
+use contract::settings::SettingsReader;
 use contract::{
-    Account, Change, ChangeRecord, Class, Config, Contract, KeyHash, Limits, Matcher, NodeId, Repeat, Targets,
+    Account, Change, ChangeRecord, Class, Config, Contract, CustomerLimits, KeyHash, Matcher, NodeId, RetrySafety,
+    Targets,
 };
 use parking_lot::Mutex;
 use quanta::Mock;
@@ -110,7 +111,7 @@
             slots: Some("10".to_owned()),
             ..options
         };
-        let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
+        let settings = Settings::read(&options, &mut SettingsReader::default()).unwrap();
         let (clock, mock) = Clock::mock();
         Self {
             control: Control::new(settings, clock.clone(), Logger::root(Discard, o!())),
@@ -170,7 +171,7 @@
             name: "gate".into(),
             key_hash: KeyHash::of("key"),
         }],
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 100.0,
             tokens_per_s: 1_000.0,
             concurrency,
@@ -187,7 +188,7 @@
                 between_tokens_ms: None,
                 whole_answer_ms: 10_000,
             },
-            repeat: Repeat::Idempotent,
+            repeat: RetrySafety::Idempotent,
             shed: 0,
         }],
     };
--- a/crates/contract/src/catalog.rs
+++ b/crates/contract/src/catalog.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{KeyHash, Problems, ServiceName, Zone};
+use crate::{KeyHash, ServiceName, ValidationErrors, Zone};
 
 /// Gateway configuration that operators publish as one versioned document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 
 /// Whether, and how, the gateway may resend a route's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeatable {
+pub enum RetryMode {
     /// A request may run more than once without further effect.
     Idempotent,
     /// A request must run at most once.
@@ -45,7 +45,7 @@
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// Whether requests may be resent.
-    pub repeat: Repeatable,
+    pub repeat: RetryMode,
     /// Request timeout in milliseconds; 1 or more.
     pub timeout_ms: u64,
     /// Latency target for the response, or for the first event of a stream, in milliseconds.
@@ -59,12 +59,12 @@
     /// Whether requests are accepted without an API key.
     pub public: bool,
     /// Services that share the route's traffic, with their weights.
-    pub split: Vec<Share>,
+    pub split: Vec<WeightedService>,
 }
 
 /// A service with its weight in a route's traffic split.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedService {
     /// Name of a service in the same catalog.
     pub service: ServiceName,
     /// Relative weight; the weights of a route add up to 1 or more.
@@ -170,8 +170,8 @@
     ///
     /// # Errors
     /// Returns every invalid field.
-    pub fn check(&self) -> Result<(), Problems> {
-        let mut problems = Problems::default();
+    pub fn check(&self) -> Result<(), ValidationErrors> {
+        let mut problems = ValidationErrors::default();
         let service_names: BTreeSet<&ServiceName> = self.services.iter().map(|service| &service.name).collect();
         let mut prefixes = BTreeSet::new();
         for (at, route) in self.routes.iter().enumerate() {
@@ -198,7 +198,7 @@
     }
 }
 
-fn check_route(route: &Route, at: usize, service_names: &BTreeSet<&ServiceName>, problems: &mut Problems) {
+fn check_route(route: &Route, at: usize, service_names: &BTreeSet<&ServiceName>, problems: &mut ValidationErrors) {
     let field = |name: &str| format!("routes[{at}].{name}");
     problems.check(
         route.timeout_ms > 0,
--- a/crates/contract/src/class.rs
+++ b/crates/contract/src/class.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{ClassName, ModelName, Problems, ServiceName};
+use crate::{ClassName, ModelName, ServiceName, ValidationErrors};
 
 /// Allowed form of names, as shown in validation errors.
 pub(crate) const NAME_FORM: &str = "a name of letters, digits and -_.:/";
@@ -24,7 +24,7 @@
     /// Latency targets that the customer was promised.
     pub targets: Targets,
     /// Whether a request may be resent.
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// Load shedding order: under overload, higher numbers are rejected first.
     #[serde(default)]
     pub shed: u8,
@@ -61,7 +61,7 @@
 /// Whether a request may be sent more than once.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Running the request twice has the same effect as running it once.
     #[display("idempotent")]
     Idempotent,
@@ -72,7 +72,7 @@
 
 /// Attributes of a request that classes are matched against.
 #[derive(Clone, Copy, Debug)]
-pub struct Request<'a> {
+pub struct RequestAttributes<'a> {
     /// Name of the plain service that is called; `None` for requests to engines.
     pub service: Option<&'a str>,
     /// HTTP method in upper case.
@@ -88,7 +88,7 @@
 impl Matcher {
     /// Returns whether the request meets every condition.
     #[must_use]
-    pub fn holds(&self, request: &Request<'_>) -> bool {
+    pub fn holds(&self, request: &RequestAttributes<'_>) -> bool {
         let same = |want: Option<&str>, got: Option<&str>| want.is_none() || want == got;
         same(self.service.as_ref().map(ServiceName::as_str), request.service)
             && same(self.model.as_ref().map(ModelName::as_str), request.model)
@@ -103,11 +103,11 @@
 
 impl Class {
     /// Checks the fields of the class by themselves, without regard to the other classes.
-    pub(crate) fn check(&self, problems: &mut Problems, path: &str) {
+    pub(crate) fn check(&self, problems: &mut ValidationErrors, path: &str) {
         self.targets.check(problems, &format!("{path}.targets"));
         self.matches.check(problems, &format!("{path}.matches"));
         // Engine requests are resumed and replayed on other engines, so at-most-once can't be promised for them.
-        let at_most_once = self.repeat == Repeat::AtMostOnce;
+        let at_most_once = self.repeat == RetrySafety::AtMostOnce;
         problems.check(
             !at_most_once || self.matches.service.is_some(),
             &format!("{path}.repeat"),
@@ -132,7 +132,7 @@
             && other.prompt_up_to.map_or(self.prompt_up_to.is_none(), limit_within)
     }
 
-    fn check(&self, problems: &mut Problems, path: &str) {
+    fn check(&self, problems: &mut ValidationErrors, path: &str) {
         if let Some(service) = &self.service {
             problems.check(service.is_valid(), &format!("{path}.service"), service, NAME_FORM);
         }
@@ -165,7 +165,7 @@
 }
 
 impl Targets {
-    fn check(&self, problems: &mut Problems, path: &str) {
+    fn check(&self, problems: &mut ValidationErrors, path: &str) {
         let mut check = |name: &str, value: Option<u64>| {
             let in_range = value.is_none_or(|ms| (1..=MAX_TARGET_MS).contains(&ms));
             problems.check(
--- a/crates/contract/src/config.rs
+++ b/crates/contract/src/config.rs
@@ -5,7 +5,9 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{ChangeId, Contract, CustomerId, HostId, HostRule, KeyHash, Problems, Revision, UpstreamId, UpstreamSpec};
+use crate::{
+    ChangeId, Contract, CustomerId, HostId, HostRule, KeyHash, Revision, UpstreamId, UpstreamSpec, ValidationErrors,
+};
 
 /// Contracts, upstreams and capacity settings at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -77,7 +79,7 @@
     ///
     /// # Errors
     /// Returns the fields that failed validation.
-    pub fn validate(&self) -> Result<(), Problems> {
+    pub fn validate(&self) -> Result<(), ValidationErrors> {
         match self {
             Self::PutContract(contract) => contract.validate(),
             Self::PutUpstream(spec) => spec.validate(),
@@ -98,7 +100,7 @@
     ///
     /// # Errors
     /// Returns the fields that failed validation.
-    pub fn check(&self, change: &Change) -> Result<(), Problems> {
+    pub fn check(&self, change: &Change) -> Result<(), ValidationErrors> {
         change.validate()?;
         let Change::PutContract(contract) = change else {
             return Ok(());
@@ -110,7 +112,7 @@
         let used: HashSet<&KeyHash> = others
             .flat_map(|other| other.accounts.iter().map(|account| &account.key_hash))
             .collect();
-        let mut problems = Problems::default();
+        let mut problems = ValidationErrors::default();
         for (at, account) in contract.accounts.iter().enumerate() {
             problems.check(
                 !used.contains(&account.key_hash),
--- a/crates/contract/src/customer.rs
+++ b/crates/contract/src/customer.rs
@@ -7,8 +7,8 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::class::{Class, NAME_FORM, Request};
-use crate::{AccountName, CustomerId, Problems};
+use crate::class::{Class, NAME_FORM, RequestAttributes};
+use crate::{AccountName, CustomerId, ValidationErrors};
 
 /// Most accounts in one contract.
 pub const MAX_ACCOUNTS: usize = 1_000;
@@ -26,7 +26,7 @@
     /// Accounts that may call in the name of the customer; 1 to [`MAX_ACCOUNTS`].
     pub accounts: Vec<Account>,
     /// Limits that apply over all entry hosts together.
-    pub limits: Limits,
+    pub limits: CustomerLimits,
     /// Fair-share weight against other customers when capacity is short; 1 to 10000.
     pub share: u32,
     /// Service classes, 1 to [`MAX_CLASSES`]; the first class that matches a request applies.
@@ -71,7 +71,7 @@
 /// Rate and concurrency limits of a customer over all entry hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Limits {
+pub struct CustomerLimits {
     /// Requests per second; above 0.
     pub requests_per_s: f64,
     /// Tokens per second, prompt and completion together; above 0.
@@ -83,7 +83,7 @@
 impl Contract {
     /// Returns the first class that matches a request, or `None` when no class does.
     #[must_use]
-    pub fn class_of(&self, request: &Request<'_>) -> Option<&Class> {
+    pub fn class_of(&self, request: &RequestAttributes<'_>) -> Option<&Class> {
         self.classes.iter().find(|class| class.matches.holds(request))
     }
 
@@ -91,8 +91,8 @@
     ///
     /// # Errors
     /// Returns the fields that are out of range, empty or duplicated.
-    pub fn validate(&self) -> Result<(), Problems> {
-        let mut problems = Problems::default();
+    pub fn validate(&self) -> Result<(), ValidationErrors> {
+        let mut problems = ValidationErrors::default();
         problems.check(self.customer.is_valid(), "customer", &self.customer, NAME_FORM);
         problems.check((1..=10_000).contains(&self.share), "share", &self.share, "1 to 10000");
         self.check_limits(&mut problems);
@@ -101,7 +101,7 @@
         problems.into_result()
     }
 
-    fn check_limits(&self, problems: &mut Problems) {
+    fn check_limits(&self, problems: &mut ValidationErrors) {
         let positive = |value: f64| value.is_finite() && value > 0.0;
         let limits = self.limits;
         problems.check(
@@ -124,7 +124,7 @@
         );
     }
 
-    fn check_accounts(&self, problems: &mut Problems) {
+    fn check_accounts(&self, problems: &mut ValidationErrors) {
         let count = self.accounts.len();
         problems.check(
             (1..=MAX_ACCOUNTS).contains(&count),
@@ -159,7 +159,7 @@
         }
     }
 
-    fn check_classes(&self, problems: &mut Problems) {
+    fn check_classes(&self, problems: &mut ValidationErrors) {
         let count = self.classes.len();
         problems.check((1..=MAX_CLASSES).contains(&count), "classes", &count, "1 to 64 classes");
         let mut names = BTreeSet::new();
--- a/crates/contract/src/delta.rs
+++ b/crates/contract/src/delta.rs
@@ -9,24 +9,24 @@
 
 /// The changes that lead from one catalog version to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Delta {
+pub struct CatalogDelta {
     /// Version that the delta applies to; `None` when it holds the whole catalog.
     pub base: Option<u64>,
     /// Version that results from applying the delta.
     pub version: u64,
     /// Changed and removed routes.
-    pub routes: Changes<Route, RouteKey>,
+    pub routes: ListChanges<Route, RouteKey>,
     /// Changed and removed services.
-    pub services: Changes<Service, ServiceName>,
+    pub services: ListChanges<Service, ServiceName>,
     /// Changed and removed client accounts.
-    pub accounts: Changes<ClientAccount, String>,
+    pub accounts: ListChanges<ClientAccount, String>,
     /// Caller limits of the new version; sent whole.
     pub limits: CallerLimits,
 }
 
 /// Changes of a list of keyed items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changes<T, K> {
+pub struct ListChanges<T, K> {
     /// New and changed items; they replace all items with the same keys.
     pub put: Vec<T>,
     /// Keys of removed items.
@@ -78,16 +78,16 @@
     }
 }
 
-impl Delta {
+impl CatalogDelta {
     /// Returns the changes that lead from `old` to `new`.
     #[must_use]
     pub fn between(old: &Catalog, new: &Catalog) -> Self {
         Self {
             base: Some(old.version),
             version: new.version,
-            routes: Changes::between(&old.routes, &new.routes),
-            services: Changes::between(&old.services, &new.services),
-            accounts: Changes::between(&old.accounts, &new.accounts),
+            routes: ListChanges::between(&old.routes, &new.routes),
+            services: ListChanges::between(&old.services, &new.services),
+            accounts: ListChanges::between(&old.accounts, &new.accounts),
             limits: new.limits,
         }
     }
@@ -102,7 +102,7 @@
     }
 }
 
-impl<T, K> Changes<T, K>
+impl<T, K> ListChanges<T, K>
 where
     T: Keyed<Key = K> + Clone + PartialEq,
     K: Clone + Eq + Hash,
--- a/crates/contract/src/error.rs
+++ b/crates/contract/src/error.rs
@@ -19,13 +19,13 @@
 /// All fields that failed validation, reported as one error.
 #[derive(Clone, Debug, Default, derive_more::Display, Error, PartialEq, Eq)]
 #[display("{}", self.joined())]
-pub struct Problems {
+pub struct ValidationErrors {
     /// The invalid fields in the order in which they were checked.
     #[error(not(source))]
     pub fields: Vec<FieldError>,
 }
 
-impl Problems {
+impl ValidationErrors {
     /// Adds an invalid field.
     pub fn add(&mut self, field: impl Into<String>, value: &dyn Display, allowed: impl Into<String>) {
         self.fields.push(FieldError {
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -14,17 +14,17 @@
 mod upstream;
 
 pub use catalog::{
-    CallerLimits, Catalog, ClientAccount, EngineSpec, Quota, Repeatable, Route, Scaling, Service, Share,
+    CallerLimits, Catalog, ClientAccount, EngineSpec, Quota, RetryMode, Route, Scaling, Service, WeightedService,
 };
-pub use class::{Class, Matcher, Repeat, Request, Targets};
+pub use class::{Class, Matcher, RequestAttributes, RetrySafety, Targets};
 pub use config::{Change, ChangeRecord, Config};
-pub use customer::{Account, Contract, KeyHash, Limits, MAX_ACCOUNTS, MAX_CLASSES};
-pub use delta::{Changes, Delta, Keyed, RouteKey};
-pub use error::{FieldError, Problems};
-pub use listed::Listed;
+pub use customer::{Account, Contract, CustomerLimits, KeyHash, MAX_ACCOUNTS, MAX_CLASSES};
+pub use delta::{CatalogDelta, Keyed, ListChanges, RouteKey};
+pub use error::{FieldError, ValidationErrors};
+pub use listed::ListedUpstream;
 pub use name::{
     AccountName, ChangeId, ClassName, CustomerId, DataCenter, HostId, ModelName, NodeId, RequestId, Revision,
     ServiceName, UpstreamId, Zone,
 };
 pub use rule::HostRule;
-pub use upstream::{HostSpec, MachineClass, UpstreamKind, UpstreamSpec};
+pub use upstream::{HostClass, HostSpec, UpstreamKind, UpstreamSpec};
--- a/crates/contract/src/listed.rs
+++ b/crates/contract/src/listed.rs
@@ -9,7 +9,7 @@
 
 /// An entry of the platform's list of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedUpstream {
     /// Name of the upstream; a restarted one may keep it.
     pub id: String,
     /// Incarnation: an upstream can restart under its old name with empty state, and then has another number here.
--- a/crates/contract/src/rule.rs
+++ b/crates/contract/src/rule.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{MachineClass, ModelName, Problems, Zone};
+use crate::{HostClass, ModelName, ValidationErrors, Zone};
 
 /// Most hosts in one rule.
 const MAX_HOSTS: u32 = 10_000;
@@ -18,7 +18,7 @@
     /// Zone of the hosts.
     pub zone: Zone,
     /// Whether the hosts can be reclaimed.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Fewest hosts; at most `most`.
     pub least: u32,
     /// Most hosts; at most 10000.
@@ -36,9 +36,9 @@
     ///
     /// # Errors
     /// Returns the fields that are empty or out of range.
-    pub fn validate(&self) -> Result<(), Problems> {
+    pub fn validate(&self) -> Result<(), ValidationErrors> {
         const NAME_FORM: &str = "a name of letters, digits and -_.:/";
-        let mut problems = Problems::default();
+        let mut problems = ValidationErrors::default();
         problems.check(self.model.is_valid(), "model", &self.model, NAME_FORM);
         problems.check(self.zone.is_valid(), "zone", &self.zone, NAME_FORM);
         problems.check(self.most <= MAX_HOSTS, "most", &self.most, "0 to 10000");
--- a/crates/contract/src/settings.rs
+++ b/crates/contract/src/settings.rs
@@ -1,14 +1,14 @@
 //! Settings from flags and environment variables, validated together at program start.
 //!
-//! A program defines each of its settings as a constant [`Setting`]. A [`Sheet`] takes the flag first, then the
-//! environment variable, then the default; it collects all errors and reports them at once.
+//! A program defines each of its settings as a constant [`Setting`]. A [`SettingsReader`] takes the flag first, then
+//! the environment variable, then the default; it collects all errors and reports them at once.
 
 use std::fmt::Write as _;
 use std::str::FromStr;
 
 use std::fmt::Display;
 
-use crate::Problems;
+use crate::ValidationErrors;
 
 /// Definition of a setting; the settings reference page is generated from these.
 #[derive(Clone, Copy, Debug)]
@@ -58,8 +58,8 @@
 
 /// Reads the settings of a program and collects their values and errors.
 #[derive(Debug, Default)]
-pub struct Sheet {
-    problems: Problems,
+pub struct SettingsReader {
+    problems: ValidationErrors,
     rows: Vec<Row>,
 }
 
@@ -70,8 +70,8 @@
     origin: Origin,
 }
 
-impl Sheet {
-    /// Reads and parses a setting; [`Sheet::finish`] reports the errors.
+impl SettingsReader {
+    /// Reads and parses a setting; [`SettingsReader::finish`] reports the errors.
     ///
     /// Returns `None` only if an error was recorded.
     pub fn read<T: FromStr>(&mut self, setting: &'static Setting, flag: Option<&str>) -> Option<T> {
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     /// Returns every recorded error.
-    pub fn finish(&self) -> Result<(), Problems> {
+    pub fn finish(&self) -> Result<(), ValidationErrors> {
         self.problems.clone().into_result()
     }
 
@@ -150,12 +150,12 @@
 ///
 /// # Errors
 /// Returns every setting that is missing or invalid.
-pub fn begin<S>(
+pub fn load<S>(
     print: bool,
     check: bool,
-    read: impl FnOnce(&mut Sheet) -> Result<S, Problems>,
-) -> Result<Option<S>, Problems> {
-    let mut reader = Sheet::default();
+    read: impl FnOnce(&mut SettingsReader) -> Result<S, ValidationErrors>,
+) -> Result<Option<S>, ValidationErrors> {
+    let mut reader = SettingsReader::default();
     let settings = read(&mut reader);
     if print {
         print!("{}", reader.render());
@@ -179,7 +179,7 @@
 
 /// Renders the reference table of a program's settings in Markdown.
 #[must_use]
-pub fn reference(program: &str, settings: &[&Setting]) -> String {
+pub fn reference_table(program: &str, settings: &[&Setting]) -> String {
     let mut text =
         format!("## {program}\n\n| flag | environment | default | allowed | meaning |\n|---|---|---|---|---|\n");
     for setting in settings {
--- a/crates/contract/src/upstream.rs
+++ b/crates/contract/src/upstream.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{DataCenter, HostId, ModelName, Problems, ServiceName, UpstreamId, Zone};
+use crate::{DataCenter, HostId, ModelName, ServiceName, UpstreamId, ValidationErrors, Zone};
 
 /// An engine or service that requests can be sent to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     /// Data centre of the host.
     pub data_center: DataCenter,
     /// Whether the cloud may reclaim the host.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Price in micro-dollars per hour.
     pub price: u64,
 }
@@ -46,7 +46,7 @@
 /// Whether the cloud may reclaim a host.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum MachineClass {
+pub enum HostClass {
     /// Cheap (spot); the cloud reclaims it with seconds of notice.
     #[display("reclaimable")]
     Reclaimable,
@@ -80,9 +80,9 @@
     ///
     /// # Errors
     /// Returns the fields that are empty or out of range.
-    pub fn validate(&self) -> Result<(), Problems> {
+    pub fn validate(&self) -> Result<(), ValidationErrors> {
         const FORM: &str = "a name of letters, digits and -_.:/";
-        let mut problems = Problems::default();
+        let mut problems = ValidationErrors::default();
         problems.check(self.id.is_valid(), "id", &self.id, FORM);
         problems.check(self.host.id.is_valid(), "host.id", &self.host.id, FORM);
         problems.check(self.host.zone.is_valid(), "host.zone", &self.host.zone, FORM);
--- a/crates/contract/tests/contract_checks.rs
+++ b/crates/contract/tests/contract_checks.rs
@@ -1,6 +1,8 @@
 //! Validation of contracts, which reports every invalid field.
 
-use contract::{Account, Change, Class, Config, Contract, KeyHash, Limits, Matcher, Repeat, Request, Targets};
+use contract::{
+    Account, Change, Class, Config, Contract, CustomerLimits, KeyHash, Matcher, RequestAttributes, RetrySafety, Targets,
+};
 
 fn sample() -> Contract {
     let targets = Targets {
@@ -15,7 +17,7 @@
             ..Matcher::default()
         },
         targets,
-        repeat: Repeat::Idempotent,
+        repeat: RetrySafety::Idempotent,
         shed: 0,
     };
     Contract {
@@ -24,7 +26,7 @@
             name: "counter".into(),
             key_hash: KeyHash::of("key-1"),
         }],
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 10.0,
             tokens_per_s: 5_000.0,
             concurrency: 16,
@@ -139,10 +141,10 @@
     let text = validation_error(|class| {
         class.matches.service = None;
         class.matches.model = Some("counter-1".into());
-        class.repeat = Repeat::AtMostOnce;
+        class.repeat = RetrySafety::AtMostOnce;
     });
     assert!(text.contains("classes[0].repeat: at_most_once"), "{text}");
-    assert_eq!(validation_error(|class| class.repeat = Repeat::AtMostOnce), "");
+    assert_eq!(validation_error(|class| class.repeat = RetrySafety::AtMostOnce), "");
 }
 
 /// Guards against a class that an earlier, wider class makes unreachable. The first match applies, so a call that must
@@ -196,7 +198,7 @@
 #[test]
 fn first_matching_class() {
     let contract = sample();
-    let call = Request {
+    let call = RequestAttributes {
         service: Some("till"),
         method: "GET",
         route: "/stock",
@@ -204,7 +206,7 @@
         prompt_tokens: 0,
     };
     assert_eq!(contract.class_of(&call).unwrap().name.as_str(), "till");
-    let chat = Request {
+    let chat = RequestAttributes {
         service: None,
         method: "POST",
         route: "",
--- a/crates/contract/tests/settings_sheet.rs
+++ b/crates/contract/tests/settings_sheet.rs
@@ -1,6 +1,6 @@
 //! Reading of settings: flags take precedence over the environment, and the environment over defaults.
 
-use contract::settings::{List, Setting, Sheet};
+use contract::settings::{List, Setting, SettingsReader};
 
 static PORT: Setting = Setting {
     flag: "port",
@@ -21,7 +21,7 @@
 
 #[test]
 fn precedence_order() {
-    let mut reader = Sheet::default();
+    let mut reader = SettingsReader::default();
     let env = |_: &str| Some("81".to_owned());
     assert_eq!(reader.read_from::<u16>(&PORT, Some("82"), env), Some(82));
     assert_eq!(reader.read_from::<u16>(&PORT, None, env), Some(81));
@@ -31,7 +31,7 @@
 
 #[test]
 fn reports_all_errors() {
-    let mut reader = Sheet::default();
+    let mut reader = SettingsReader::default();
     assert_eq!(reader.read_from::<u16>(&PORT, Some("many"), |_| None), None);
     assert_eq!(reader.read_from::<u16>(&KEY, Some("hunter2"), |_| None), None);
     let text = reader.finish().unwrap_err().to_string();
--- a/crates/ctl/src/burn.rs
+++ b/crates/ctl/src/burn.rs
@@ -1,7 +1,7 @@
 //! `gentianctl burn`.
 
 use serde_json::Value;
-use telemetry::burn::{Part, Report, ReportRow};
+use telemetry::burn::{NodeCounts, Report, ReportRow};
 use telemetry::clock::wall_ms;
 use wire::entry::EntryRpcClient;
 
@@ -30,7 +30,7 @@
     );
     let mut parts = Vec::new();
     for (peer, value) in answers.good {
-        let own: Vec<Part> = serde_json::from_value(value)
+        let own: Vec<NodeCounts> = serde_json::from_value(value)
             .map_err(|error| anyhow::anyhow!("burn at {peer}: {error}; is it of another version?"))?;
         parts.extend(own);
     }
--- a/crates/ctl/src/capacity.rs
+++ b/crates/ctl/src/capacity.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use argh::FromArgs;
-use contract::{HostRule, MachineClass, ModelName, Zone};
+use contract::{HostClass, HostRule, ModelName, Zone};
 use serde_json::{Value, json};
 
 use crate::admin::{Admin, Ask};
@@ -167,8 +167,8 @@
 
 fn rule(model: &str, zone: &str, class: &str, least: u32, most: u32) -> anyhow::Result<HostRule> {
     let class = match class {
-        "reclaimable" => MachineClass::Reclaimable,
-        "on_demand" => MachineClass::OnDemand,
+        "reclaimable" => HostClass::Reclaimable,
+        "on_demand" => HostClass::OnDemand,
         _ => anyhow::bail!("--class: {class} is not allowed, expected reclaimable or on_demand"),
     };
     let rule = HostRule {
--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use contract::{Config, Contract, CustomerId, Limits};
+use contract::{Config, Contract, CustomerId, CustomerLimits};
 use policy::Tick;
 use policy::limits::{Bucket, CustomerShare, DemandMeter, LimitAmounts, PeerDemand, owned_part};
 use wire::digest::{self, Demand};
@@ -26,7 +26,7 @@
 /// One customer's limits at this host.
 #[derive(Debug)]
 struct Meter {
-    limits: Limits,
+    limits: CustomerLimits,
     share: CustomerShare,
     requests: Bucket,
     tokens: Bucket,
--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -6,7 +6,7 @@
 
 use metrics::counter;
 use serde_json::{Value, json};
-use telemetry::burn::Part;
+use telemetry::burn::NodeCounts;
 use telemetry::clock::wall_ms;
 use wire::Envelope;
 use wire::client::RpcRuntime;
@@ -20,7 +20,7 @@
 
 /// Gives what this process counted and what it remembers of others.
 #[must_use]
-pub fn parts(entry: &Entry) -> Vec<Part> {
+pub fn parts(entry: &Entry) -> Vec<NodeCounts> {
     let own = entry.burn.node_counts(&entry.settings.node, wall_ms() / 1_000);
     std::iter::once(own).chain(entry.burn.peer_counts()).collect()
 }
@@ -85,7 +85,7 @@
     let client = calls.client(peer, Duration::ZERO);
     let answer = client.ok().and_then(|client| calls.wait(client.burn(message)).ok());
     let parts = answer.and_then(|answer| {
-        let parts: Vec<Part> = serde_json::from_value(answer.body).ok()?;
+        let parts: Vec<NodeCounts> = serde_json::from_value(answer.body).ok()?;
         // What the peer remembers of others is remembered there; only its own counts are kept here.
         Some(parts.into_iter().filter(|part| part.node == answer.from).collect())
     });
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -77,7 +77,7 @@
 
 /// Finds the class of a request.
 pub(super) fn class<'a>(contract: &'a Contract, ask: &Ask) -> Option<&'a Class> {
-    contract.class_of(&contract::Request {
+    contract.class_of(&contract::RequestAttributes {
         service: None,
         method: "POST",
         route: "/v1/chat/completions",
--- a/crates/entry/src/callers/service.rs
+++ b/crates/entry/src/callers/service.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use contract::{Class, Contract, Repeat, RequestId, UpstreamId, UpstreamSpec};
+use contract::{Class, Contract, RequestId, RetrySafety, UpstreamId, UpstreamSpec};
 use metrics::counter;
 use policy::prefix::Prefix;
 use policy::route::{RequestNeed, Target};
@@ -94,8 +94,8 @@
         meter,
     };
     let answer = match class.repeat {
-        Repeat::Idempotent => run.repeatable(),
-        Repeat::AtMostOnce => run.once(caller.head.header(IDEMPOTENCY_HEADER)),
+        RetrySafety::Idempotent => run.repeatable(),
+        RetrySafety::AtMostOnce => run.once(caller.head.header(IDEMPOTENCY_HEADER)),
     };
     let answer = answer.map_err(|failure| problem::counted(failure, &run.meter, entry.clock.now()))?;
     let end = if answer.status < 500 {
@@ -121,7 +121,7 @@
 }
 
 fn class<'a>(contract: &'a Contract, head: &Head, service: &str, path: &str) -> Result<&'a Class, Problem> {
-    let asked = contract::Request {
+    let asked = contract::RequestAttributes {
         service: Some(service),
         method: &head.method,
         route: path.split('?').next().unwrap_or_default(),
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::bounded;
 use policy::Tick;
 use slog::info;
-use wire::entry::{Handover, HostSignal, Sign};
+use wire::entry::{Handover, HostSignal, HostSignalKind};
 
 use crate::Entry;
 use crate::journal::Journal;
@@ -28,10 +28,10 @@
 /// A sign about an earlier host of the same name comes late when the new one already serves, and must not end it.
 pub fn hear(entry: &Entry, sign: &HostSignal) {
     let own = sign.host == entry.settings.host && sign.incarnation >= entry.settings.incarnation;
-    if !own || sign.sign == Sign::Serving {
+    if !own || sign.sign == HostSignalKind::Serving {
         return;
     }
-    if let Sign::Notice { left_ms } = sign.sign {
+    if let HostSignalKind::Notice { left_ms } = sign.sign {
         entry.will_go(Duration::from_millis(left_ms));
     }
     entry.told.store(true, Ordering::SeqCst);
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -146,19 +146,19 @@
     HostSignal {
         host: notice.host,
         incarnation: notice.incarnation,
-        sign: wire_entry::Sign::Notice {
+        sign: wire_entry::HostSignalKind::Notice {
             left_ms: notice.left_ms,
         },
     }
 }
 
-const fn from_wire(sign: wire_entry::Sign) -> HostEvent {
+const fn from_wire(sign: wire_entry::HostSignalKind) -> HostEvent {
     match sign {
-        wire_entry::Sign::Notice { left_ms } => HostEvent::Leaves {
+        wire_entry::HostSignalKind::Notice { left_ms } => HostEvent::Leaves {
             left: Some(Duration::from_millis(left_ms)),
         },
-        wire_entry::Sign::Leaving | wire_entry::Sign::Drain => HostEvent::Leaves { left: None },
-        wire_entry::Sign::Gone => HostEvent::Gone,
-        wire_entry::Sign::Serving => HostEvent::Answered,
+        wire_entry::HostSignalKind::Leaving | wire_entry::HostSignalKind::Drain => HostEvent::Leaves { left: None },
+        wire_entry::HostSignalKind::Gone => HostEvent::Gone,
+        wire_entry::HostSignalKind::Serving => HostEvent::Answered,
     }
 }
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use contract::settings::{self, Sheet};
+use contract::settings::{self, SettingsReader};
 use entry::cli::Options;
 use entry::rpc::Rpc;
 use entry::settings::Settings;
@@ -31,8 +31,8 @@
 }
 
 fn run(options: &Options) -> anyhow::Result<()> {
-    let read = |sheet: &mut Sheet| Settings::read(options, sheet);
-    let Some(settings) = settings::begin(options.print_settings, options.check_settings, read)? else {
+    let read = |sheet: &mut SettingsReader| Settings::read(options, sheet);
+    let Some(settings) = settings::load(options.print_settings, options.check_settings, read)? else {
         return Ok(());
     };
     let logger = log::start(settings.log, "gentian-entry", settings.node.as_str());
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use contract::setting;
-use contract::settings::{List, Setting, Sheet};
-use contract::{DataCenter, HostId, NodeId, Problems};
+use contract::settings::{List, Setting, SettingsReader};
+use contract::{DataCenter, HostId, NodeId, ValidationErrors};
 use policy::route::{Ablation, Routing};
 use telemetry::log::Format;
 
@@ -239,7 +239,7 @@
     ///
     /// # Errors
     /// Returns every setting that is missing or not allowed.
-    pub fn read(options: &Options, sheet: &mut Sheet) -> Result<Self, Problems> {
+    pub fn read(options: &Options, sheet: &mut SettingsReader) -> Result<Self, ValidationErrors> {
         let some = 1..=4_096;
         let node = sheet.read::<String>(&NODE, options.node.as_deref()).map(NodeId::from);
         let node = sheet.check(&NODE, node, NodeId::is_valid);
@@ -296,6 +296,6 @@
                 log: log?,
             })
         };
-        settings().ok_or_else(Problems::default)
+        settings().ok_or_else(ValidationErrors::default)
     }
 }
--- a/crates/entry/tests/admission_waits.rs
+++ b/crates/entry/tests/admission_waits.rs
@@ -4,7 +4,7 @@
 use std::thread::{scope, sleep, spawn};
 use std::time::Duration;
 
-use contract::{Account, Class, Contract, KeyHash, Limits, Matcher, Repeat, Targets};
+use contract::{Account, Class, Contract, CustomerLimits, KeyHash, Matcher, RetrySafety, Targets};
 use entry::admission::{Admission, Work};
 use entry::fleet::Size;
 use policy::Tick;
@@ -23,7 +23,7 @@
         name: "all".into(),
         matches: Matcher::default(),
         targets,
-        repeat: Repeat::Idempotent,
+        repeat: RetrySafety::Idempotent,
         shed: 0,
     };
     let account = Account {
@@ -33,7 +33,7 @@
     Contract {
         customer: customer.into(),
         accounts: vec![account],
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 100_000.0,
             tokens_per_s: 100_000_000.0,
             concurrency: 10_000,
--- a/crates/entry/tests/burn_counts.rs
+++ b/crates/entry/tests/burn_counts.rs
@@ -4,12 +4,12 @@
 
 use common::ask::call;
 use common::{Host, config, fake, free_address, service};
-use telemetry::burn::{Cause, Part, Report, WindowBurn};
+use telemetry::burn::{Cause, NodeCounts, Report, WindowBurn};
 use telemetry::clock::wall_ms;
 
 fn window(host: &Host, class: &str) -> WindowBurn {
     let now_s = wall_ms() / 1_000;
-    let parts: Vec<Part> = entry::burn::parts(&host.entry);
+    let parts: Vec<NodeCounts> = entry::burn::parts(&host.entry);
     let report = Report::new(parts, Vec::new(), now_s);
     let mut rows = report.rows.into_iter().filter(|row| row.class.as_str() == class);
     rows.next().expect("the class was counted").windows.remove(1)
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -14,10 +14,10 @@
 use std::sync::{Arc, Once};
 use std::time::Duration;
 
-use contract::settings::Sheet;
+use contract::settings::SettingsReader;
 use contract::{
-    Account, Class, Config, Contract, HostSpec, KeyHash, Limits, MachineClass, Matcher, Repeat, Revision, Targets,
-    UpstreamKind, UpstreamSpec,
+    Account, Class, Config, Contract, CustomerLimits, HostClass, HostSpec, KeyHash, Matcher, RetrySafety, Revision,
+    Targets, UpstreamKind, UpstreamSpec,
 };
 use entry::cli::Options;
 use entry::rpc::Rpc;
@@ -62,7 +62,7 @@
             inner: Some(inner.to_string()),
             ..options
         };
-        let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
+        let settings = Settings::read(&options, &mut SettingsReader::default()).unwrap();
         let calls = RpcRuntime::start(2, Duration::from_secs(5)).unwrap();
         let entry = Arc::new(Entry::new(settings, Logger::root(Discard, o!()), &calls).unwrap());
         let news = Watched {
@@ -201,12 +201,12 @@
         name: name.into(),
         key_hash: KeyHash::of(key),
     };
-    let mut deposits = class("deposit", Some("POST"), Some("/deposits"), Repeat::AtMostOnce);
+    let mut deposits = class("deposit", Some("POST"), Some("/deposits"), RetrySafety::AtMostOnce);
     deposits.matches.service = Some("till".into());
     Contract {
         customer: "tan-seng-huat".into(),
         accounts: vec![account("counter", KEY), account("till", OTHER_KEY)],
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 10_000.0,
             tokens_per_s: 10_000_000.0,
             concurrency: 1_000,
@@ -214,14 +214,14 @@
         share: 3,
         classes: vec![
             deposits,
-            class("search", Some("POST"), Some("/search"), Repeat::Idempotent),
-            class("lookup", Some("GET"), None, Repeat::Idempotent),
-            class("all", None, None, Repeat::Idempotent),
+            class("search", Some("POST"), Some("/search"), RetrySafety::Idempotent),
+            class("lookup", Some("GET"), None, RetrySafety::Idempotent),
+            class("all", None, None, RetrySafety::Idempotent),
         ],
     }
 }
 
-fn class(name: &str, method: Option<&str>, route: Option<&str>, repeat: Repeat) -> Class {
+fn class(name: &str, method: Option<&str>, route: Option<&str>, repeat: RetrySafety) -> Class {
     Class {
         name: name.into(),
         matches: Matcher {
@@ -271,7 +271,7 @@
             incarnation: 0,
             zone: "zone-a".into(),
             data_center: "dc-1".into(),
-            class: MachineClass::Reclaimable,
+            class: HostClass::Reclaimable,
             price: 1,
         },
         slots: 16,
--- a/crates/entry/tests/digest_exchange.rs
+++ b/crates/entry/tests/digest_exchange.rs
@@ -6,8 +6,8 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
-use contract::settings::Sheet;
-use contract::{Account, Class, Config, Contract, KeyHash, Limits, Matcher, Repeat, Revision, Targets};
+use contract::settings::SettingsReader;
+use contract::{Account, Class, Config, Contract, CustomerLimits, KeyHash, Matcher, RetrySafety, Revision, Targets};
 use entry::cli::Options;
 use entry::settings::Settings;
 use entry::{Entry, exchange};
@@ -40,7 +40,7 @@
             peers: Some(format!("{},{address}", peers.join(","))),
             ..Options::default()
         };
-        let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
+        let settings = Settings::read(&options, &mut SettingsReader::default()).unwrap();
         let calls = RpcRuntime::start(1, Duration::from_secs(1)).unwrap();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let entry = Arc::new(Entry::new(settings, logger, &calls).unwrap());
@@ -88,7 +88,7 @@
         name: "all".into(),
         matches: Matcher::default(),
         targets,
-        repeat: Repeat::Idempotent,
+        repeat: RetrySafety::Idempotent,
         shed: 0,
     };
     let account = Account {
@@ -98,7 +98,7 @@
     Contract {
         customer: "mwangaza".into(),
         accounts: vec![account],
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 100.0,
             tokens_per_s: 1_000.0,
             concurrency: 10,
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use wire::Envelope;
 use wire::client::RpcRuntime;
-use wire::entry::{EntryRpcClient, Handover, HostSignal, Sign};
+use wire::entry::{EntryRpcClient, Handover, HostSignal, HostSignalKind};
 
 const TOKENS: u64 = 400;
 
@@ -39,7 +39,7 @@
     let sign = HostSignal {
         host: "vm-0".into(),
         incarnation: 0,
-        sign: Sign::Notice { left_ms },
+        sign: HostSignalKind::Notice { left_ms },
     };
     let message = Envelope::new(&"capacity-1".into(), Revision(1), vec![sign]);
     calls.wait(client.hosts(message)).unwrap();
@@ -135,11 +135,11 @@
         sign,
     };
     let told = || host.entry.told.load(std::sync::atomic::Ordering::SeqCst);
-    drain::hear(&host.entry, &sign(1, Sign::Gone));
-    drain::hear(&host.entry, &sign(1, Sign::Notice { left_ms: 5 }));
-    drain::hear(&host.entry, &sign(2, Sign::Serving));
+    drain::hear(&host.entry, &sign(1, HostSignalKind::Gone));
+    drain::hear(&host.entry, &sign(1, HostSignalKind::Notice { left_ms: 5 }));
+    drain::hear(&host.entry, &sign(2, HostSignalKind::Serving));
     assert!(!told() && host.entry.gone_at().is_none());
-    drain::hear(&host.entry, &sign(2, Sign::Notice { left_ms: 5 }));
+    drain::hear(&host.entry, &sign(2, HostSignalKind::Notice { left_ms: 5 }));
     assert!(told() && host.entry.gone_at().is_some());
 }
 
--- a/crates/entry/tests/host_signs.rs
+++ b/crates/entry/tests/host_signs.rs
@@ -11,7 +11,7 @@
 use entry::hosts;
 use wire::Envelope;
 use wire::client::RpcRuntime;
-use wire::entry::{EntryRpcClient, HostSignal, Sign};
+use wire::entry::{EntryRpcClient, HostSignal, HostSignalKind};
 use wire::state::Watched;
 
 /// Waits until no new work goes to a host.
@@ -77,7 +77,7 @@
     let sign = HostSignal {
         host: "host-a".into(),
         incarnation: 0,
-        sign: Sign::Notice { left_ms: 60_000 },
+        sign: HostSignalKind::Notice { left_ms: 60_000 },
     };
     let message = Envelope::new(&"capacity-1".into(), Revision(0), vec![sign]);
     calls.wait(client.hosts(message)).unwrap();
--- a/crates/entry/tests/stream_rescue.rs
+++ b/crates/entry/tests/stream_rescue.rs
@@ -9,7 +9,7 @@
 use contract::{Revision, UpstreamSpec};
 use entry::cli::Options;
 use serde_json::Value;
-use wire::entry::{HostSignal, Sign};
+use wire::entry::{HostSignal, HostSignalKind};
 use wire::state::Watched;
 
 /// An engine so slow that no long answer ends there before its host does.
@@ -50,7 +50,7 @@
         let sign = HostSignal {
             host: format!("host-{id}").as_str().into(),
             incarnation: 0,
-            sign: Sign::Notice { left_ms },
+            sign: HostSignalKind::Notice { left_ms },
         };
         host.entry.fleet.sign(&sign, host.entry.clock.now());
     }
--- a/crates/gateway/benches/rollout.rs
+++ b/crates/gateway/benches/rollout.rs
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-use contract::{Catalog, Delta, Route, ServiceName, Share};
+use contract::{Catalog, CatalogDelta, Route, ServiceName, WeightedService};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use gateway::catalog_copy::CatalogCopy;
 use gateway::routing_table::RoutingTable;
@@ -25,7 +25,7 @@
         timeout_ms: 15_000,
         target_ms: 600,
         attempts: 2,
-        split: vec![Share {
+        split: vec![WeightedService {
             service: ServiceName::from("assistant"),
             weight: 1,
         }],
@@ -88,7 +88,7 @@
         group.bench_function(BenchmarkId::new("node_answers", routes), |bencher| {
             bencher.iter(|| feed.next_parts(black_box(&request), &new));
         });
-        let (table, delta) = (RoutingTable::new(&old), Delta::between(&old, &new));
+        let (table, delta) = (RoutingTable::new(&old), CatalogDelta::between(&old, &new));
         group.bench_function(BenchmarkId::new("host_applies", routes), |bencher| {
             bencher.iter(|| table.with_delta(black_box(&delta)));
         });
--- a/crates/gateway/src/caller_connection.rs
+++ b/crates/gateway/src/caller_connection.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use contract::{Repeatable, Route};
+use contract::{RetryMode, Route};
 use metrics::counter;
 use policy::quota::OverQuota;
 use slog::info;
@@ -101,7 +101,7 @@
 
     /// Returns whether a request of a route is certain to end before the process does.
     fn ends_before_stop(&self, route: &Route) -> bool {
-        let streams = matches!(route.repeat, Repeatable::Stream | Repeatable::ResumableStream);
+        let streams = matches!(route.repeat, RetryMode::Stream | RetryMode::ResumableStream);
         let elapsed = self
             .stopping_since
             .get()
--- a/crates/gateway/src/catalog_copy.rs
+++ b/crates/gateway/src/catalog_copy.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::Delta;
+use contract::CatalogDelta;
 use derive_more::{Display, Error};
 use policy::paging::PageSize;
 use wire::catalog::{Follow, Followed, Resume, Transfer, TransferPart};
@@ -154,7 +154,7 @@
         self.apply_delta(&delta)
     }
 
-    fn apply_delta(&mut self, delta: &Delta) -> Result<(), TransferError> {
+    fn apply_delta(&mut self, delta: &CatalogDelta) -> Result<(), TransferError> {
         let held = self.version();
         let follows = delta.base.is_none() || delta.base == held;
         if !follows || Some(delta.version) <= held {
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use contract::{ClientAccount, EngineSpec, Listed, Quota, ServiceName, Zone};
+use contract::{ClientAccount, EngineSpec, ListedUpstream, Quota, ServiceName, Zone};
 use metrics::counter;
 use parking_lot::Mutex;
 use policy::Tick;
@@ -55,7 +55,7 @@
     /// Internal address of the leader of the state group; `None` while it is unknown.
     pub leader: ArcSwap<Option<SocketAddr>>,
     /// An upstream list that the event loop has not applied yet, with the time at which it was requested.
-    pub new_list: Mutex<Option<(Vec<Listed>, Tick)>>,
+    pub new_list: Mutex<Option<(Vec<ListedUpstream>, Tick)>>,
     /// When the latest upstream list was requested.
     pub list_time: ArcSwap<Option<Tick>>,
     /// Observations of upstreams by other entry hosts that the event loop has not applied yet, with the time at which
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use contract::{ClientAccount, Repeatable, Route, ServiceName};
+use contract::{ClientAccount, RetryMode, Route, ServiceName};
 use metrics::{counter, histogram};
 use rand::Rng;
 use slog::info;
@@ -229,7 +229,7 @@
             return Err(AttemptError::unknown("the answer is not the upstream's"));
         }
         let status = response.head.start.status;
-        let is_stream = matches!(self.route.repeat, Repeatable::Stream | Repeatable::ResumableStream);
+        let is_stream = matches!(self.route.repeat, RetryMode::Stream | RetryMode::ResumableStream);
         if is_stream && (200..300).contains(&status) {
             return stream::forward_stream(self, gateway, out, response, attempt, tried).await;
         }
@@ -267,7 +267,7 @@
 
     /// Returns whether the request may run more than once.
     pub(crate) fn is_idempotent(&self) -> bool {
-        matches!(self.route.repeat, Repeatable::Idempotent | Repeatable::ResumableStream)
+        matches!(self.route.repeat, RetryMode::Idempotent | RetryMode::ResumableStream)
     }
 
     /// Records that a part of the response is being sent.
--- a/crates/gateway/src/routing_table.rs
+++ b/crates/gateway/src/routing_table.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use contract::{CallerLimits, Catalog, Changes, ClientAccount, Delta, KeyHash, Route, RouteKey, Service, ServiceName};
+use contract::{
+    CallerLimits, Catalog, CatalogDelta, ClientAccount, KeyHash, ListChanges, Route, RouteKey, Service, ServiceName,
+};
 
 /// A version of the catalog.
 ///
@@ -30,12 +32,12 @@
     /// Builds the table of a whole catalog.
     #[must_use]
     pub fn new(catalog: &Catalog) -> Self {
-        Self::default().with_delta(&Delta::whole(catalog))
+        Self::default().with_delta(&CatalogDelta::whole(catalog))
     }
 
     /// Returns the table after a delta.
     #[must_use]
-    pub fn with_delta(&self, delta: &Delta) -> Self {
+    pub fn with_delta(&self, delta: &CatalogDelta) -> Self {
         let empty = Self::default();
         let old = if delta.base.is_some() { self } else { &empty };
         let mut next = old.clone();
@@ -47,7 +49,7 @@
         next
     }
 
-    fn apply_routes(&mut self, changes: &Changes<Route, RouteKey>) {
+    fn apply_routes(&mut self, changes: &ListChanges<Route, RouteKey>) {
         if changes.is_empty() {
             return;
         }
@@ -75,7 +77,7 @@
         }
     }
 
-    fn apply_services(&mut self, changes: &Changes<Service, ServiceName>) {
+    fn apply_services(&mut self, changes: &ListChanges<Service, ServiceName>) {
         if changes.is_empty() {
             return;
         }
@@ -88,7 +90,7 @@
         }
     }
 
-    fn apply_accounts(&mut self, changes: &Changes<ClientAccount, String>) {
+    fn apply_accounts(&mut self, changes: &ListChanges<ClientAccount, String>) {
         if changes.is_empty() {
             return;
         }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -9,7 +9,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::timeout;
 
-use contract::Repeatable;
+use contract::RetryMode;
 
 use crate::attempt::ActiveAttempt;
 use crate::events::{Event, EventError, EventParser};
@@ -151,7 +151,7 @@
     parser: &mut EventParser,
     sink: &mut EventSink<'_>,
 ) -> Result<(), ForwardError> {
-    let resumable = request.route.repeat == Repeatable::ResumableStream;
+    let resumable = request.route.repeat == RetryMode::ResumableStream;
     loop {
         let output_started = request.progress.get().output_started;
         let max_silence = (resumable && request.progress.get().sends < request.route.attempts)
@@ -246,7 +246,7 @@
     parser: &EventParser,
     tried: &mut Vec<String>,
 ) -> Option<EventSource> {
-    if request.route.repeat != Repeatable::ResumableStream {
+    if request.route.repeat != RetryMode::ResumableStream {
         return None;
     }
     loop {
--- a/crates/gateway/src/upstream_list.rs
+++ b/crates/gateway/src/upstream_list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use contract::Listed;
+use contract::ListedUpstream;
 use policy::Tick;
 use policy::paging::PageSize;
 use wire::registry::{Heartbeat, ListPosition, ListUpdate};
@@ -12,7 +12,7 @@
 const BYTES_PER_ENTRY: u32 = 256;
 
 /// Entries by upstream id, each with the time at which the list that brought it was requested.
-type Entries = BTreeMap<String, (Listed, Tick)>;
+type Entries = BTreeMap<String, (ListedUpstream, Tick)>;
 
 /// The copy, and how much of the list it covers.
 #[derive(Debug, Default)]
@@ -88,10 +88,10 @@
 
     /// Returns the list as if all entries had been requested at `requested_at`.
     #[must_use]
-    pub fn entries_at(&self, requested_at: Tick) -> Vec<Listed> {
-        let aged = |(entry, entry_time): &(Listed, Tick)| {
+    pub fn entries_at(&self, requested_at: Tick) -> Vec<ListedUpstream> {
+        let aged = |(entry, entry_time): &(ListedUpstream, Tick)| {
             let elapsed = requested_at.since(*entry_time);
-            Listed {
+            ListedUpstream {
                 cold: entry.cold.saturating_sub(elapsed),
                 left: entry.left.map(|left| left.saturating_sub(elapsed)),
                 ..entry.clone()
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use contract::{Listed, ServiceName, Zone};
+use contract::{ListedUpstream, ServiceName, Zone};
 use policy::Tick;
 use policy::homes::{PartUsage, assume_home_cached};
 use policy::pace::{EngineRates, PrefillWork, SpeedEstimate};
@@ -116,7 +116,7 @@
 impl Upstreams {
     /// Applies a list, keeping the state of upstreams that stay. Returns the upstreams that started to leave or are
     /// gone.
-    pub fn update(&mut self, list: Vec<Listed>, list_time: Tick) -> Vec<String> {
+    pub fn update(&mut self, list: Vec<ListedUpstream>, list_time: Tick) -> Vec<String> {
         let mut ended: Vec<String> = Vec::new();
         let mut previous = std::mem::take(&mut self.all);
         for listed in list {
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use contract::Listed;
+use contract::ListedUpstream;
 use policy::Tick;
 use policy::backlog::{Backlog, SentRequest};
 use policy::breaker::Breaker;
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct Upstream {
     /// Entry of the upstream list.
-    pub listed: Listed,
+    pub listed: ListedUpstream,
     load: LoadEstimate,
     pub(super) breaker: Breaker,
     cached: CachedParts,
@@ -63,7 +63,7 @@
 
 impl Upstream {
     pub(super) fn new(
-        listed: Listed,
+        listed: ListedUpstream,
         (reachability, service_speed): (Rc<Reachability>, Rc<RefCell<SpeedEstimate>>),
         listed_since: Tick,
     ) -> Self {
--- a/crates/gateway/tests/catalog_transfer.rs
+++ b/crates/gateway/tests/catalog_transfer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use contract::{Catalog, ClientAccount, Delta, KeyHash, Route, Service, ServiceName};
+use contract::{Catalog, CatalogDelta, ClientAccount, KeyHash, Route, Service, ServiceName};
 use gateway::catalog_copy::CatalogCopy;
 use gateway::routing_table::RoutingTable;
 use quickcheck::quickcheck;
@@ -82,7 +82,7 @@
 quickcheck! {
     fn delta_applied(old: CatalogParts, new: CatalogParts) -> bool {
         let (old, new) = (catalog(4, &old.0, &old.1), catalog(9, &new.0, &new.1));
-        let table = RoutingTable::new(&old).with_delta(&Delta::between(&old, &new));
+        let table = RoutingTable::new(&old).with_delta(&CatalogDelta::between(&old, &new));
         is_same(&table, &RoutingTable::new(&new)) && is_same(&RoutingTable::new(&new), &table)
     }
 
--- a/crates/gateway/tests/common/host.rs
+++ b/crates/gateway/tests/common/host.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use contract::{
-    Catalog, ClientAccount, KeyHash, Listed, NodeId, Quota, Repeatable, Route, Service, ServiceName, Share, Zone,
+    Catalog, ClientAccount, KeyHash, ListedUpstream, NodeId, Quota, RetryMode, Route, Service, ServiceName,
+    WeightedService, Zone,
 };
 use gateway::gate::{Gateway, HostSettings, Shared};
 use gateway::lender::QuotaBorrower;
@@ -37,19 +38,19 @@
 
 impl Host {
     /// Starts a host with a single route to the upstreams.
-    pub fn start(repeat: Repeatable, attempts: u32, upstreams: &[&Upstream]) -> Self {
+    pub fn start(repeat: RetryMode, attempts: u32, upstreams: &[&Upstream]) -> Self {
         Self::with_timeout(repeat, attempts, 5_000, upstreams)
     }
 
     /// Starts a host whose route has a timeout.
-    pub fn with_timeout(repeat: Repeatable, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Self {
+    pub fn with_timeout(repeat: RetryMode, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Self {
         Self::run(Self::shared(repeat, attempts, timeout_ms, upstreams))
     }
 
     /// Starts a host that limits the account with the key `k` to `per_s` requests per second.
     pub fn with_quota(upstreams: &[&Upstream], per_s: f64) -> Self {
-        let shared = Self::shared(Repeatable::Once, 1, 5_000, upstreams);
-        let mut catalog = Self::catalog(Repeatable::Once, 1, 5_000);
+        let shared = Self::shared(RetryMode::Once, 1, 5_000, upstreams);
+        let mut catalog = Self::catalog(RetryMode::Once, 1, 5_000);
         catalog.accounts = vec![ClientAccount {
             name: "a".to_owned(),
             keys: vec![KeyHash::of("k")],
@@ -66,7 +67,7 @@
     }
 
     /// Returns the catalog of such a host.
-    pub fn catalog(repeat: Repeatable, attempts: u32, timeout_ms: u64) -> Catalog {
+    pub fn catalog(repeat: RetryMode, attempts: u32, timeout_ms: u64) -> Catalog {
         let service = ServiceName::from("till");
         let route = Route {
             name: "r".to_owned(),
@@ -76,7 +77,7 @@
             timeout_ms,
             target_ms: 500,
             attempts,
-            split: vec![Share {
+            split: vec![WeightedService {
                 service: service.clone(),
                 weight: 1,
             }],
@@ -94,7 +95,7 @@
     }
 
     /// Returns the shared state of such a host.
-    pub fn shared(repeat: Repeatable, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Arc<Shared> {
+    pub fn shared(repeat: RetryMode, attempts: u32, timeout_ms: u64, upstreams: &[&Upstream]) -> Arc<Shared> {
         let catalog = Self::catalog(repeat, attempts, timeout_ms);
         let shared = Arc::new(Shared::default());
         shared.table.store(Some(Arc::new(RoutingTable::new(&catalog))));
--- a/crates/gateway/tests/common/upstream.rs
+++ b/crates/gateway/tests/common/upstream.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use contract::{Listed, ServiceName, Zone};
+use contract::{ListedUpstream, ServiceName, Zone};
 use load::trial::process::free_address;
 use parking_lot::Mutex;
 
@@ -130,8 +130,8 @@
 }
 
 /// Returns list entries of upstreams that are ready, with the ids `u0`, `u1` and so on.
-pub fn listed(upstreams: &[&Upstream]) -> Vec<Listed> {
-    let entry = |(index, upstream): (usize, &&Upstream)| Listed {
+pub fn listed(upstreams: &[&Upstream]) -> Vec<ListedUpstream> {
+    let entry = |(index, upstream): (usize, &&Upstream)| ListedUpstream {
         id: format!("u{index}"),
         start: 1,
         service: ServiceName::from("till"),
--- a/crates/gateway/tests/fleet/mod.rs
+++ b/crates/gateway/tests/fleet/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use contract::{Listed, NodeId, ServiceName, Zone};
+use contract::{ListedUpstream, NodeId, ServiceName, Zone};
 use gateway::dialect::ReportedLoad;
 use gateway::upstreams::{ChosenUpstream, UpstreamNeed, Upstreams};
 use policy::Tick;
@@ -103,7 +103,7 @@
 
 /// Replays a load; equal seeds give equal results.
 pub fn replay(load: &ReplayLoad, seed: u64) -> Report {
-    let list: Vec<Listed> = (0..load.engines).map(listed).collect();
+    let list: Vec<ListedUpstream> = (0..load.engines).map(listed).collect();
     let mut hosts: Vec<Upstreams> = (0..load.hosts).map(|_| Upstreams::default()).collect();
     for host in &mut hosts {
         host.update(list.clone(), Tick::default());
@@ -127,8 +127,8 @@
 }
 
 /// Returns the list entry of an upstream.
-pub fn listed(index: usize) -> Listed {
-    Listed {
+pub fn listed(index: usize) -> ListedUpstream {
+    ListedUpstream {
         id: format!("u{index:03}"),
         start: 1,
         service: ServiceName::from("m"),
--- a/crates/gateway/tests/late_list.rs
+++ b/crates/gateway/tests/late_list.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use contract::{Listed, ServiceName, Zone};
+use contract::{ListedUpstream, ServiceName, Zone};
 use slow_node::{SlowNode, wait_until};
 
 /// Bandwidth of a link of 10 Mbit/s.
 const LINK_BYTES_PER_S: f64 = 1_250_000.0;
 
-fn upstream(index: usize) -> Listed {
-    Listed {
+fn upstream(index: usize) -> ListedUpstream {
+    ListedUpstream {
         id: format!("i-{index:012x}"),
         start: 1_780_000_000_000,
         service: ServiceName::from("counter-assistant"),
--- a/crates/gateway/tests/list_copy.rs
+++ b/crates/gateway/tests/list_copy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use contract::{Listed, NodeId, ServiceName, Zone};
+use contract::{ListedUpstream, NodeId, ServiceName, Zone};
 use gateway::upstream_list::UpstreamList;
 use policy::Tick;
 use quickcheck::quickcheck;
@@ -11,8 +11,8 @@
 
 const TERM: u64 = 1;
 
-fn listed(id: u16, slots: u8) -> Listed {
-    Listed {
+fn listed(id: u16, slots: u8) -> ListedUpstream {
+    ListedUpstream {
         id: format!("u{id:05}"),
         start: 1,
         service: ServiceName::from("m"),
@@ -54,7 +54,7 @@
         for (at, list) in lists.iter().enumerate() {
             now_ms += 500;
             newest = list.iter().map(|(id, slots)| listed(u16::from(*id), *slots)).collect();
-            newest.sort_by(|a: &Listed, b| a.id.cmp(&b.id));
+            newest.sort_by(|a: &ListedUpstream, b| a.id.cmp(&b.id));
             newest.dedup_by(|a, b| a.id == b.id);
             if other_leader && at == lists.len() / 2 {
                 registry = EntryRegistry::default();
@@ -72,7 +72,9 @@
                 break;
             }
         }
-        let is_same = |(entry, other): (&Listed, &Listed)| (&entry.id, entry.slots) == (&other.id, other.slots);
+        let is_same = |(entry, other): (&ListedUpstream, &ListedUpstream)| {
+            (&entry.id, entry.slots) == (&other.id, other.slots)
+        };
         let list = copy.entries_at(requested_at);
         list.len() == newest.len() && list.iter().zip(&newest).all(is_same)
     }
@@ -83,7 +85,7 @@
 fn one_entry_changed() {
     let registry = EntryRegistry::default();
     let mut copy = UpstreamList::default();
-    let mut list: Vec<Listed> = (0..3_300).map(|id| listed(id, 4)).collect();
+    let mut list: Vec<ListedUpstream> = (0..3_300).map(|id| listed(id, 4)).collect();
     registry.set_list(TERM, list.clone(), Tick::from_millis(1_000));
     assert_eq!(
         send_heartbeat(&registry, &mut copy, 4_000, Tick::from_millis(1_100))
@@ -111,7 +113,7 @@
     let registry = EntryRegistry::default();
     let mut copy = UpstreamList::default();
     for round in 0..30 {
-        let list: Vec<Listed> = (0..200).map(|id| listed(round * 200 + id, 4)).collect();
+        let list: Vec<ListedUpstream> = (0..200).map(|id| listed(round * 200 + id, 4)).collect();
         let now = Tick::from_millis(u64::from(round) * 1_000);
         registry.set_list(TERM, list.clone(), now);
         let mut heartbeats = 0;
--- a/crates/gateway/tests/moved_streams.rs
+++ b/crates/gateway/tests/moved_streams.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use common::{Host, ReceivedRequest, Response, Upstream, listed, respond, send_event, start_stream};
-use contract::{EngineSpec, Repeatable};
+use contract::{EngineSpec, RetryMode};
 use gateway::gate::Shared;
 use gateway::routing_table::RoutingTable;
 use policy::Tick;
@@ -36,8 +36,8 @@
 
 /// Returns the shared state of a host whose engines copy caches in `copy_ns` per token.
 fn shared_state(copy_ns: u64, upstreams: &[&Upstream]) -> Arc<Shared> {
-    let shared = Host::shared(Repeatable::Stream, 1, 10_000, upstreams);
-    let mut catalog = Host::catalog(Repeatable::Stream, 1, 10_000);
+    let shared = Host::shared(RetryMode::Stream, 1, 10_000, upstreams);
+    let mut catalog = Host::catalog(RetryMode::Stream, 1, 10_000);
     catalog.services[0].engine = Some(EngineSpec {
         slots: 4,
         kv_tokens: 100_000,
--- a/crates/gateway/tests/passed_streams.rs
+++ b/crates/gateway/tests/passed_streams.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::{Host, Upstream, send_event, start_stream};
-use contract::Repeatable;
+use contract::RetryMode;
 
 fn events(ids: std::ops::RangeInclusive<u64>) -> String {
     let events: Vec<String> = ids.map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect();
@@ -36,7 +36,7 @@
 #[test]
 fn whole_stream() {
     let upstream = streaming_upstream(None);
-    let host = Host::start(Repeatable::Stream, 1, &[&upstream]);
+    let host = Host::start(RetryMode::Stream, 1, &[&upstream]);
     let response = host.request("", "prompt");
     assert_eq!((response.status, response.complete), (200, true));
     assert_eq!(response.body, events(1..=6));
@@ -48,7 +48,7 @@
 fn resumed_elsewhere() {
     let first = streaming_upstream(Some(3));
     let second = streaming_upstream(Some(3));
-    let host = Host::start(Repeatable::ResumableStream, 2, &[&first, &second]);
+    let host = Host::start(RetryMode::ResumableStream, 2, &[&first, &second]);
     let response = host.request("", "prompt");
     // Whichever engine came first failed after three events; the other one continued after them to the end.
     assert_eq!(response.status, 200);
@@ -63,7 +63,7 @@
 fn once_not_resumed() {
     let first = streaming_upstream(Some(2));
     let second = streaming_upstream(Some(2));
-    let host = Host::start(Repeatable::Stream, 2, &[&first, &second]);
+    let host = Host::start(RetryMode::Stream, 2, &[&first, &second]);
     let response = host.request("", "prompt");
     assert_eq!(response.body, events(1..=2));
     assert!(!response.complete);
@@ -80,7 +80,7 @@
         }
         stream.write_all(b"0\r\n\r\n").is_ok()
     }));
-    let host = Host::start(Repeatable::Stream, 1, &[&incomplete]);
+    let host = Host::start(RetryMode::Stream, 1, &[&incomplete]);
     let response = host.request("", "prompt");
     assert_eq!(response.body, events(1..=2));
     assert!(!response.complete);
@@ -95,7 +95,7 @@
         send_event(stream, 1);
         true
     }));
-    let host = Host::start(Repeatable::Stream, 1, &[&slow]);
+    let host = Host::start(RetryMode::Stream, 1, &[&slow]);
     let mut caller = host.connect();
     caller.send("", "prompt");
     let started = Instant::now();
--- a/crates/gateway/tests/planned_stop.rs
+++ b/crates/gateway/tests/planned_stop.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{Host, Upstream, respond};
-use contract::Repeatable;
+use contract::RetryMode;
 use gateway::gate::Shared;
 
 fn readiness(host: &Host) -> u16 {
@@ -29,7 +29,7 @@
 #[test]
 fn readiness_on_stop() {
     let upstream = accepting_upstream();
-    let host = Host::start(Repeatable::Once, 1, &[&upstream]);
+    let host = Host::start(RetryMode::Once, 1, &[&upstream]);
     assert_eq!(readiness(&host), 200);
     host.stop();
     std::thread::sleep(Duration::from_millis(400));
@@ -45,7 +45,7 @@
 #[test]
 fn request_during_stop() {
     let upstream = accepting_upstream();
-    let host = Host::start(Repeatable::Once, 1, &[&upstream]);
+    let host = Host::start(RetryMode::Once, 1, &[&upstream]);
     let mut caller = host.connect();
     host.stop();
     let started = Instant::now();
@@ -73,7 +73,7 @@
 #[test]
 fn waits_for_config() {
     let upstream = accepting_upstream();
-    let configured = Host::shared(Repeatable::Once, 1, 5_000, &[&upstream]);
+    let configured = Host::shared(RetryMode::Once, 1, 5_000, &[&upstream]);
     let shared = std::sync::Arc::new(Shared::default());
     let host = Host::run(std::sync::Arc::clone(&shared));
     let mut caller = host.connect();
--- a/crates/gateway/tests/route_table.rs
+++ b/crates/gateway/tests/route_table.rs
@@ -1,11 +1,11 @@
 //! Lookup of the route, service and account of a request.
 
-use contract::{Catalog, ClientAccount, KeyHash, Route, Service, ServiceName, Share};
+use contract::{Catalog, ClientAccount, KeyHash, Route, Service, ServiceName, WeightedService};
 use gateway::routing_table::{RoutingTable, pick_service};
 use quickcheck::quickcheck;
 
-fn share(service: &str, weight: u32) -> Share {
-    Share {
+fn share(service: &str, weight: u32) -> WeightedService {
+    WeightedService {
         service: ServiceName::from(service),
         weight,
     }
--- a/crates/gateway/tests/slow_node/mod.rs
+++ b/crates/gateway/tests/slow_node/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use contract::{Catalog, Listed, NodeId, Route, Service, ServiceName, Share};
+use contract::{Catalog, ListedUpstream, NodeId, Route, Service, ServiceName, WeightedService};
 use gateway::gate::Shared;
 use gateway::link::StateSync;
 use jsonrpsee::core::{ClientError, RpcResult, async_trait};
@@ -101,7 +101,7 @@
     }
 
     /// Sets the upstream list of the node.
-    pub fn set_list(&self, list: Vec<Listed>) {
+    pub fn set_list(&self, list: Vec<ListedUpstream>) {
         self.state_node.registry.set_list(1, list, self.state_node.clock.now());
     }
 
@@ -162,7 +162,7 @@
         timeout_ms: 5_000,
         target_ms: 500,
         attempts: 2,
-        split: vec![Share {
+        split: vec![WeightedService {
             service: service.clone(),
             weight: 1,
         }],
@@ -183,7 +183,7 @@
 struct UnavailableDirectory;
 
 impl Directory for UnavailableDirectory {
-    fn read(&mut self) -> Result<Vec<Listed>, String> {
+    fn read(&mut self) -> Result<Vec<ListedUpstream>, String> {
         Err("no list can be read".to_owned())
     }
 
--- a/crates/gateway/tests/true_refusals.rs
+++ b/crates/gateway/tests/true_refusals.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::{Host, Upstream, respond};
-use contract::Repeatable;
+use contract::RetryMode;
 
 /// Guards against a caller that does not learn that it may retry: the upstream is full and states that it did not run
 /// the request.
@@ -15,7 +15,7 @@
     let full = Upstream::start(Box::new(|request, stream| {
         respond(request, stream, "503 Service Unavailable", "Not-Run: 1\r\n", "full")
     }));
-    let host = Host::start(Repeatable::Once, 1, &[&full]);
+    let host = Host::start(RetryMode::Once, 1, &[&full]);
     let response = host.request("", "deposit");
     assert_eq!(response.status, 503);
     assert!(response.head.contains("Retry-After: "), "{}", response.head);
@@ -31,7 +31,7 @@
     let free = Upstream::start(Box::new(|request, stream| {
         respond(request, stream, "200 OK", "Signed: s\r\n", "booked")
     }));
-    let host = Host::start(Repeatable::Once, 2, &[&full, &free]);
+    let host = Host::start(RetryMode::Once, 2, &[&full, &free]);
     for _ in 0..4 {
         let response = host.request("", "deposit");
         assert_eq!((response.status, response.body.as_str()), (200, "booked"));
@@ -45,7 +45,7 @@
 fn lost_response() {
     let failing = Upstream::start(Box::new(|_, _| false));
     let other = Upstream::start(Box::new(|_, _| false));
-    let host = Host::start(Repeatable::Once, 2, &[&failing, &other]);
+    let host = Host::start(RetryMode::Once, 2, &[&failing, &other]);
     let response = host.request("", "deposit");
     assert_eq!(response.status, 502);
     assert_eq!(failing.request_count() + other.request_count(), 1);
@@ -59,7 +59,7 @@
         std::thread::sleep(Duration::from_secs(30));
         false
     }));
-    let host = Host::with_timeout(Repeatable::Once, 1, 400, &[&silent]);
+    let host = Host::with_timeout(RetryMode::Once, 1, 400, &[&silent]);
     let started = Instant::now();
     let response = host.request("Wait-Ms: 5000\r\n", "deposit");
     assert_eq!(response.status, 504);
@@ -78,7 +78,7 @@
         requests: std::sync::Arc::default(),
         closed: std::sync::Arc::default(),
     };
-    let host = Host::start(Repeatable::Once, 1, &[&unreachable]);
+    let host = Host::start(RetryMode::Once, 1, &[&unreachable]);
     let started = Instant::now();
     let response = host.request("", "deposit");
     assert_eq!(response.status, 503);
@@ -95,7 +95,7 @@
     let requested = Upstream::start(Box::new(|request, stream| {
         respond(request, stream, "200 OK", "Signed: s\r\n", "booked")
     }));
-    let host = Host::start(Repeatable::Once, 1, &[&other, &requested]);
+    let host = Host::start(RetryMode::Once, 1, &[&other, &requested]);
     for _ in 0..3 {
         assert_eq!(host.request("", "deposit").status, 200);
     }
@@ -108,7 +108,7 @@
     let good = Upstream::start(Box::new(|request, stream| {
         respond(request, stream, "200 OK", "Signed: s\r\n", "7 free")
     }));
-    let host = Host::start(Repeatable::Idempotent, 2, &[&failing, &good]);
+    let host = Host::start(RetryMode::Idempotent, 2, &[&failing, &good]);
     for _ in 0..3 {
         assert_eq!(host.request("", "").status, 200);
     }
@@ -133,7 +133,7 @@
             script(stream);
             false
         }));
-        let host = Host::start(Repeatable::Once, 1, &[&upstream]);
+        let host = Host::start(RetryMode::Once, 1, &[&upstream]);
         assert_eq!(host.request("", "deposit").status, 502);
     }
 }
@@ -146,7 +146,7 @@
         stream.write_all(stale.as_bytes()).unwrap();
         respond(request, stream, "200 OK", "Signed: s\r\n", "own")
     }));
-    let host = Host::start(Repeatable::Once, 1, &[&upstream]);
+    let host = Host::start(RetryMode::Once, 1, &[&upstream]);
     assert_eq!(host.request("", "deposit").body, "own");
 }
 
@@ -168,7 +168,7 @@
         requests: std::sync::Arc::default(),
         closed: std::sync::Arc::default(),
     };
-    let host = Host::start(Repeatable::Once, 1, &[&early]);
+    let host = Host::start(RetryMode::Once, 1, &[&early]);
     let started = Instant::now();
     let response = host.request("", &"x".repeat(3_000_000));
     assert_eq!((response.status, response.body.as_str()), (413, "big"));
--- a/crates/gateway/tests/unknown_routes.rs
+++ b/crates/gateway/tests/unknown_routes.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 
 use common::{Host, Response};
-use contract::Repeatable;
+use contract::RetryMode;
 use gateway::gate::Shared;
 
 /// Sends a request for an unknown route.
@@ -20,7 +20,7 @@
 /// Guards against a final refusal for a route that operators have added, and that only this host doesn't have yet.
 #[test]
 fn newer_version_known() {
-    let shared = Host::shared(Repeatable::Once, 1, 5_000, &[]);
+    let shared = Host::shared(RetryMode::Once, 1, 5_000, &[]);
     shared.newest_version.store(2, Ordering::Relaxed);
     let response = request_unknown_route(shared);
     assert_eq!(
@@ -34,7 +34,7 @@
 /// newer versions.
 #[test]
 fn version_unconfirmed() {
-    let shared = Host::shared(Repeatable::Once, 1, 5_000, &[]);
+    let shared = Host::shared(RetryMode::Once, 1, 5_000, &[]);
     shared.confirmed_at.store(Arc::new(None));
     assert_eq!(request_unknown_route(shared).status, 503);
 }
@@ -42,6 +42,6 @@
 /// Guards against retries of requests for a route that does not exist.
 #[test]
 fn newest_in_force() {
-    let shared = Host::shared(Repeatable::Once, 1, 5_000, &[]);
+    let shared = Host::shared(RetryMode::Once, 1, 5_000, &[]);
     assert_eq!(request_unknown_route(shared).status, 404);
 }
--- a/crates/load/src/slopes/bench.rs
+++ b/crates/load/src/slopes/bench.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Context;
-use contract::{Change, HostSpec, MachineClass, Revision, UpstreamKind, UpstreamSpec};
+use contract::{Change, HostClass, HostSpec, Revision, UpstreamKind, UpstreamSpec};
 use hdrhistogram::Histogram;
 use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Propose, Proposed};
@@ -276,7 +276,7 @@
         incarnation: 0,
         zone: format!("zone-{}", number % 4).into(),
         data_center: "dc-1".into(),
-        class: MachineClass::Reclaimable,
+        class: HostClass::Reclaimable,
         price: 90_000,
     };
     let kind = UpstreamKind::Engine {
--- a/crates/load/src/trial/fleet.rs
+++ b/crates/load/src/trial/fleet.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use contract::{HostSpec, MachineClass, UpstreamId, UpstreamKind, UpstreamSpec};
+use contract::{HostClass, HostSpec, UpstreamId, UpstreamKind, UpstreamSpec};
 use rustix::process::Signal;
 
 use super::process::{Place, Process};
@@ -175,14 +175,14 @@
     let is_engine = matches!(kind, UpstreamKind::Engine { .. });
     // About half of the engines' hosts can be reclaimed, whole zones of them.
     let class = if is_engine && zone < 2 {
-        MachineClass::Reclaimable
+        HostClass::Reclaimable
     } else {
-        MachineClass::OnDemand
+        HostClass::OnDemand
     };
     let price = match class {
         _ if !is_engine => SMALL,
-        MachineClass::Reclaimable => RECLAIMABLE[zone],
-        MachineClass::OnDemand => ON_DEMAND[zone],
+        HostClass::Reclaimable => RECLAIMABLE[zone],
+        HostClass::OnDemand => ON_DEMAND[zone],
     };
     let spec = UpstreamSpec {
         id: UpstreamId::from(name),
--- a/crates/load/src/workload/counter.rs
+++ b/crates/load/src/workload/counter.rs
@@ -1,6 +1,6 @@
 //! The jewellers' counter: long consultations, aftercare, stock lookups, deposits and bookings.
 
-use contract::Repeat;
+use contract::RetrySafety;
 
 use super::text::{Talk, class, contract, to_model, to_service};
 use super::{Call, Draw, Plan, Promise};
@@ -57,20 +57,26 @@
         }
     }
     let classes = vec![
-        class("deposit", to_service(TILL, "POST"), DEPOSIT, Repeat::AtMostOnce, 0),
-        class("stock-lookup", to_service(TILL, "GET"), LOOKUP, Repeat::Idempotent, 1),
+        class("deposit", to_service(TILL, "POST"), DEPOSIT, RetrySafety::AtMostOnce, 0),
+        class(
+            "stock-lookup",
+            to_service(TILL, "GET"),
+            LOOKUP,
+            RetrySafety::Idempotent,
+            1,
+        ),
         class(
             "aftercare",
             to_model(MODEL, Some(SHORT)),
             AFTERCARE,
-            Repeat::Idempotent,
+            RetrySafety::Idempotent,
             0,
         ),
         class(
             "consultation",
             to_model(MODEL, None),
             CONSULTATION,
-            Repeat::Idempotent,
+            RetrySafety::Idempotent,
             2,
         ),
     ];
--- a/crates/load/src/workload/tents.rs
+++ b/crates/load/src/workload/tents.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use contract::Repeat;
+use contract::RetrySafety;
 use rand::Rng;
 
 use super::text::{Talk, class, contract, to_model, to_service};
@@ -94,14 +94,14 @@
 }
 
 fn classes() -> Vec<contract::Class> {
-    let once = Repeat::AtMostOnce;
+    let once = RetrySafety::AtMostOnce;
     vec![
         class("seat-booking", to_service(REGISTRATION, "POST"), BOOKING, once, 0),
         class(
             "seat-lookup",
             to_service(REGISTRATION, "GET"),
             LOOKUP,
-            Repeat::Idempotent,
+            RetrySafety::Idempotent,
             0,
         ),
         class("menu-notice", to_service(NOTICES, "POST"), NOTICE, once, 1),
@@ -109,9 +109,9 @@
             "guest-question",
             to_model(MODEL, Some(SHORT)),
             GUEST,
-            Repeat::Idempotent,
+            RetrySafety::Idempotent,
             0,
         ),
-        class("season-plan", to_model(MODEL, None), SEASON, Repeat::Idempotent, 3),
+        class("season-plan", to_model(MODEL, None), SEASON, RetrySafety::Idempotent, 3),
     ]
 }
--- a/crates/load/src/workload/text.rs
+++ b/crates/load/src/workload/text.rs
@@ -1,6 +1,6 @@
 //! Words, conversations and what contracts of trials share.
 
-use contract::{Account, AccountName, Class, ClassName, Contract, CustomerId, Limits, Matcher, Repeat};
+use contract::{Account, AccountName, Class, ClassName, Contract, CustomerId, CustomerLimits, Matcher, RetrySafety};
 use rand::Rng;
 
 use super::{ACCOUNTS, Arrival, Call, Draw, Promise, key_hash};
@@ -86,7 +86,7 @@
     Contract {
         customer: CustomerId::from(customer),
         accounts: accounts.collect(),
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 2_000.0,
             tokens_per_s: 1_000_000.0,
             concurrency: 2_000,
@@ -97,7 +97,7 @@
 }
 
 /// Makes a class.
-pub(super) fn class(name: &str, matches: Matcher, promise: Promise, repeat: Repeat, shed: u8) -> Class {
+pub(super) fn class(name: &str, matches: Matcher, promise: Promise, repeat: RetrySafety, shed: u8) -> Class {
     Class {
         name: ClassName::from(name),
         matches,
--- a/crates/load/tests/plan_seeds.rs
+++ b/crates/load/tests/plan_seeds.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use contract::Request;
+use contract::RequestAttributes;
 use load::workload::{Arrival, Call, Extent, Plan, Workload};
 
 const BOTH: [Workload; 2] = [Workload::TanSengHuat, Workload::Mwangaza];
@@ -43,7 +43,7 @@
     }
 }
 
-fn asked<'a>(arrival: &'a Arrival, model: &'a str) -> Request<'a> {
+fn asked<'a>(arrival: &'a Arrival, model: &'a str) -> RequestAttributes<'a> {
     let (service, method, model, words) = match &arrival.call {
         Call::Chat { messages, .. } => {
             let words = messages.iter().map(|(_, text)| text.split_whitespace().count() as u64);
@@ -52,7 +52,7 @@
         Call::Lookup { service, .. } => (Some(*service), "GET", None, 0),
         Call::Once { service, .. } => (Some(*service), "POST", None, 0),
     };
-    Request {
+    RequestAttributes {
         service,
         method,
         route: "/",
--- a/crates/load/tests/reference_pages.rs
+++ b/crates/load/tests/reference_pages.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-use contract::settings::{Setting, reference};
+use contract::settings::{Setting, reference_table};
 
 const HEAD: &str = "# Settings
 
@@ -34,7 +34,7 @@
         ("gentian-state", &state::settings::ALL),
         ("gentian-capacity", &capacity::settings::ALL),
     ];
-    let tables: Vec<String> = programs.iter().map(|(name, all)| reference(name, all)).collect();
+    let tables: Vec<String> = programs.iter().map(|(name, all)| reference_table(name, all)).collect();
     let expected = format!("{HEAD}\n{}", tables.join("\n"));
     if std::env::var("UPDATE_PAGES").is_ok() {
         std::fs::write(root().join("docs/reference/settings.md"), &expected).expect("the page can be written");
--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-use contract::Limits;
+use contract::CustomerLimits;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use policy::Tick;
 use policy::fair::Ticket;
@@ -50,7 +50,7 @@
 
 /// Computes one customer's loans to one peer.
 fn split(c: &mut Criterion) {
-    const LIMITS: Limits = Limits {
+    const LIMITS: CustomerLimits = CustomerLimits {
         requests_per_s: 3_600.0,
         tokens_per_s: 1_700_000.0,
         concurrency: 30_000,
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-use contract::{MachineClass, UpstreamId};
+use contract::{HostClass, UpstreamId};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use policy::Tick;
 use policy::load::{LoadEstimate, LoadReport};
@@ -67,7 +67,7 @@
     Candidate {
         id: &fleet.ids[at],
         reason,
-        class: MachineClass::Reclaimable,
+        class: HostClass::Reclaimable,
         price: 90_000,
         slots: 16,
         near: fleet.group.members()[at].near,
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use contract::Limits;
+use contract::CustomerLimits;
 
 use super::loans::{LEASE, Loans, OwnedPart, plan};
 use crate::Tick;
@@ -40,7 +40,7 @@
 ///
 /// Concurrent requests are indivisible: if they do not divide evenly, the hosts with the lowest ranks own one more.
 #[must_use]
-pub fn owned_part(limits: &Limits, hosts: u32, rank: u32) -> LimitAmounts {
+pub fn owned_part(limits: &CustomerLimits, hosts: u32, rank: u32) -> LimitAmounts {
     let hosts = hosts.max(1);
     let count = f64::from(hosts);
     let running = limits.concurrency / hosts + u32::from(rank < limits.concurrency % hosts);
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use contract::{HostId, HostRule, MachineClass, ModelName, Zone};
+use contract::{HostClass, HostId, HostRule, ModelName, Zone};
 use derive_more::Display;
 
 pub use backoff::Backoff;
@@ -51,7 +51,7 @@
     /// The zone it runs in.
     pub zone: Zone,
     /// Whether it can be reclaimed.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Price in micro-dollars an hour.
     pub price: u64,
     /// Running and waiting requests.
@@ -64,7 +64,7 @@
     /// The zone, which may be lost as a whole.
     pub zone: Zone,
     /// Whether its hosts can be reclaimed.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Price of a host in micro-dollars an hour.
     pub price: u64,
     /// Whether a start may be tried now.
@@ -82,7 +82,7 @@
         /// The zone to start it in.
         zone: Zone,
         /// Whether it can be reclaimed.
-        class: MachineClass,
+        class: HostClass,
         /// Why it is started.
         why: StepReason,
     },
@@ -142,7 +142,7 @@
 struct Model<'a> {
     need: &'a ModelNeed,
     held: Vec<&'a HeldHost>,
-    started: Vec<(Zone, MachineClass)>,
+    started: Vec<(Zone, HostClass)>,
     pools: &'a [HostPool],
     operator_rules: Vec<&'a HostRule>,
     rules: &'a ScalingRules,
@@ -169,7 +169,7 @@
         }
     }
 
-    fn locations(&self) -> impl Iterator<Item = (&Zone, MachineClass)> {
+    fn locations(&self) -> impl Iterator<Item = (&Zone, HostClass)> {
         let held = self.held.iter().map(|host| (&host.zone, host.class));
         held.chain(self.started.iter().map(|(zone, class)| (zone, *class)))
     }
@@ -182,13 +182,13 @@
         self.locations().filter(|(other, _)| *other == zone).count() as u32
     }
 
-    fn in_pool(&self, zone: &Zone, class: MachineClass) -> u32 {
+    fn in_pool(&self, zone: &Zone, class: HostClass) -> u32 {
         self.locations().filter(|location| *location == (zone, class)).count() as u32
     }
 
     fn on_demand(&self) -> u32 {
         self.locations()
-            .filter(|(_, class)| *class == MachineClass::OnDemand)
+            .filter(|(_, class)| *class == HostClass::OnDemand)
             .count() as u32
     }
 
@@ -215,7 +215,7 @@
         self.hosts_for(self.need.busy * factor).max(self.required())
     }
 
-    fn rule(&self, zone: &Zone, class: MachineClass) -> Option<&'a HostRule> {
+    fn rule(&self, zone: &Zone, class: HostClass) -> Option<&'a HostRule> {
         let matches_pool = |rule: &&&HostRule| rule.zone == *zone && rule.class == class;
         self.operator_rules.iter().find(matches_pool).copied()
     }
@@ -267,7 +267,7 @@
         steps
     }
 
-    fn next_start(&self) -> Option<(Zone, MachineClass, StepReason)> {
+    fn next_start(&self) -> Option<(Zone, HostClass, StepReason)> {
         let below_rule = |pool: &&HostPool| {
             let rule = self.rule(&pool.zone, pool.class);
             pool.open && rule.is_some_and(|rule| self.in_pool(&pool.zone, pool.class) < rule.least)
@@ -276,9 +276,9 @@
             return Some((pool.zone.clone(), pool.class, StepReason::Rule));
         }
         if self.on_demand() < self.floor()
-            && let Some(zone) = self.best(MachineClass::OnDemand)
+            && let Some(zone) = self.best(HostClass::OnDemand)
         {
-            return Some((zone, MachineClass::OnDemand, StepReason::Floor));
+            return Some((zone, HostClass::OnDemand, StepReason::Floor));
         }
         let lacks_spread = self.after_loss() < self.required();
         let why = if self.total() < self.wanted(self.rules.grow) {
@@ -291,10 +291,10 @@
         // Expensive hosts replace refused cheap ones only as far as targets are at risk.
         let targets_at_risk = self.total() < self.required() || lacks_spread;
         let reclaimable = self
-            .best(MachineClass::Reclaimable)
-            .map(|zone| (zone, MachineClass::Reclaimable));
-        let on_demand = || self.best(MachineClass::OnDemand).filter(|_| targets_at_risk);
-        let (zone, class) = reclaimable.or_else(|| on_demand().map(|zone| (zone, MachineClass::OnDemand)))?;
+            .best(HostClass::Reclaimable)
+            .map(|zone| (zone, HostClass::Reclaimable));
+        let on_demand = || self.best(HostClass::OnDemand).filter(|_| targets_at_risk);
+        let (zone, class) = reclaimable.or_else(|| on_demand().map(|zone| (zone, HostClass::OnDemand)))?;
         let helps = why != StepReason::Spread || self.spreads_with(&zone);
         helps.then_some((zone, class, why))
     }
@@ -308,7 +308,7 @@
     }
 
     /// Returns the zone with the fewest hosts of the model; of equals, the cheapest.
-    fn best(&self, class: MachineClass) -> Option<Zone> {
+    fn best(&self, class: HostClass) -> Option<Zone> {
         let open = self
             .pools
             .iter()
--- a/crates/policy/src/plan/backoff.rs
+++ b/crates/policy/src/plan/backoff.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use contract::{MachineClass, Zone};
+use contract::{HostClass, Zone};
 
 use crate::Tick;
 
@@ -16,7 +16,7 @@
 /// in which another zone would have provided a host.
 #[derive(Debug, Default)]
 pub struct Backoff {
-    refused: HashMap<(Zone, MachineClass), RefusedStart>,
+    refused: HashMap<(Zone, HostClass), RefusedStart>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 
 impl Backoff {
     /// Records a refused start; each consecutive one doubles the pause.
-    pub fn refused(&mut self, zone: &Zone, class: MachineClass, now: Tick) {
+    pub fn refused(&mut self, zone: &Zone, class: HostClass, now: Tick) {
         let key = (zone.clone(), class);
         let times = self.refused.get(&key).map_or(0, |before| before.times);
         let pause = PAUSE.0.saturating_mul(2_u32.saturating_pow(times)).min(PAUSE.1);
@@ -41,13 +41,13 @@
     }
 
     /// Records a successful start, which ends the backoff.
-    pub fn started(&mut self, zone: &Zone, class: MachineClass) {
+    pub fn started(&mut self, zone: &Zone, class: HostClass) {
         self.refused.remove(&(zone.clone(), class));
     }
 
     /// Returns whether a start may be tried.
     #[must_use]
-    pub fn is_open(&self, zone: &Zone, class: MachineClass, now: Tick) -> bool {
+    pub fn is_open(&self, zone: &Zone, class: HostClass, now: Tick) -> bool {
         let refused = self.refused.get(&(zone.clone(), class));
         refused.is_none_or(|refused| refused.until <= now)
     }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use contract::{Listed, ServiceName, Zone};
+use contract::{ListedUpstream, ServiceName, Zone};
 
 use crate::Tick;
 
@@ -42,7 +42,7 @@
     }
 
     /// Marks the upstreams of reported reclaims as leaving in a list; `requested` is when the list was requested.
-    pub fn apply(&mut self, list: &mut [Listed], requested: Tick) {
+    pub fn apply(&mut self, list: &mut [ListedUpstream], requested: Tick) {
         self.reports.retain(|_, report| report.is_current(requested));
         for upstream in list
             .iter_mut()
@@ -62,15 +62,15 @@
     }
 }
 
-fn group_of(upstream: &Listed) -> ReclaimGroup {
+fn group_of(upstream: &ListedUpstream) -> ReclaimGroup {
     (upstream.service.clone(), upstream.zone.clone())
 }
 
 /// Returns the upstreams of each group to probe in a turn: the first, and a second one that must confirm its report.
 /// They rotate with the turn, so that an engine that hangs does not hide a reclaim for long.
 #[must_use]
-pub fn engines_to_probe(list: &[Listed], turn: usize) -> Vec<(ReclaimGroup, Vec<&Listed>)> {
-    let mut groups: BTreeMap<ReclaimGroup, Vec<&Listed>> = BTreeMap::new();
+pub fn engines_to_probe(list: &[ListedUpstream], turn: usize) -> Vec<(ReclaimGroup, Vec<&ListedUpstream>)> {
+    let mut groups: BTreeMap<ReclaimGroup, Vec<&ListedUpstream>> = BTreeMap::new();
     for upstream in list.iter().filter(|upstream| upstream.reclaimable && !upstream.leaving) {
         groups.entry(group_of(upstream)).or_default().push(upstream);
     }
@@ -80,6 +80,6 @@
         .collect()
 }
 
-fn pair<'a>(all: &[&'a Listed], turn: usize) -> Vec<&'a Listed> {
+fn pair<'a>(all: &[&'a ListedUpstream], turn: usize) -> Vec<&'a ListedUpstream> {
     (0..all.len().min(2)).map(|at| all[(turn + at) % all.len()]).collect()
 }
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -1,6 +1,6 @@
 //! Predicted cost of sending a request to a candidate, in milliseconds.
 
-use contract::MachineClass;
+use contract::HostClass;
 use serde::{Deserialize, Serialize};
 
 use super::{Ablation, Candidate, RequestNeed, RoutingRules};
@@ -177,8 +177,8 @@
         };
         let if_enabled = |term, value: f64| if rules.with(term) { value } else { 0.0 };
         let reclaims = match candidate.class {
-            MachineClass::Reclaimable => candidate.reclaims_per_hour,
-            MachineClass::OnDemand => 0.0,
+            HostClass::Reclaimable => candidate.reclaims_per_hour,
+            HostClass::OnDemand => 0.0,
         };
         // A reclaim halfway through repeats the prefill, and half of the answer if its cache cannot be moved.
         let repeated_ms = need.prompt_tokens as f64 * rates.prefill_token_ms + answer / 2.0;
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -14,7 +14,7 @@
 pub use group::{GroupMember, HOMES, MAX_CANDIDATES, ProposedCandidate, Reason, Target, UpstreamGroup};
 pub use record::{Choice, Exclusion, NotChosen, ScoredCandidate};
 
-use contract::{MachineClass, UpstreamId};
+use contract::{HostClass, UpstreamId};
 
 /// The routing algorithm.
 #[derive(Clone, Copy, Debug, Default, Display, FromStr, PartialEq, Eq, Serialize, Deserialize)]
@@ -120,7 +120,7 @@
     /// Why it is a candidate.
     pub reason: Reason,
     /// Whether its host can be reclaimed.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Price of its host in micro-dollars an hour.
     pub price: u64,
     /// Requests that it runs at once without slowing down.
--- a/crates/policy/tests/capacity_plan.rs
+++ b/crates/policy/tests/capacity_plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use contract::{HostRule, MachineClass, Zone};
+use contract::{HostClass, HostRule, Zone};
 use policy::Tick;
 use policy::plan::{
     Backoff, HeldHost, HostPool, ModelNeed, ScalingRules, Step, StepReason, WeightLoad, next_loads, plan,
@@ -26,8 +26,8 @@
     (0..zones)
         .flat_map(|zone| {
             [
-                pool(zone, MachineClass::Reclaimable, 100),
-                pool(zone, MachineClass::OnDemand, 300),
+                pool(zone, HostClass::Reclaimable, 100),
+                pool(zone, HostClass::OnDemand, 300),
             ]
         })
         .collect()
@@ -105,7 +105,7 @@
         let (busy, guaranteed) = (f64::from(busy % 150), u32::from(guaranteed));
         let mut held = Vec::new();
         apply_until_stable(&mut held, &need(busy, guaranteed), &pools(zones), &BTreeMap::new());
-        let on_demand = held.iter().filter(|one| one.class == MachineClass::OnDemand).count();
+        let on_demand = held.iter().filter(|one| one.class == HostClass::OnDemand).count();
         let slots = |hosts: usize| (hosts * 10) as f64;
         slots(after_loss(&held, zones)) >= busy.max(f64::from(guaranteed)) && slots(on_demand) >= f64::from(guaranteed)
     }
@@ -161,12 +161,12 @@
 #[test]
 fn refused_starts() {
     let mut few = pools(2);
-    for pool in few.iter_mut().filter(|pool| pool.class == MachineClass::Reclaimable) {
+    for pool in few.iter_mut().filter(|pool| pool.class == HostClass::Reclaimable) {
         pool.open = false;
     }
     let mut held = Vec::new();
     apply_until_stable(&mut held, &need(40.0, 0), &few, &BTreeMap::new());
-    assert!(held.iter().all(|one| one.class == MachineClass::OnDemand));
+    assert!(held.iter().all(|one| one.class == HostClass::OnDemand));
     assert_eq!((held.len(), after_loss(&held, 2)), (8, 4));
 }
 
@@ -177,7 +177,7 @@
     let rule = HostRule {
         model: "m".into(),
         zone: "zone-1".into(),
-        class: MachineClass::OnDemand,
+        class: HostClass::OnDemand,
         least: 3,
         most: 3,
     };
@@ -208,7 +208,7 @@
 #[test]
 fn backs_off() {
     let mut backoff = Backoff::default();
-    let (zone, class) = (Zone::from("zone-0"), MachineClass::Reclaimable);
+    let (zone, class) = (Zone::from("zone-0"), HostClass::Reclaimable);
     let mut now = Tick::default();
     let mut pauses = Vec::new();
     for _ in 0..8 {
--- a/crates/policy/tests/early_reclaim.rs
+++ b/crates/policy/tests/early_reclaim.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use contract::{Listed, ServiceName, Zone};
+use contract::{ListedUpstream, ServiceName, Zone};
 use policy::Tick;
 use policy::reclaim::{ReportedReclaims, engines_to_probe};
 
-fn listed(id: &str, zone: &str, reclaimable: bool) -> Listed {
-    Listed {
+fn listed(id: &str, zone: &str, reclaimable: bool) -> ListedUpstream {
+    ListedUpstream {
         id: id.to_owned(),
         start: 1,
         service: ServiceName::from("m"),
--- a/crates/policy/tests/hosts/faults.rs
+++ b/crates/policy/tests/hosts/faults.rs
@@ -1,6 +1,6 @@
 //! What a customer gets of its limit before, during and after a fault, with three methods of division.
 
-use contract::Limits;
+use contract::CustomerLimits;
 use policy::limits::Bucket;
 
 use super::Hosts;
@@ -46,7 +46,7 @@
 }
 
 /// Runs the three phases.
-pub fn run(limits: Limits, demand: &[f64], fault: Fault, method: Method) -> [Phase; 3] {
+pub fn run(limits: CustomerLimits, demand: &[f64], fault: Fault, method: Method) -> [Phase; 3] {
     let mut hosts = Hosts::new(demand.len(), limits, 7);
     hosts.network(1, 0);
     demand
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use contract::Limits;
+use contract::CustomerLimits;
 use policy::Tick;
 use policy::limits::{CustomerShare, LimitAmounts, PeerDemand, owned_part};
 
@@ -15,7 +15,7 @@
 pub struct Hosts {
     all: Vec<Host>,
     in_flight: VecDeque<(u64, usize, usize, Message)>,
-    limits: Limits,
+    limits: CustomerLimits,
     step: u64,
     now: Tick,
     sides: u64,
@@ -46,7 +46,7 @@
 }
 
 impl Hosts {
-    pub fn new(count: usize, limits: Limits, seed: u64) -> Self {
+    pub fn new(count: usize, limits: CustomerLimits, seed: u64) -> Self {
         let now = Tick::default();
         let host = |_| Host {
             share: CustomerShare::new(count == 1, now),
--- a/crates/policy/tests/limit_parts.rs
+++ b/crates/policy/tests/limit_parts.rs
@@ -2,14 +2,14 @@
 
 mod hosts;
 
-use contract::Limits;
+use contract::CustomerLimits;
 use hosts::Hosts;
 use hosts::faults::{Fault, Method, run};
 use policy::Tick;
 use policy::limits::{BURST, Bucket, LEASE};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-const LIMIT: Limits = Limits {
+const LIMIT: CustomerLimits = CustomerLimits {
     requests_per_s: 100.0,
     tokens_per_s: 4_000.0,
     concurrency: 13,
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use contract::{MachineClass, UpstreamId};
+use contract::{HostClass, UpstreamId};
 use policy::Tick;
 use policy::load::{LoadEstimate, LoadReport, PredictedLoad};
 use policy::route::{
@@ -15,7 +15,7 @@
     Candidate {
         id,
         reason: Reason::All,
-        class: MachineClass::Reclaimable,
+        class: HostClass::Reclaimable,
         price: 90_000,
         slots: 16,
         near: true,
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -1,6 +1,6 @@
 //! Every entry host sends the turns of a conversation to the same upstream unless the wait there costs more.
 
-use contract::{MachineClass, UpstreamId};
+use contract::{HostClass, UpstreamId};
 use policy::load::PredictedLoad;
 use policy::route::{
     Ablation, Candidate, Choice, GroupMember, Reason, RequestNeed, RoutingRules, ServiceRates, UpstreamGroup, choose,
@@ -21,7 +21,7 @@
     let candidate = |at: usize| Candidate {
         id: &ids[at],
         reason: Reason::All,
-        class: MachineClass::OnDemand,
+        class: HostClass::OnDemand,
         price: 0,
         slots: 4,
         near: true,
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use contract::{Listed, Scaling, ServiceName, Zone};
+use contract::{ListedUpstream, Scaling, ServiceName, Zone};
 use policy::Tick;
 use policy::fleet::{ZoneSupply, plan, upstreams_needed};
 use slog::info;
@@ -50,7 +50,7 @@
 
 impl Orders {
     /// Notes which data centres' upstreams are called back.
-    fn note_reclaims(&mut self, list: &[Listed], now: Tick) {
+    fn note_reclaims(&mut self, list: &[ListedUpstream], now: Tick) {
         for one in list.iter().filter(|one| one.leaving && one.left.is_some()) {
             let place = (one.service.clone(), one.zone.clone());
             let at = self.reclaimed.entry(place).or_insert(now);
@@ -145,7 +145,7 @@
     /// taken to be needed, since operators had a reason for it. Nothing is known until two looks in a row have found as many:
     /// when everything starts together, the first list names the upstreams that were quickest. Of a hundred and twelve it
     /// named sixty-three; a fleet sized by that was half of what the first requests needed.
-    fn peak(&mut self, service: &ServiceName, needed: f64, list: &[Listed], now: Tick) -> Option<f64> {
+    fn peak(&mut self, service: &ServiceName, needed: f64, list: &[ListedUpstream], now: Tick) -> Option<f64> {
         let unknown = needed <= 0.0;
         let own = list.iter().filter(|one| one.service == *service && !one.reclaimable);
         let count = own.count() as u32;
@@ -172,7 +172,7 @@
         &self,
         service: &ServiceName,
         scaling: &Scaling,
-        list: &[Listed],
+        list: &[ListedUpstream],
         now: Tick,
     ) -> BTreeMap<Zone, ZoneSupply> {
         let zones = scaling.prices.keys().cloned();
--- a/crates/state/src/feed.rs
+++ b/crates/state/src/feed.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use contract::{Catalog, Delta};
+use contract::{Catalog, CatalogDelta};
 use wire::catalog::{Follow, Transfer, TransferPart};
 
 /// Bytes of changes that are kept; an entry host that lacks older ones gets the whole catalog.
@@ -31,7 +31,7 @@
 }
 
 impl Encoded {
-    fn new(delta: &Delta) -> Arc<Self> {
+    fn new(delta: &CatalogDelta) -> Arc<Self> {
         let bytes = postcard::to_stdvec(delta).expect("every delta can be encoded");
         Arc::new(Self {
             transfer: Transfer {
@@ -57,7 +57,7 @@
 impl CatalogFeed {
     /// Adds the change from one catalog to the next.
     pub fn push_change(&mut self, old: &Catalog, new: &Catalog) {
-        let change = Encoded::new(&Delta::between(old, new));
+        let change = Encoded::new(&CatalogDelta::between(old, new));
         self.bytes += change.bytes.len();
         self.changes.push_back(change);
         while self.bytes > KEPT_BYTES
@@ -135,7 +135,7 @@
     }
 
     fn encode_whole(&mut self, newest: &Catalog) -> Arc<Encoded> {
-        let whole = Encoded::new(&Delta::whole(newest));
+        let whole = Encoded::new(&CatalogDelta::whole(newest));
         self.wholes.push_back(Arc::clone(&whole));
         if self.wholes.len() > KEPT_WHOLES {
             self.wholes.pop_front();
--- a/crates/state/src/listing.rs
+++ b/crates/state/src/listing.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::Listed;
+use contract::ListedUpstream;
 use policy::Tick;
 use wire::registry::{ListPosition, ListUpdate};
 
@@ -23,16 +23,16 @@
     /// Number from which on all changes are known.
     floor: u64,
     asked: Option<Tick>,
-    list: Arc<Vec<Listed>>,
+    list: Arc<Vec<ListedUpstream>>,
     /// Every entry at its newest change; nothing for one that is gone.
-    changes: BTreeMap<ListPosition, Option<Listed>>,
+    changes: BTreeMap<ListPosition, Option<ListedUpstream>>,
     numbers: BTreeMap<String, u64>,
     gone: usize,
 }
 
 impl Listing {
     /// Takes over a list that was asked for at a time, in a term.
-    pub(crate) fn set(&mut self, term: u64, mut list: Vec<Listed>, asked: Tick) {
+    pub(crate) fn set(&mut self, term: u64, mut list: Vec<ListedUpstream>, asked: Tick) {
         list.sort_by(|a, b| a.id.cmp(&b.id));
         // Numbers of two leaders never meet.
         let first = term << TERM_BITS;
@@ -58,7 +58,7 @@
         self.forget_gone();
     }
 
-    fn put(&mut self, one: &Listed, next: u64) {
+    fn put(&mut self, one: &ListedUpstream, next: u64) {
         let number = self.numbers.get(&one.id).copied().unwrap_or_default();
         let known = self.changes.get_mut(&mark(number, &one.id));
         if let Some(Some(known)) = known
@@ -70,7 +70,7 @@
         }
     }
 
-    fn record(&mut self, id: &str, number: u64, entry: Option<Listed>) {
+    fn record(&mut self, id: &str, number: u64, entry: Option<ListedUpstream>) {
         self.gone += usize::from(entry.is_none());
         if let Some(old) = self.numbers.insert(id.to_owned(), number) {
             let old = self.changes.remove(&mark(old, id));
@@ -130,7 +130,7 @@
     }
 
     /// Gives the list with the time at which it was asked for.
-    pub(crate) fn list(&self) -> Option<(&Arc<Vec<Listed>>, Tick)> {
+    pub(crate) fn list(&self) -> Option<(&Arc<Vec<ListedUpstream>>, Tick)> {
         self.asked.map(|asked| (&self.list, asked))
     }
 }
@@ -142,15 +142,15 @@
     }
 }
 
-fn find<'a>(list: &'a [Listed], id: &str) -> Option<&'a Listed> {
+fn find<'a>(list: &'a [ListedUpstream], id: &str) -> Option<&'a ListedUpstream> {
     let at = list.binary_search_by(|one| one.id.as_str().cmp(id)).ok()?;
     list.get(at)
 }
 
 /// Tells whether two entries say the same; how long an upstream is still cold, and when it is taken away, changes with every
 /// read.
-fn is_same(a: &Listed, b: &Listed) -> bool {
-    let timeless = |one: &Listed| Listed {
+fn is_same(a: &ListedUpstream, b: &ListedUpstream) -> bool {
+    let timeless = |one: &ListedUpstream| ListedUpstream {
         cold: Duration::ZERO,
         left: None,
         ..one.clone()
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use contract::settings::{self, Sheet};
+use contract::settings::{self, SettingsReader};
 use crossbeam_channel::Sender;
 use policy::parts::Slack;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -26,8 +26,8 @@
 }
 
 fn run(options: &Options) -> anyhow::Result<()> {
-    let read = |sheet: &mut Sheet| Settings::read(options, sheet);
-    let Some(settings) = settings::begin(options.print_settings, options.check_settings, read)? else {
+    let read = |sheet: &mut SettingsReader| Settings::read(options, sheet);
+    let Some(settings) = settings::load(options.print_settings, options.check_settings, read)? else {
         return Ok(());
     };
     let logger = log::start(settings.log, "gentian-state", settings.node.as_str());
--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use contract::Listed;
+use contract::ListedUpstream;
 use crossbeam_channel::Sender;
 use metrics::counter;
 use policy::reclaim::{ReclaimGroup, engines_to_probe};
@@ -76,7 +76,7 @@
     }
 
     /// Gives the time that is left if all of them say that they are taken away.
-    fn left(&self, asked: &[&Listed]) -> Option<Duration> {
+    fn left(&self, asked: &[&ListedUpstream]) -> Option<Duration> {
         let mut least: Option<Duration> = None;
         for one in asked {
             let left = self.ask(one)?;
@@ -85,7 +85,7 @@
         least
     }
 
-    fn ask(&self, one: &Listed) -> Option<Duration> {
+    fn ask(&self, one: &ListedUpstream) -> Option<Duration> {
         let answer = self.engines.left(one.address);
         answer.unwrap_or_else(|error| {
             // An engine that does not answer is judged by the list and by its callers.
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::{Listed, NodeId, Quota};
+use contract::{ListedUpstream, NodeId, Quota};
 use metrics::gauge;
 use parking_lot::Mutex;
 use policy::Tick;
@@ -121,7 +121,7 @@
     }
 
     /// Takes over a list of upstreams that was asked for at a time, in a term.
-    pub fn set_list(&self, term: u64, mut list: Vec<Listed>, asked: Tick) {
+    pub fn set_list(&self, term: u64, mut list: Vec<ListedUpstream>, asked: Tick) {
         let mut inner = self.inner.lock();
         inner.reclaims.apply(&mut list, asked);
         inner.list.set(term, list, asked);
@@ -139,7 +139,7 @@
     }
 
     /// Gives the newest list, if it was asked for within a time.
-    pub fn list(&self, now: Tick, fresh: Duration) -> Option<Arc<Vec<Listed>>> {
+    pub fn list(&self, now: Tick, fresh: Duration) -> Option<Arc<Vec<ListedUpstream>>> {
         let inner = self.inner.lock();
         let (list, asked) = inner.list.list()?;
         (now.since(asked) < fresh).then(|| Arc::clone(list))
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use contract::settings::{List, Setting, Sheet};
-use contract::{KeyHash, NodeId, Problems};
+use contract::settings::{List, Setting, SettingsReader};
+use contract::{KeyHash, NodeId, ValidationErrors};
 use telemetry::log::Format;
 
 use crate::cli::Options;
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Returns every setting that is missing or not allowed.
-    pub fn read(options: &Options, sheet: &mut Sheet) -> Result<Self, Problems> {
+    pub fn read(options: &Options, sheet: &mut SettingsReader) -> Result<Self, ValidationErrors> {
         let node = sheet.read::<String>(&NODE, options.node.as_deref()).map(NodeId::from);
         let node = sheet.check(&NODE, node, NodeId::is_valid);
         let peers = sheet.read::<List<SocketAddr>>(&PEERS, options.peers.as_deref());
@@ -120,6 +120,6 @@
                 log: log?,
             })
         };
-        settings().ok_or_else(Problems::default)
+        settings().ok_or_else(ValidationErrors::default)
     }
 }
--- a/crates/state/tests/first_orders.rs
+++ b/crates/state/tests/first_orders.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use contract::{Catalog, Listed, NodeId, Scaling, Service, ServiceName, Zone};
+use contract::{Catalog, ListedUpstream, NodeId, Scaling, Service, ServiceName, Zone};
 use parking_lot::Mutex;
 use slog::{Discard, Logger, o};
 use state::applied::{AppliedState, Command, LogEntry, WindowUsage};
@@ -33,8 +33,8 @@
     }
 }
 
-fn upstreams(count: usize) -> Vec<Listed> {
-    let one = |at: usize| Listed {
+fn upstreams(count: usize) -> Vec<ListedUpstream> {
+    let one = |at: usize| ListedUpstream {
         id: format!("u{at}"),
         start: 1,
         service: ServiceName::from("m"),
--- a/crates/state/tests/operator_races.rs
+++ b/crates/state/tests/operator_races.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use contract::{Account, Change, Class, Contract, KeyHash, Limits, Matcher, Repeat, Revision, Targets};
+use contract::{Account, Change, Class, Contract, CustomerLimits, KeyHash, Matcher, RetrySafety, Revision, Targets};
 use quickcheck::{Gen, QuickCheck};
 use state::applied::{AppliedState, Command, LogEntry, Reply};
 use wire::state::{Propose, Proposed};
@@ -22,7 +22,7 @@
             ..Matcher::default()
         },
         targets,
-        repeat: Repeat::Idempotent,
+        repeat: RetrySafety::Idempotent,
         shed: 0,
     };
     Contract {
@@ -31,7 +31,7 @@
             name: "counter".into(),
             key_hash: KeyHash::of(customer),
         }],
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 10.0,
             tokens_per_s: 10.0,
             concurrency: 1,
--- a/crates/state/tests/shared_news.rs
+++ b/crates/state/tests/shared_news.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use contract::{Listed, NodeId, ServiceName, Zone};
+use contract::{ListedUpstream, NodeId, ServiceName, Zone};
 use policy::Tick;
 use state::registry::{EntryRegistry, SharedLimits};
 use wire::registry::{Heartbeat, LeaderUpdate, UpstreamObservation};
 
 const TERM: u64 = 3;
 
-fn listed(id: &str, leaving: bool, cold_ms: u64) -> Listed {
-    Listed {
+fn listed(id: &str, leaving: bool, cold_ms: u64) -> ListedUpstream {
+    ListedUpstream {
         id: id.to_owned(),
         start: 1,
         service: ServiceName::from("m"),
@@ -153,7 +153,7 @@
 #[test]
 fn engines_tell_first() {
     let registry = EntryRegistry::default();
-    let spot = |id: &str, zone: &str, leaving| Listed {
+    let spot = |id: &str, zone: &str, leaving| ListedUpstream {
         zone: Zone::from(zone),
         reclaimable: true,
         ..listed(id, leaving, 0)
--- a/crates/telemetry/src/burn/counters.rs
+++ b/crates/telemetry/src/burn/counters.rs
@@ -34,7 +34,7 @@
     rows: BTreeMap<(CustomerId, ClassName), Row>,
     left_out: u64,
     /// Counts of other processes, by node and start time.
-    peer_counts: BTreeMap<(NodeId, u64), Part>,
+    peer_counts: BTreeMap<(NodeId, u64), NodeCounts>,
 }
 
 /// Counters of one customer and class.
@@ -54,7 +54,7 @@
 
 /// Counts of one process of an entry host, in serializable form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct NodeCounts {
     /// Entry host that counted.
     pub node: NodeId,
     /// Process start in milliseconds since 1970; a restarted process starts from zero.
@@ -113,13 +113,13 @@
 
     /// Returns the counts of this process so far.
     #[must_use]
-    pub fn node_counts(&self, node: &NodeId, now_s: u64) -> Part {
+    pub fn node_counts(&self, node: &NodeId, now_s: u64) -> NodeCounts {
         let inner = self.inner.lock();
         let rows = inner
             .rows
             .iter()
             .map(|((customer, class), row)| row.counts(customer, class, now_s));
-        Part {
+        NodeCounts {
             node: node.clone(),
             started_ms: self.started_ms,
             at_s: now_s,
@@ -129,7 +129,7 @@
     }
 
     /// Stores the counts of other processes, in case their hosts are restarted or lost.
-    pub fn store_peer_counts(&self, parts: Vec<Part>, now_s: u64) {
+    pub fn store_peer_counts(&self, parts: Vec<NodeCounts>, now_s: u64) {
         let mut inner = self.inner.lock();
         for part in parts {
             let key = (part.node.clone(), part.started_ms);
@@ -145,7 +145,7 @@
 
     /// Returns the stored counts of other processes.
     #[must_use]
-    pub fn peer_counts(&self) -> Vec<Part> {
+    pub fn peer_counts(&self) -> Vec<NodeCounts> {
         self.inner.lock().peer_counts.values().cloned().collect()
     }
 }
--- a/crates/telemetry/src/burn/report.rs
+++ b/crates/telemetry/src/burn/report.rs
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::counters::{ClassCounts, Part, latency_histogram};
+use super::counters::{ClassCounts, NodeCounts, latency_histogram};
 use super::ring::{Bucket, Window};
 use super::{Cause, OBJECTIVE};
 
@@ -132,7 +132,7 @@
 impl Report {
     /// Computes a report from parts; of several parts of the same process, only the newest counts.
     #[must_use]
-    pub fn new(parts: Vec<Part>, missing: Vec<String>, now_s: u64) -> Self {
+    pub fn new(parts: Vec<NodeCounts>, missing: Vec<String>, now_s: u64) -> Self {
         let newest = newest_per_process(parts);
         let nodes = newest.iter().map(|part| ReportNode {
             node: part.node.clone(),
@@ -165,8 +165,8 @@
 }
 
 /// Returns the newest part of each process.
-fn newest_per_process(parts: Vec<Part>) -> Vec<Part> {
-    let mut newest: BTreeMap<(NodeId, u64), Part> = BTreeMap::new();
+fn newest_per_process(parts: Vec<NodeCounts>) -> Vec<NodeCounts> {
+    let mut newest: BTreeMap<(NodeId, u64), NodeCounts> = BTreeMap::new();
     for part in parts {
         let key = (part.node.clone(), part.started_ms);
         if newest.get(&key).is_none_or(|known| known.at_s < part.at_s) {
--- a/crates/telemetry/tests/burn_report.rs
+++ b/crates/telemetry/tests/burn_report.rs
@@ -5,7 +5,7 @@
 use contract::{ClassName, CustomerId, HostId, NodeId, Targets, Zone};
 use quickcheck::{Gen, QuickCheck};
 use telemetry::burn::{
-    Alert, Cause, EndedRequest, MAX_MISS_ROWS, Part, Report, RequestCounters, RequestEnd, Window, miss_cause,
+    Alert, Cause, EndedRequest, MAX_MISS_ROWS, NodeCounts, Report, RequestCounters, RequestEnd, Window, miss_cause,
 };
 
 const NOW_S: u64 = 1_800_000_000;
@@ -59,11 +59,11 @@
     }
 }
 
-fn report(parts: Vec<Part>, now: u64) -> Report {
+fn report(parts: Vec<NodeCounts>, now: u64) -> Report {
     Report::new(parts, Vec::new(), now)
 }
 
-fn part(counters: &RequestCounters, node: &str, now: u64) -> Part {
+fn part(counters: &RequestCounters, node: &str, now: u64) -> NodeCounts {
     counters.node_counts(&NodeId::from(node), now)
 }
 
--- a/crates/upstream/src/cloud.rs
+++ b/crates/upstream/src/cloud.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use contract::{HostId, MachineClass, Zone};
+use contract::{HostClass, HostId, Zone};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use ureq::Agent;
 
@@ -20,7 +20,7 @@
     /// Zone of the host.
     pub zone: Zone,
     /// Whether the cloud can reclaim the host.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Lifecycle stage: starting, serving or leaving.
     pub stage: String,
     /// Price in micro-dollars per hour.
@@ -51,7 +51,7 @@
     /// Zone of the hosts.
     pub zone: Zone,
     /// Whether the cloud can reclaim the host.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Price in micro-dollars per hour.
     pub price: u64,
 }
@@ -62,7 +62,7 @@
     /// Zone of the host.
     pub zone: Zone,
     /// Whether the cloud can reclaim the host.
-    pub class: MachineClass,
+    pub class: HostClass,
     /// Idempotency token, so that a request whose response was lost can be repeated.
     pub token: String,
     /// Purpose of the host; returned in [`CloudHost::tag`].
--- a/crates/upstream/src/directory.rs
+++ b/crates/upstream/src/directory.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use contract::Listed;
+use contract::ListedUpstream;
 
 /// A source of the list of upstreams.
 pub trait Directory: Send {
@@ -11,7 +11,7 @@
     ///
     /// # Errors
     /// Returns a human-readable cause if the list can't be read.
-    fn read(&mut self) -> Result<Vec<Listed>, String>;
+    fn read(&mut self) -> Result<Vec<ListedUpstream>, String>;
 
     /// Returns the most reads per second that all processes together may make.
     fn rate(&self) -> f64;
--- a/crates/wire/src/catalog.rs
+++ b/crates/wire/src/catalog.rs
@@ -131,7 +131,7 @@
     pub wait_ms: u64,
 }
 
-/// Identifies an encoded [`contract::Delta`]; its bytes are the same at every state node.
+/// Identifies an encoded [`contract::CatalogDelta`]; its bytes are the same at every state node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
     /// Version that the delta applies to; `None` when it holds the whole catalog.
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -50,13 +50,13 @@
     /// Tells the host from earlier and later hosts of the same name.
     pub incarnation: u64,
     /// What was observed.
-    pub sign: Sign,
+    pub sign: HostSignalKind,
 }
 
 /// What was observed about a host.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sign {
+pub enum HostSignalKind {
     /// The cloud has announced that it will reclaim the host.
     #[display("reclaim notice")]
     Notice {
--- a/crates/wire/src/registry.rs
+++ b/crates/wire/src/registry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use contract::{Listed, Zone};
+use contract::{ListedUpstream, Zone};
 use serde::{Deserialize, Serialize};
 
 use crate::state::Unavailable;
@@ -95,7 +95,7 @@
     /// Whether this update begins the whole list, which replaces the list of the entry host.
     pub whole: bool,
     /// New and changed entries.
-    pub put: Vec<Listed>,
+    pub put: Vec<ListedUpstream>,
     /// Names of removed entries.
     pub gone: Vec<String>,
     /// Whether the entry host is up to date after this update.
