--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -142,7 +142,7 @@
                 continue;
             };
             let told = PeerDemand {
-                wanted: read(&row.wanted),
+                demand: read(&row.wanted),
                 running: f64::from(row.running),
             };
             meter.share.record_demand(peer, told, now);
@@ -150,7 +150,7 @@
                 meter.share.borrow(peer, read(&row.lent), asked);
             }
             let part = owned_part(&meter.limits, self.hosts, self.rank).to_array();
-            let (own, its) = (meter.wanted(now).to_array(), told.wanted.to_array());
+            let (own, its) = (meter.wanted(now).to_array(), told.demand.to_array());
             lacks |= (0..part.len()).any(|at| its[at] > part[at] && own[at] < part[at]);
         }
         lacks
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -56,13 +56,13 @@
     /// Tells whether new work may go to a host.
     #[must_use]
     pub fn takes_work(&self, host: &HostSpec) -> bool {
-        self.lives.lock().takes_work(&host.id, host.incarnation)
+        self.lives.lock().accepts_work(&host.id, host.incarnation)
     }
 
     /// Gives the stage of a host.
     #[must_use]
     pub fn stage(&self, host: &HostSpec) -> AnyHostState {
-        self.lives.lock().stage(&host.id, host.incarnation)
+        self.lives.lock().state(&host.id, host.incarnation)
     }
 
     /// Tells whether any host has an announced end that is still to come or has just passed.
--- a/crates/gateway/src/catalog_follower.rs
+++ b/crates/gateway/src/catalog_follower.rs
@@ -151,7 +151,7 @@
             );
             return;
         }
-        self.selector.hear(peer);
+        self.selector.record_answer(peer);
         if self.failures > 0 {
             info!(self.sync.logger, "state group answers again"; "peer" => %peer, "tries" => self.failures);
         }
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -161,7 +161,7 @@
         let other_entries = need.entry_hosts.saturating_sub(1);
         assume_home_cached(&mut candidates, need.shared_tokens(), |home| {
             let listed_for = now
-                .since(usable[home.at].listed_since)
+                .since(usable[home.index].listed_since)
                 .min(self.part_usage.observed_span(now));
             self.part_usage
                 .cached_by_others(shared_key, other_entries, listed_for, now)
@@ -174,7 +174,7 @@
         };
         let prediction = choose(&candidates, need.prompt_need(), equal_within_ms).ok_or(NoUpstream::AllFull)?;
         let chosen = usable[prediction.at];
-        let candidate = candidates.iter().find(|candidate| candidate.at == prediction.at);
+        let candidate = candidates.iter().find(|candidate| candidate.index == prediction.at);
         Ok(ChosenUpstream {
             id: chosen.listed.id.clone(),
             address: chosen.listed.address,
--- a/crates/gateway/src/upstreams/upstream.rs
+++ b/crates/gateway/src/upstreams/upstream.rs
@@ -87,17 +87,17 @@
         }
     }
 
-    pub(super) fn candidate(&self, at: usize, shared_key: u64, need: &UpstreamNeed<'_>, now: Tick) -> Candidate {
+    pub(super) fn candidate(&self, index: usize, shared_key: u64, need: &UpstreamNeed<'_>, now: Tick) -> Candidate {
         // Without a recent report, each entry host is assumed to have sent as much as this one.
         let estimated = f64::from(self.own_requests) * f64::from(need.entry_hosts.clamp(1, 4));
         let predicted = self.load.predict(now, MAX_LOAD_AGE, true);
         Candidate {
-            at,
+            index,
             load: predicted.reported.unwrap_or(estimated),
             slots: f64::from(self.listed.slots.max(1)),
             cached: self.cached.tokens(need.prompt_parts, now),
             weight: xxh3_64(&(self.id_hash ^ shared_key).to_le_bytes()),
-            near: self.listed.zone == *need.zone,
+            local: self.listed.zone == *need.zone,
             backlog_ms: self.queued_ms(now),
             rates: self.service_speed.borrow().rates().scaled(self.relative_speed.factor()),
         }
--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -60,10 +60,10 @@
         let now = Tick::from_millis(10_000);
         let mut share = CustomerShare::new(false, Tick::default());
         for peer in 1..hosts {
-            let wanted = LimitAmounts::from([f64::from(peer % 30), f64::from(peer % 30) * 400.0, f64::from(peer % 90)]);
+            let demand = LimitAmounts::from([f64::from(peer % 30), f64::from(peer % 30) * 400.0, f64::from(peer % 90)]);
             let reported = PeerDemand {
-                wanted,
-                running: wanted.running,
+                demand,
+                running: demand.running,
             };
             share.record_demand(peer, reported, now);
         }
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -123,7 +123,7 @@
 
     /// Returns the averages over finished requests.
     #[must_use]
-    pub const fn rate(&self) -> &HoldAverages {
+    pub const fn averages(&self) -> &HoldAverages {
         &self.averages
     }
 
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/life.rs
@@ -239,7 +239,7 @@
 
     /// Returns the state of an incarnation of a host.
     #[must_use]
-    pub fn stage(&self, host: &HostId, incarnation: u64) -> AnyHostState {
+    pub fn state(&self, host: &HostId, incarnation: u64) -> AnyHostState {
         match self.hosts.get(host) {
             Some(state) if state.incarnation() == incarnation => *state,
             // A newer incarnation is known, so this one is gone.
@@ -254,8 +254,8 @@
 
     /// Returns whether new work may be sent to an incarnation of a host.
     #[must_use]
-    pub fn takes_work(&self, host: &HostId, incarnation: u64) -> bool {
-        self.stage(host, incarnation).accepts_work()
+    pub fn accepts_work(&self, host: &HostId, incarnation: u64) -> bool {
+        self.state(host, incarnation).accepts_work()
     }
 
     /// Iterates over the hosts that had an event.
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerDemand {
     /// Demand of its callers.
-    pub wanted: LimitAmounts,
+    pub demand: LimitAmounts,
     /// Requests that run there now.
     pub running: f64,
 }
@@ -103,7 +103,7 @@
             let wanted: Vec<f64> = self
                 .peers
                 .values()
-                .map(|(_, peer)| peer.wanted.to_array()[resource])
+                .map(|(_, peer)| peer.demand.to_array()[resource])
                 .collect();
             let (part, own) = (resource_parts(part)[resource], own.to_array()[resource]);
             let mut loan = plan(part, own, &wanted)[position];
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Index among the upstreams.
-    pub at: usize,
+    pub index: usize,
     /// Running and waiting requests.
     pub load: f64,
     /// Most requests that run at once.
@@ -85,7 +85,7 @@
     /// Rendezvous hash of prompt and upstream, equal at all entry hosts; the highest marks the home.
     pub weight: u64,
     /// Whether the upstream is in the data centre of this host.
-    pub near: bool,
+    pub local: bool,
     /// Known work queued before the request, in milliseconds: prompts sent there and not prefilled yet.
     pub backlog_ms: f64,
     /// Estimated times of the engine.
@@ -149,11 +149,11 @@
     let slot_ms = candidate.rates.run_ms / slots;
     let ms = prefill_ms * (1.0 + crowd)
         + (crowd * crowd + queued) * slot_ms
-        + if candidate.near { 0.0 } else { DISTANCE_MS }
+        + if candidate.local { 0.0 } else { DISTANCE_MS }
         + candidate.backlog_ms;
     let excess_ms = (candidate.backlog_ms + prefill_ms - max_pause_ms * PAUSE_SHARE).max(0.0);
     Prediction {
-        at: candidate.at,
+        at: candidate.index,
         ms,
         prefill_ms,
         backlog_ms: candidate.backlog_ms,
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records that a node answered.
-    pub fn hear(&mut self, node: SocketAddr) {
+    pub fn record_answer(&mut self, node: SocketAddr) {
         self.failed.remove(&node);
     }
 }
--- a/crates/policy/tests/host_life.rs
+++ b/crates/policy/tests/host_life.rs
@@ -69,7 +69,7 @@
             }
             if ended_hosts
                 .iter()
-                .any(|(host, which)| states.takes_work(&name(*host), *which))
+                .any(|(host, which)| states.accepts_work(&name(*host), *which))
             {
                 return false;
             }
@@ -90,7 +90,7 @@
             twice.apply_event(&name(event.host), event.incarnation, event.kind, now);
             twice.apply_event(&name(event.host), event.incarnation, event.kind, now);
         }
-        (0..3).all(|host| (0..3).all(|which| once.stage(&name(host), which) == twice.stage(&name(host), which)))
+        (0..3).all(|host| (0..3).all(|which| once.state(&name(host), which) == twice.state(&name(host), which)))
     }
     check(same);
 }
@@ -110,7 +110,7 @@
         for event in &all {
             states.apply_event(&name(event.host), event.incarnation, event.kind, Tick::default());
         }
-        (0..3).all(|host| states.takes_work(&name(host), last(host).map_or(0, |last| last + 1)))
+        (0..3).all(|host| states.accepts_work(&name(host), last(host).map_or(0, |last| last + 1)))
     }
     check(fresh);
 }
@@ -124,7 +124,7 @@
         let left = Some(Duration::from_millis(left));
         states.apply_event(&host, 0, HostEvent::Leaves { left }, now);
     }
-    let AnyHostState::Leaving(state) = states.stage(&host, 0) else {
+    let AnyHostState::Leaving(state) = states.state(&host, 0) else {
         panic!("not leaving");
     };
     assert_eq!(state.gone_at(), Some(Tick::from_millis(6_000)));
@@ -136,7 +136,7 @@
     let mut states = HostStates::default();
     let host = name(0);
     states.apply_event(&host, 4, HostEvent::Refused, Tick::default());
-    assert!(!states.takes_work(&host, 4));
+    assert!(!states.accepts_work(&host, 4));
     states.apply_event(&host, 4, HostEvent::Answered, Tick::default());
-    assert!(states.takes_work(&host, 4));
+    assert!(states.accepts_work(&host, 4));
 }
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -175,7 +175,7 @@
                 sequence: host.sequence,
                 heard: host.heard[to],
                 reported: PeerDemand {
-                    wanted: host.wanted,
+                    demand: host.wanted,
                     running: host.running,
                 },
                 lent,
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -8,14 +8,14 @@
 use policy::pace::{EngineRates, PrefillWork};
 use policy::place::{CachedParts, Candidate, PromptNeed, PromptPart, choose};
 
-fn candidate(at: usize, load: f64) -> Candidate {
+fn candidate(index: usize, load: f64) -> Candidate {
     Candidate {
-        at,
+        index,
         load,
         slots: 64.0,
         cached: 0,
-        weight: at as u64,
-        near: true,
+        weight: index as u64,
+        local: true,
         backlog_ms: 0.0,
         rates: RATES,
     }
