--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -14,7 +14,7 @@
 use capacity::reclaim_watch;
 use capacity::settings::Settings;
 use contract::NodeId;
-use contract::settings::{self, Sheet};
+use contract::settings::{self, SettingsReader};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use slog::{Logger, info};
 use telemetry::clock::wall_ms;
@@ -36,8 +36,8 @@
 /// Reads the settings and serves until SIGTERM or SIGINT; ends earlier if the settings are only to be checked or
 /// printed.
 fn run(options: &Options) -> anyhow::Result<()> {
-    let read_settings = |sheet: &mut Sheet| Settings::read(options, sheet);
-    let Some(settings) = settings::begin(options.print_settings, options.check_settings, read_settings)? else {
+    let read_settings = |sheet: &mut SettingsReader| Settings::read(options, sheet);
+    let Some(settings) = settings::load(options.print_settings, options.check_settings, read_settings)? else {
         return Ok(());
     };
     let logger = log::start(settings.log, "gentian-capacity", settings.node.as_str());
--- a/crates/capacity/src/reclaim_watch.rs
+++ b/crates/capacity/src/reclaim_watch.rs
@@ -12,7 +12,7 @@
 use upstream::cloud::{CloudClient, CloudHost, ReclaimNotice};
 use wire::Envelope;
 use wire::client::RpcRuntime;
-use wire::entry::{EntryRpcClient, HostSignal, Sign};
+use wire::entry::{EntryRpcClient, HostSignal, HostSignalKind};
 
 /// Longest time from a notice at the cloud API until every reachable entry host has received it.
 pub const NOTICE_DEADLINE: Duration = Duration::from_secs(2);
@@ -94,7 +94,7 @@
     HostSignal {
         host: notice.host,
         incarnation: notice.incarnation,
-        sign: Sign::Notice {
+        sign: HostSignalKind::Notice {
             left_ms: notice.left_ms,
         },
     }
@@ -104,7 +104,7 @@
     HostSignal {
         host: host.id,
         incarnation: host.incarnation,
-        sign: Sign::Leaving,
+        sign: HostSignalKind::Leaving,
     }
 }
 
--- a/crates/capacity/tests/capacity_loop.rs
+++ b/crates/capacity/tests/capacity_loop.rs
@@ -4,7 +4,7 @@
 
 use capacity::cli::Options;
 use common::{FakeGroup, POOL_FLAGS, Process, contract_config, post, standin_report, start_cloud};
-use contract::{Change, Config, HostRule, MachineClass, UpstreamSpec};
+use contract::{Change, Config, HostClass, HostRule, UpstreamSpec};
 
 /// Concurrency of the contract. With the default floor of 25 percent, two hosts of ten slots have to be left after the
 /// loss of any zone.
@@ -30,7 +30,7 @@
     let mut process = Process::start("capacity-1", cloud.address(), Options::default());
     process.run_until(&state, |config| left_after_loss(config) >= 2);
     let config = state.config.lock().clone();
-    let on_demand = |spec: &&&UpstreamSpec| spec.host.class == MachineClass::OnDemand;
+    let on_demand = |spec: &&&UpstreamSpec| spec.host.class == HostClass::OnDemand;
     assert_eq!(registered(&config).iter().filter(on_demand).count(), 2);
 }
 
@@ -111,7 +111,7 @@
         Change::PutRule(HostRule {
             model: "m".into(),
             zone: "zone-b".into(),
-            class: MachineClass::Reclaimable,
+            class: HostClass::Reclaimable,
             least,
             most,
         })
@@ -142,7 +142,7 @@
     state.apply_change(Change::PutRule(HostRule {
         model: "m".into(),
         zone: "zone-a".into(),
-        class: MachineClass::OnDemand,
+        class: HostClass::OnDemand,
         least: 1,
         most: 1,
     }));
--- a/crates/ctl/src/burn.rs
+++ b/crates/ctl/src/burn.rs
@@ -1,7 +1,7 @@
 //! `gentianctl burn`: merges the error budget counts of all entry hosts into one report.
 
 use serde_json::Value;
-use telemetry::burn::{Part, Report, ReportRow};
+use telemetry::burn::{NodeCounts, Report, ReportRow};
 use telemetry::clock::wall_ms;
 use wire::entry::EntryRpcClient;
 
@@ -28,7 +28,7 @@
     );
     let mut parts = Vec::new();
     for (peer, value) in answers.received {
-        let host_parts: Vec<Part> = serde_json::from_value(value)
+        let host_parts: Vec<NodeCounts> = serde_json::from_value(value)
             .map_err(|error| anyhow::anyhow!("burn at {peer}: {error}; is it of another version?"))?;
         parts.extend(host_parts);
     }
--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use contract::{Config, Contract, CustomerId, Limits};
+use contract::{Config, Contract, CustomerId, CustomerLimits};
 use policy::Tick;
 use policy::limits::{Bucket, CustomerShare, DemandMeter, LimitAmounts, PeerDemand, owned_part};
 use wire::digest::{self, Demand};
@@ -27,7 +27,7 @@
 /// One customer's limits, demand and running requests at this host.
 #[derive(Debug)]
 struct CustomerMeter {
-    limits: Limits,
+    limits: CustomerLimits,
     share: CustomerShare,
     requests: Bucket,
     tokens: Bucket,
@@ -147,7 +147,7 @@
                 continue;
             };
             let peer_demand = PeerDemand {
-                wanted: from_wire(&row.wanted),
+                demand: from_wire(&row.wanted),
                 running: f64::from(row.running),
             };
             meter.share.record_demand(peer, peer_demand, now);
@@ -155,7 +155,7 @@
                 meter.share.borrow(peer, from_wire(&row.lent), demand_sent);
             }
             let part = owned_part(&meter.limits, self.host_count, self.host_rank).to_array();
-            let (own_demand, peer_wanted) = (meter.demand(now).to_array(), peer_demand.wanted.to_array());
+            let (own_demand, peer_wanted) = (meter.demand(now).to_array(), peer_demand.demand.to_array());
             needs_loan |=
                 (0..part.len()).any(|index| peer_wanted[index] > part[index] && own_demand[index] < part[index]);
         }
--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -6,7 +6,7 @@
 
 use metrics::counter;
 use serde_json::{Value, json};
-use telemetry::burn::Part;
+use telemetry::burn::NodeCounts;
 use telemetry::clock::wall_ms;
 use wire::Envelope;
 use wire::client::RpcRuntime;
@@ -21,7 +21,7 @@
 
 /// Returns the counts of this process and the counts that it keeps for others.
 #[must_use]
-pub fn all_counts(entry: &EntryHost) -> Vec<Part> {
+pub fn all_counts(entry: &EntryHost) -> Vec<NodeCounts> {
     let own = entry.burn_counts.node_counts(&entry.settings.node, wall_ms() / 1_000);
     std::iter::once(own).chain(entry.burn_counts.peer_counts()).collect()
 }
@@ -88,7 +88,7 @@
     let client = calls.client(peer, Duration::ZERO);
     let answer = client.ok().and_then(|client| calls.wait(client.burn(message)).ok());
     let parts = answer.and_then(|answer| {
-        let parts: Vec<Part> = serde_json::from_value(answer.body).ok()?;
+        let parts: Vec<NodeCounts> = serde_json::from_value(answer.body).ok()?;
         // The counts that the peer keeps for others have their copy there already.
         Some(parts.into_iter().filter(|part| part.node == answer.from).collect())
     });
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -79,7 +79,7 @@
 
 /// Returns the contract's class of a request; `None` if none matches.
 pub(super) fn request_class<'a>(contract: &'a Contract, chat: &CheckedChat) -> Option<&'a Class> {
-    contract.class_of(&contract::Request {
+    contract.class_of(&contract::RequestAttributes {
         service: None,
         method: "POST",
         route: "/v1/chat/completions",
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::bounded;
 use policy::Tick;
 use slog::info;
-use wire::entry::{Handover, HostSignal, Sign};
+use wire::entry::{Handover, HostSignal, HostSignalKind};
 
 use crate::EntryHost;
 use crate::journal::Journal;
@@ -29,10 +29,10 @@
 /// A signal about an earlier host with the same name can arrive when the new one already serves, and must not stop it.
 pub fn handle_signal(entry: &EntryHost, signal: &HostSignal) {
     let is_own_host = signal.host == entry.settings.host && signal.incarnation >= entry.settings.incarnation;
-    if !is_own_host || signal.sign == Sign::Serving {
+    if !is_own_host || signal.sign == HostSignalKind::Serving {
         return;
     }
-    if let Sign::Notice { left_ms } = signal.sign {
+    if let HostSignalKind::Notice { left_ms } = signal.sign {
         entry.announce_end(Duration::from_millis(left_ms));
     }
     entry.leave_requested.store(true, Ordering::SeqCst);
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -56,13 +56,13 @@
     /// Returns whether new work may be sent to a host.
     #[must_use]
     pub fn takes_work(&self, host: &HostSpec) -> bool {
-        self.states.lock().takes_work(&host.id, host.incarnation)
+        self.states.lock().accepts_work(&host.id, host.incarnation)
     }
 
     /// Returns the life-cycle stage of a host.
     #[must_use]
     pub fn state(&self, host: &HostSpec) -> AnyHostState {
-        self.states.lock().stage(&host.id, host.incarnation)
+        self.states.lock().state(&host.id, host.incarnation)
     }
 
     /// Returns whether any host has an announced end that is in the future or passed less than [`MAX_NOTICE_DELAY`]
@@ -154,19 +154,19 @@
     HostSignal {
         host: notice.host,
         incarnation: notice.incarnation,
-        sign: wire_entry::Sign::Notice {
+        sign: wire_entry::HostSignalKind::Notice {
             left_ms: notice.left_ms,
         },
     }
 }
 
-const fn signal_event(signal: wire_entry::Sign) -> HostEvent {
+const fn signal_event(signal: wire_entry::HostSignalKind) -> HostEvent {
     match signal {
-        wire_entry::Sign::Notice { left_ms } => HostEvent::Leaves {
+        wire_entry::HostSignalKind::Notice { left_ms } => HostEvent::Leaves {
             left: Some(Duration::from_millis(left_ms)),
         },
-        wire_entry::Sign::Leaving | wire_entry::Sign::Drain => HostEvent::Leaves { left: None },
-        wire_entry::Sign::Gone => HostEvent::Gone,
-        wire_entry::Sign::Serving => HostEvent::Answered,
+        wire_entry::HostSignalKind::Leaving | wire_entry::HostSignalKind::Drain => HostEvent::Leaves { left: None },
+        wire_entry::HostSignalKind::Gone => HostEvent::Gone,
+        wire_entry::HostSignalKind::Serving => HostEvent::Answered,
     }
 }
--- a/crates/entry/tests/handover.rs
+++ b/crates/entry/tests/handover.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use wire::Envelope;
 use wire::client::RpcRuntime;
-use wire::entry::{EntryRpcClient, Handover, HostSignal, Sign};
+use wire::entry::{EntryRpcClient, Handover, HostSignal, HostSignalKind};
 
 const TOKENS: u64 = 400;
 
@@ -39,7 +39,7 @@
     let signal = HostSignal {
         host: "vm-0".into(),
         incarnation: 0,
-        sign: Sign::Notice { left_ms },
+        sign: HostSignalKind::Notice { left_ms },
     };
     let message = Envelope::new(&"capacity-1".into(), Revision(1), vec![signal]);
     calls.wait(client.hosts(message)).unwrap();
@@ -135,11 +135,11 @@
         sign,
     };
     let leave_requested = || host.entry.leave_requested.load(std::sync::atomic::Ordering::SeqCst);
-    drain::handle_signal(&host.entry, &signal(1, Sign::Gone));
-    drain::handle_signal(&host.entry, &signal(1, Sign::Notice { left_ms: 5 }));
-    drain::handle_signal(&host.entry, &signal(2, Sign::Serving));
+    drain::handle_signal(&host.entry, &signal(1, HostSignalKind::Gone));
+    drain::handle_signal(&host.entry, &signal(1, HostSignalKind::Notice { left_ms: 5 }));
+    drain::handle_signal(&host.entry, &signal(2, HostSignalKind::Serving));
     assert!(!leave_requested() && host.entry.gone_at().is_none());
-    drain::handle_signal(&host.entry, &signal(2, Sign::Notice { left_ms: 5 }));
+    drain::handle_signal(&host.entry, &signal(2, HostSignalKind::Notice { left_ms: 5 }));
     assert!(leave_requested() && host.entry.gone_at().is_some());
 }
 
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use contract::{Listed, Scaling, ServiceName, Zone};
+use contract::{ListedUpstream, Scaling, ServiceName, Zone};
 use policy::Tick;
 use policy::fleet::{ZoneSupply, plan, upstreams_needed};
 use slog::info;
@@ -51,7 +51,7 @@
 
 impl Orders {
     /// Records the data centres whose upstreams are being reclaimed.
-    fn record_reclaims(&mut self, list: &[Listed], now: Tick) {
+    fn record_reclaims(&mut self, list: &[ListedUpstream], now: Tick) {
         for upstream in list
             .iter()
             .filter(|upstream| upstream.leaving && upstream.left.is_some())
@@ -158,7 +158,7 @@
     /// them for a reason. Returns `None` until two plans in a row have found the same number: when the whole system
     /// starts at once, the first list names only the upstreams that started fastest, and a fleet sized by it would be
     /// too small for the first requests.
-    fn peak_need(&mut self, service: &ServiceName, needed: f64, list: &[Listed], now: Tick) -> Option<f64> {
+    fn peak_need(&mut self, service: &ServiceName, needed: f64, list: &[ListedUpstream], now: Tick) -> Option<f64> {
         let unknown = needed <= 0.0;
         let own = list
             .iter()
@@ -188,7 +188,7 @@
         &self,
         service: &ServiceName,
         scaling: &Scaling,
-        list: &[Listed],
+        list: &[ListedUpstream],
         now: Tick,
     ) -> BTreeMap<Zone, ZoneSupply> {
         let zones = scaling.prices.keys().cloned();
--- a/crates/state/src/feed.rs
+++ b/crates/state/src/feed.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use contract::{Catalog, Delta};
+use contract::{Catalog, CatalogDelta};
 use wire::catalog::{Follow, Transfer, TransferPart};
 
 /// Most bytes of changes that are kept; an entry host that lacks older ones gets the whole catalog.
@@ -32,7 +32,7 @@
 }
 
 impl EncodedDelta {
-    fn new(delta: &Delta) -> Arc<Self> {
+    fn new(delta: &CatalogDelta) -> Arc<Self> {
         let bytes = postcard::to_stdvec(delta).expect("every delta can be encoded");
         Arc::new(Self {
             transfer: Transfer {
@@ -58,7 +58,7 @@
 impl CatalogFeed {
     /// Adds the change from one catalog to the next.
     pub fn push_change(&mut self, old: &Catalog, new: &Catalog) {
-        let change = EncodedDelta::new(&Delta::between(old, new));
+        let change = EncodedDelta::new(&CatalogDelta::between(old, new));
         self.bytes += change.bytes.len();
         self.changes.push_back(change);
         while self.bytes > KEPT_BYTES
@@ -140,7 +140,7 @@
     }
 
     fn encode_catalog(&mut self, newest: &Catalog) -> Arc<EncodedDelta> {
-        let whole = EncodedDelta::new(&Delta::whole(newest));
+        let whole = EncodedDelta::new(&CatalogDelta::whole(newest));
         self.catalogs.push_back(Arc::clone(&whole));
         if self.catalogs.len() > KEPT_CATALOGS {
             self.catalogs.pop_front();
--- a/crates/state/src/list_changes.rs
+++ b/crates/state/src/list_changes.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::Listed;
+use contract::ListedUpstream;
 use policy::Tick;
 use wire::registry::{ListPosition, ListUpdate};
 
@@ -25,9 +25,9 @@
     floor: u64,
     /// When the list was requested; `None` before the first.
     asked: Option<Tick>,
-    list: Arc<Vec<Listed>>,
+    list: Arc<Vec<ListedUpstream>>,
     /// Every entry at its newest change; `None` for a removed one.
-    changes: BTreeMap<ListPosition, Option<Listed>>,
+    changes: BTreeMap<ListPosition, Option<ListedUpstream>>,
     /// Number of the newest change of each entry, by upstream id.
     numbers: BTreeMap<String, u64>,
     /// Number of removed entries in `changes`.
@@ -36,7 +36,7 @@
 
 impl UpstreamList {
     /// Replaces the list by one that the leader of a term requested at `asked`.
-    pub(crate) fn set(&mut self, term: u64, mut list: Vec<Listed>, asked: Tick) {
+    pub(crate) fn set(&mut self, term: u64, mut list: Vec<ListedUpstream>, asked: Tick) {
         list.sort_by(|a, b| a.id.cmp(&b.id));
         // Change numbers of different terms never overlap.
         let first = term << TERM_BITS;
@@ -63,7 +63,7 @@
     }
 
     /// Takes over an entry; it counts as changed, under the number `next`, unless it is the same as before.
-    fn update(&mut self, upstream: &Listed, next: u64) {
+    fn update(&mut self, upstream: &ListedUpstream, next: u64) {
         let number = self.numbers.get(&upstream.id).copied().unwrap_or_default();
         let known = self.changes.get_mut(&position(number, &upstream.id));
         if let Some(Some(known)) = known
@@ -76,7 +76,7 @@
     }
 
     /// Records that an entry changed, or was removed if `entry` is `None`.
-    fn add_change(&mut self, id: &str, number: u64, entry: Option<Listed>) {
+    fn add_change(&mut self, id: &str, number: u64, entry: Option<ListedUpstream>) {
         self.gone += usize::from(entry.is_none());
         if let Some(old) = self.numbers.insert(id.to_owned(), number) {
             let old = self.changes.remove(&position(old, id));
@@ -139,7 +139,7 @@
     }
 
     /// Returns the list with its request time.
-    pub(crate) fn list(&self) -> Option<(&Arc<Vec<Listed>>, Tick)> {
+    pub(crate) fn list(&self) -> Option<(&Arc<Vec<ListedUpstream>>, Tick)> {
         self.asked.map(|asked| (&self.list, asked))
     }
 }
@@ -151,15 +151,15 @@
     }
 }
 
-fn find<'a>(list: &'a [Listed], id: &str) -> Option<&'a Listed> {
+fn find<'a>(list: &'a [ListedUpstream], id: &str) -> Option<&'a ListedUpstream> {
     let at = list.binary_search_by(|upstream| upstream.id.as_str().cmp(id)).ok()?;
     list.get(at)
 }
 
 /// Returns whether two entries are equal apart from the remaining warm-up time and time until reclaim, which change
 /// with every read.
-fn is_same(a: &Listed, b: &Listed) -> bool {
-    let timeless = |upstream: &Listed| Listed {
+fn is_same(a: &ListedUpstream, b: &ListedUpstream) -> bool {
+    let timeless = |upstream: &ListedUpstream| ListedUpstream {
         cold: Duration::ZERO,
         left: None,
         ..upstream.clone()
--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use contract::Listed;
+use contract::ListedUpstream;
 use crossbeam_channel::Sender;
 use metrics::counter;
 use policy::reclaim::{ReclaimGroup, engines_to_probe};
@@ -78,7 +78,7 @@
     }
 
     /// Returns the shortest time until the reclaim if all asked engines report one.
-    fn time_left(&self, asked: &[&Listed]) -> Option<Duration> {
+    fn time_left(&self, asked: &[&ListedUpstream]) -> Option<Duration> {
         let mut shortest: Option<Duration> = None;
         for engine in asked {
             let left = self.ask_engine(engine)?;
@@ -88,7 +88,7 @@
     }
 
     /// Returns the time until an engine's host is reclaimed; `None` if it is not, or if the engine does not answer.
-    fn ask_engine(&self, engine: &Listed) -> Option<Duration> {
+    fn ask_engine(&self, engine: &ListedUpstream) -> Option<Duration> {
         let answer = self.engines.left(engine.address);
         answer.unwrap_or_else(|error| {
             // An engine that does not answer is left to the list and to the entry hosts' own failure detection.
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::{Listed, NodeId, Quota};
+use contract::{ListedUpstream, NodeId, Quota};
 use metrics::gauge;
 use parking_lot::Mutex;
 use policy::Tick;
@@ -123,7 +123,7 @@
     }
 
     /// Replaces the list of upstreams by one that the leader of a term requested at `asked`.
-    pub fn set_list(&self, term: u64, mut list: Vec<Listed>, asked: Tick) {
+    pub fn set_list(&self, term: u64, mut list: Vec<ListedUpstream>, asked: Tick) {
         let mut inner = self.inner.lock();
         inner.reclaims.apply(&mut list, asked);
         inner.list.set(term, list, asked);
@@ -141,7 +141,7 @@
     }
 
     /// Returns the newest list if it was requested less than `fresh` ago.
-    pub fn list(&self, now: Tick, fresh: Duration) -> Option<Arc<Vec<Listed>>> {
+    pub fn list(&self, now: Tick, fresh: Duration) -> Option<Arc<Vec<ListedUpstream>>> {
         let inner = self.inner.lock();
         let (list, asked) = inner.list.list()?;
         (now.since(asked) < fresh).then(|| Arc::clone(list))
