--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -243,7 +243,7 @@
                 class: spec.host.class,
                 price: spec.host.price,
                 slots: (f64::from(spec.slots) * rates.usable_share).ceil() as u32,
-                near: spec.host.data_center == self.place,
+                local: spec.host.data_center == self.place,
                 reclaims_per_hour: waves.reclaims(&spec.host.zone, now),
                 load: state.load.predict(now, expiry, self.rules.with(Ablation::Corrections)),
                 cached: (held as f64 * trust).max(if home == Some(proposed.at) { kept } else { 0.0 }) as u64,
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -173,8 +173,8 @@
             EQUAL_WITHIN_MS
         };
         let prediction = choose(&candidates, need.prompt_need(), equal_within_ms).ok_or(NoUpstream::AllFull)?;
-        let chosen = usable[prediction.at];
-        let candidate = candidates.iter().find(|candidate| candidate.index == prediction.at);
+        let chosen = usable[prediction.index];
+        let candidate = candidates.iter().find(|candidate| candidate.index == prediction.index);
         Ok(ChosenUpstream {
             id: chosen.listed.id.clone(),
             address: chosen.listed.address,
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -70,7 +70,7 @@
         class: HostClass::Reclaimable,
         price: 90_000,
         slots: 16,
-        near: fleet.group.members()[at].near,
+        local: fleet.group.members()[at].near,
         reclaims_per_hour: 0.05,
         load: fleet.loads[at].predict(Tick::from_millis(2_500), EXPIRY, true),
         cached,
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
     /// Index of the upstream.
-    pub at: usize,
+    pub index: usize,
     /// Time to first event, in milliseconds.
     pub ms: f64,
     /// Part of the time that is prefill of the prompt, in milliseconds.
@@ -153,7 +153,7 @@
         + candidate.backlog_ms;
     let excess_ms = (candidate.backlog_ms + prefill_ms - max_pause_ms * PAUSE_SHARE).max(0.0);
     Prediction {
-        at: candidate.index,
+        index: candidate.index,
         ms,
         prefill_ms,
         backlog_ms: candidate.backlog_ms,
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -202,7 +202,7 @@
             },
             price: if_enabled(Ablation::Price, host_price * MS_PER_MICRODOLLAR),
             risk: if_enabled(Ablation::Risk, reclaim_probability * repeated_ms),
-            distance: if_enabled(Ablation::Distance, if candidate.near { 0.0 } else { DISTANCE_MS }),
+            distance: if_enabled(Ablation::Distance, if candidate.local { 0.0 } else { DISTANCE_MS }),
         }
     }
 
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -126,7 +126,7 @@
     /// Requests that it runs at once without slowing down.
     pub slots: u32,
     /// Whether it is in the data centre of this host.
-    pub near: bool,
+    pub local: bool,
     /// Expected reclaims an hour in its zone.
     pub reclaims_per_hour: f64,
     /// Its predicted load.
--- a/crates/policy/tests/prompt_place.rs
+++ b/crates/policy/tests/prompt_place.rs
@@ -51,7 +51,7 @@
 }
 
 fn chosen(candidates: &[Candidate], tokens: u64) -> usize {
-    choose(candidates, need(tokens), 12.0).unwrap().at
+    choose(candidates, need(tokens), 12.0).unwrap().index
 }
 
 #[test]
@@ -83,10 +83,10 @@
         ..candidate(at, load)
     };
     let candidates = [engine(0, 0.0), engine(1, 11.0)];
-    assert_eq!(choose(&candidates, need(2_000), 25.0).unwrap().at, 1);
+    assert_eq!(choose(&candidates, need(2_000), 25.0).unwrap().index, 1);
     let candidates = [engine(0, 0.0), engine(1, 15.0)];
     assert_eq!(
-        choose(&candidates, need(2_000), 25.0).unwrap().at,
+        choose(&candidates, need(2_000), 25.0).unwrap().index,
         0,
         "no slot may be free"
     );
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -18,7 +18,7 @@
         class: HostClass::Reclaimable,
         price: 90_000,
         slots: 16,
-        near: true,
+        local: true,
         reclaims_per_hour: 0.05,
         load: PredictedLoad {
             reported: Some(load),
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -24,7 +24,7 @@
         class: HostClass::OnDemand,
         price: 0,
         slots: 4,
-        near: true,
+        local: true,
         reclaims_per_hour: 0.0,
         load: PredictedLoad {
             reported: Some(loads[at]),
