--- a/crates/entry/src/fleet/index.rs
+++ b/crates/entry/src/fleet/index.rs
@@ -94,7 +94,7 @@
             .map(|row| GroupMember {
                 number: row.member.number,
                 id: row.spec.id.clone(),
-                near: row.spec.host.data_center == *place,
+                local: row.spec.host.data_center == *place,
             })
             .collect();
         let before = self.pools.get(target).filter(|pool| pool.group.members() == places);
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -157,7 +157,7 @@
         counter!("gentian_choices_widened_total").increment(1);
         let reason = Reason::All;
         let all: Vec<ProposedCandidate> = (0..pool.rows.len())
-            .map(|at| ProposedCandidate { at, reason })
+            .map(|index| ProposedCandidate { index, reason })
             .collect();
         let mut open = self.candidates(pool, &all, &homes, ask, now);
         open.retain(|candidate| candidate.exclusion.is_none());
@@ -216,7 +216,7 @@
         ask: &Ask<'_>,
         now: Tick,
     ) -> Vec<Candidate<'a>> {
-        let numbers: Vec<u32> = proposed.iter().map(|p| pool.rows[p.at].member.number).collect();
+        let numbers: Vec<u32> = proposed.iter().map(|p| pool.rows[p.index].member.number).collect();
         let held = if self.rules.with(Ablation::Affinity) {
             self.history.lock().cached_words(ask.prefix, &numbers)
         } else {
@@ -229,7 +229,7 @@
         let kept = begun * rates.cached_share;
         let home = self.home(pool, homes);
         let candidate = |(proposed, held): (&ProposedCandidate, u64)| {
-            let row = &pool.rows[proposed.at];
+            let row = &pool.rows[proposed.index];
             let spec = row.spec.as_ref();
             let state = row.member.state.lock();
             let trust = if self.rules.with(Ablation::CacheEvents) {
@@ -246,8 +246,8 @@
                 local: spec.host.data_center == self.place,
                 reclaims_per_hour: waves.reclaims(&spec.host.zone, now),
                 load: state.load.predict(now, expiry, self.rules.with(Ablation::Corrections)),
-                cached: (held as f64 * trust).max(if home == Some(proposed.at) { kept } else { 0.0 }) as u64,
-                home: home.is_none_or(|at| at == proposed.at),
+                cached: (held as f64 * trust).max(if home == Some(proposed.index) { kept } else { 0.0 }) as u64,
+                home: home.is_none_or(|at| at == proposed.index),
                 exclusion: state.barred(!self.hosts.takes_work(&spec.host), ask.tried.contains(&spec.id), now),
             }
         };
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -33,7 +33,7 @@
     let member = |number: u32| GroupMember {
         number,
         id: ids[number as usize].clone(),
-        near: number.is_multiple_of(8),
+        local: number.is_multiple_of(8),
     };
     let group = UpstreamGroup::new((0..count).map(member).collect());
     let mut index = PrefixIndex::new(256 * 1024);
@@ -70,7 +70,7 @@
         class: HostClass::Reclaimable,
         price: 90_000,
         slots: 16,
-        local: fleet.group.members()[at].near,
+        local: fleet.group.members()[at].local,
         reclaims_per_hour: 0.05,
         load: fleet.loads[at].predict(Tick::from_millis(2_500), EXPIRY, true),
         cached,
@@ -92,11 +92,11 @@
         &holders,
         turn,
     );
-    let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.members()[p.at].number).collect();
+    let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.members()[p.index].number).collect();
     let cached = fleet.index.cached_words(prefix, &numbers);
     let rows = proposed.iter().zip(cached);
     let candidates: Vec<Candidate<'_>> = rows
-        .map(|(p, cached)| candidate(fleet, p.at, cached, p.reason))
+        .map(|(p, cached)| candidate(fleet, p.index, cached, p.reason))
         .collect();
     let need = RequestNeed {
         prompt_tokens: prefix.words(),
--- a/crates/policy/src/route/group.rs
+++ b/crates/policy/src/route/group.rs
@@ -67,14 +67,14 @@
     /// Name of the upstream, which is hashed.
     pub id: UpstreamId,
     /// Whether the upstream is in the data centre of this host.
-    pub near: bool,
+    pub local: bool,
 }
 
 /// A candidate before its cost is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProposedCandidate {
     /// Index in the group.
-    pub at: usize,
+    pub index: usize,
     /// Why it is proposed.
     pub reason: Reason,
 }
@@ -105,7 +105,7 @@
             .collect();
         by_number.sort_unstable();
         let all: Vec<u32> = (0..members.len() as u32).collect();
-        let near: Vec<u32> = all.iter().copied().filter(|at| members[*at as usize].near).collect();
+        let near: Vec<u32> = all.iter().copied().filter(|at| members[*at as usize].local).collect();
         let near = if near.is_empty() { all } else { near };
         let mut group = Self {
             members,
@@ -158,13 +158,13 @@
         let reason = Reason::All;
         if self.members.len() <= MAX_CANDIDATES {
             return (0..self.members.len())
-                .map(|at| ProposedCandidate { at, reason })
+                .map(|index| ProposedCandidate { index, reason })
                 .collect();
         }
         let mut found: Vec<ProposedCandidate> = Vec::with_capacity(MAX_CANDIDATES);
-        let mut add = |at: usize, reason| {
-            if found.len() < MAX_CANDIDATES && found.iter().all(|other| other.at != at) {
-                found.push(ProposedCandidate { at, reason });
+        let mut add = |index: usize, reason| {
+            if found.len() < MAX_CANDIDATES && found.iter().all(|other| other.index != index) {
+                found.push(ProposedCandidate { index, reason });
             }
         };
         for at in homes {
@@ -205,7 +205,7 @@
         };
         let positions = (0..count.min(MAX_CANDIDATES)).map(|step| (base + step) % count);
         let reason = Reason::All;
-        positions.map(|at| ProposedCandidate { at, reason }).collect()
+        positions.map(|index| ProposedCandidate { index, reason }).collect()
     }
 
     fn name_hashes(&self) -> Vec<u64> {
--- a/crates/policy/tests/routing_cost.rs
+++ b/crates/policy/tests/routing_cost.rs
@@ -43,7 +43,7 @@
     let member = |number| GroupMember {
         number,
         id: format!("engine-{number}").into(),
-        near: number % 4 == 0,
+        local: number % 4 == 0,
     };
     UpstreamGroup::new((0..count).map(member).collect())
 }
@@ -149,7 +149,7 @@
         let count = u32::from(count % 700) + 1;
         let group = group(count);
         let found = group.propose(&[], Some(lead), &holders, turn);
-        let mut positions: Vec<usize> = found.iter().map(|proposed| proposed.at).collect();
+        let mut positions: Vec<usize> = found.iter().map(|proposed| proposed.index).collect();
         positions.sort_unstable();
         positions.dedup();
         let again = group.propose(&[], Some(lead), &holders, turn);
@@ -176,7 +176,7 @@
     let first = |group: &UpstreamGroup, lead: u64| {
         let found = group.propose(&[], Some(lead), &[], 0);
         let proposed = found.iter().find(|proposed| proposed.reason == Reason::Rendezvous);
-        proposed.map(|proposed| group.members()[proposed.at].number)
+        proposed.map(|proposed| group.members()[proposed.index].number)
     };
     for lead in 0..1_000 {
         let (was, is) = (first(&before, lead), first(&after, lead));
@@ -194,7 +194,7 @@
     };
     for turn in 0..90 {
         let window = group.rotation(turn);
-        let candidates: Vec<Candidate<'_>> = window.iter().map(|p| candidate(&ids[p.at], 0.0, 0)).collect();
+        let candidates: Vec<Candidate<'_>> = window.iter().map(|p| candidate(&ids[p.index], 0.0, 0)).collect();
         let choice = choose(
             &rules,
             &candidates,
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -11,7 +11,7 @@
     let member = |number: &u32| GroupMember {
         number: *number,
         id: format!("engine-{number}").into(),
-        near: number % 4 == near,
+        local: number % 4 == near,
     };
     UpstreamGroup::new(numbers.iter().map(member).collect())
 }
