--- a/crates/entry/src/upstreams/index.rs
+++ b/crates/entry/src/upstreams/index.rs
@@ -97,7 +97,7 @@
             .map(|upstream| GroupMember {
                 number: upstream.state.number,
                 id: upstream.spec.id.clone(),
-                near: upstream.spec.host.data_center == *data_center,
+                local: upstream.spec.host.data_center == *data_center,
             })
             .collect();
         let previous = self.pools.get(target).filter(|pool| pool.group.members() == members);
--- a/crates/entry/src/upstreams/mod.rs
+++ b/crates/entry/src/upstreams/mod.rs
@@ -161,7 +161,7 @@
         counter!("gentian_choices_widened_total").increment(1);
         let reason = Reason::All;
         let all_upstreams: Vec<ProposedCandidate> = (0..pool.upstreams.len())
-            .map(|at| ProposedCandidate { at, reason })
+            .map(|at| ProposedCandidate { index: at, reason })
             .collect();
         let mut available = self.candidates(pool, &all_upstreams, &homes, request, now);
         available.retain(|candidate| candidate.exclusion.is_none());
@@ -223,7 +223,7 @@
     ) -> Vec<Candidate<'a>> {
         let numbers: Vec<u32> = proposed
             .iter()
-            .map(|member| pool.upstreams[member.at].state.number)
+            .map(|member| pool.upstreams[member.index].state.number)
             .collect();
         let held = if self.rules.with(Ablation::Affinity) {
             self.history.lock().cached_words(request.prefix, &numbers)
@@ -237,7 +237,7 @@
         let home_words = earlier_words * rates.cached_share;
         let home = self.active_home(pool, homes);
         let candidate = |(proposed, held): (&ProposedCandidate, u64)| {
-            let upstream = &pool.upstreams[proposed.at];
+            let upstream = &pool.upstreams[proposed.index];
             let spec = upstream.spec.as_ref();
             let stats = upstream.state.stats.lock();
             let trust = if self.rules.with(Ablation::CacheEvents) {
@@ -251,11 +251,11 @@
                 class: spec.host.class,
                 price: spec.host.price,
                 slots: (f64::from(spec.slots) * rates.usable_share).ceil() as u32,
-                near: spec.host.data_center == self.data_center,
+                local: spec.host.data_center == self.data_center,
                 reclaims_per_hour: reclaim_rates.per_hour(&spec.host.zone, now),
                 load: stats.load.predict(now, expiry, self.rules.with(Ablation::Corrections)),
-                cached: (held as f64 * trust).max(if home == Some(proposed.at) { home_words } else { 0.0 }) as u64,
-                home: home.is_none_or(|at| at == proposed.at),
+                cached: (held as f64 * trust).max(if home == Some(proposed.index) { home_words } else { 0.0 }) as u64,
+                home: home.is_none_or(|at| at == proposed.index),
                 exclusion: stats.exclusion(
                     !self.hosts.takes_work(&spec.host),
                     request.tried.contains(&spec.id),
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -11,7 +11,7 @@
     let member = |number: &u32| GroupMember {
         number: *number,
         id: format!("engine-{number}").into(),
-        near: number % 4 == near,
+        local: number % 4 == near,
     };
     UpstreamGroup::new(numbers.iter().map(member).collect())
 }
@@ -24,7 +24,7 @@
         class: HostClass::OnDemand,
         price: 0,
         slots: 4,
-        near: true,
+        local: true,
         reclaims_per_hour: 0.0,
         load: PredictedLoad {
             reported: Some(loads[at]),
