--- a/crates/entry/src/fleet/events.rs
+++ b/crates/entry/src/fleet/events.rs
@@ -10,14 +10,14 @@
 use policy::Tick;
 use policy::cache::CacheEvent;
 use policy::limits::Bucket;
-use policy::route::Without;
+use policy::route::Ablation;
 use upstream::engine::EngineClient;
 
 use super::Fleet;
 use super::index::Row;
 use crate::Entry;
 
-const STEP: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 const TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes a second.
 const BUDGET: f64 = 1_000.0;
@@ -31,8 +31,8 @@
     let client = EngineClient::new(TIMEOUT);
     let mut budget = Bucket::new(BUDGET, entry.clock.now());
     while !entry.stopping() {
-        std::thread::sleep(STEP);
-        if !entry.fleet.rules.with(Without::CacheEvents) {
+        std::thread::sleep(CHECK_INTERVAL);
+        if !entry.fleet.rules.with(Ablation::CacheEvents) {
             continue;
         }
         let now = entry.clock.now();
@@ -81,7 +81,7 @@
     fn take_events(&self, row: &Row, events: &[CacheEvent], now: Tick) {
         let mut state = row.member.state.lock();
         let applied = state.cursor.apply(events);
-        state.trust.lost(applied.lost, applied.fresh.len());
+        state.trust.record_lost(applied.lost, applied.fresh.len());
         drop(state);
         counter!("gentian_cache_events_total", "fate" => "read").increment(applied.fresh.len() as u64);
         counter!("gentian_cache_events_total", "fate" => "lost").increment(applied.lost);
--- a/crates/entry/src/fleet/index.rs
+++ b/crates/entry/src/fleet/index.rs
@@ -5,7 +5,7 @@
 
 use contract::{DataCenter, HostId, Revision, UpstreamId, UpstreamSpec};
 use parking_lot::Mutex;
-use policy::route::{Group, Place, Rates, Target};
+use policy::route::{GroupMember, ServiceRates, Target, UpstreamGroup};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::member::Member;
@@ -24,9 +24,9 @@
 /// Everything that serves one model or service.
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
-    pub(super) group: Arc<Group>,
+    pub(super) group: Arc<UpstreamGroup>,
     pub(super) rows: Arc<Vec<Row>>,
-    pub(super) rates: Arc<Mutex<Rates>>,
+    pub(super) rates: Arc<Mutex<ServiceRates>>,
 }
 
 /// One upstream.
@@ -34,7 +34,7 @@
 pub(super) struct Row {
     pub(super) spec: Arc<UpstreamSpec>,
     pub(super) member: Arc<Member>,
-    pub(super) rates: Arc<Mutex<Rates>>,
+    pub(super) rates: Arc<Mutex<ServiceRates>>,
 }
 
 /// Numbers that were given to upstreams.
@@ -89,17 +89,17 @@
     }
 
     fn pool(&self, target: &Target, rows: Vec<Row>, place: &DataCenter) -> Pool {
-        let places: Vec<Place> = rows
+        let places: Vec<GroupMember> = rows
             .iter()
-            .map(|row| Place {
+            .map(|row| GroupMember {
                 number: row.member.number,
                 id: row.spec.id.clone(),
                 near: row.spec.host.data_center == *place,
             })
             .collect();
-        let before = self.pools.get(target).filter(|pool| pool.group.places() == places);
+        let before = self.pools.get(target).filter(|pool| pool.group.members() == places);
         // Most changes are of contracts; the tables of rendezvous hashing are only made anew where a group changed.
-        let group = before.map_or_else(|| Arc::new(Group::new(places)), |pool| Arc::clone(&pool.group));
+        let group = before.map_or_else(|| Arc::new(UpstreamGroup::new(places)), |pool| Arc::clone(&pool.group));
         let rates = rows.first().map(|row| Arc::clone(&row.rates)).unwrap_or_default();
         Pool {
             group,
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -17,12 +17,15 @@
 use metrics::counter;
 use parking_lot::{Mutex, RwLock};
 use policy::Tick;
-use policy::load::Report;
-use policy::prefix::{History, Prefix};
-use policy::route::{Candidate, Choice, Group, Need, Proposed, Reason, Routing, Rules, Target, Without, choose};
+use policy::load::LoadReport;
+use policy::prefix::{Prefix, PrefixIndex};
+use policy::route::{
+    Ablation, Candidate, Choice, ProposedCandidate, Reason, RequestNeed, Routing, RoutingRules, Target, UpstreamGroup,
+    choose,
+};
 use telemetry::Clock;
 use wire::digest::LoadDigest;
-use wire::entry::HostSign;
+use wire::entry::HostSignal;
 
 use crate::current::View;
 use crate::hosts::Hosts;
@@ -43,11 +46,11 @@
     /// The lives of the hosts.
     pub hosts: Hosts,
     clock: Clock,
-    rules: Rules,
+    rules: RoutingRules,
     place: DataCenter,
     index: ArcSwap<Index>,
     numbers: Mutex<Numbers>,
-    history: Mutex<History>,
+    history: Mutex<PrefixIndex>,
     waves: RwLock<Waves>,
     expiry_ms: AtomicU64,
     turn: AtomicU64,
@@ -61,7 +64,7 @@
     /// The prompt's blocks; empty for services.
     pub prefix: &'a Prefix,
     /// Lengths of prompt and answer.
-    pub need: Need,
+    pub need: RequestNeed,
     /// Upstreams that were tried already.
     pub tried: &'a [UpstreamId],
 }
@@ -80,7 +83,7 @@
 impl Fleet {
     /// Makes an empty fleet.
     #[must_use]
-    pub fn new(clock: Clock, rules: Rules, place: DataCenter) -> Self {
+    pub fn new(clock: Clock, rules: RoutingRules, place: DataCenter) -> Self {
         Self {
             hosts: Hosts::default(),
             clock,
@@ -88,7 +91,7 @@
             place,
             index: ArcSwap::default(),
             numbers: Mutex::default(),
-            history: Mutex::new(History::new(HISTORY)),
+            history: Mutex::new(PrefixIndex::new(HISTORY)),
             waves: RwLock::default(),
             expiry_ms: AtomicU64::new(EXPIRY_MS),
             turn: AtomicU64::new(0),
@@ -134,11 +137,11 @@
     }
 
     fn weigh(&self, pool: &Pool, ask: &Ask<'_>, turn: u64, now: Tick) -> Option<Choice> {
-        let need = Need { turn, ..ask.need };
+        let need = RequestNeed { turn, ..ask.need };
         let homes = self.homes(&pool.group, ask.prefix);
         let proposed = self.propose(&pool.group, &homes, ask.prefix, turn);
         if let Some(session) = ask.prefix.session() {
-            pool.rates.lock().followed(session.begun > 0);
+            pool.rates.lock().record_turn(session.earlier_words > 0);
         }
         let rates = *pool.rates.lock();
         let found = choose(
@@ -153,30 +156,32 @@
         // All of the few candidates are barred, as when a data centre's hosts leave at once: whoever is left will do.
         counter!("gentian_choices_widened_total").increment(1);
         let reason = Reason::All;
-        let all: Vec<Proposed> = (0..pool.rows.len()).map(|at| Proposed { at, reason }).collect();
+        let all: Vec<ProposedCandidate> = (0..pool.rows.len())
+            .map(|at| ProposedCandidate { at, reason })
+            .collect();
         let mut open = self.candidates(pool, &all, &homes, ask, now);
-        open.retain(|candidate| candidate.barred.is_none());
+        open.retain(|candidate| candidate.exclusion.is_none());
         choose(&self.rules, &open, &need, &rates)
     }
 
-    fn propose(&self, group: &Group, homes: &[usize], prefix: &Prefix, turn: u64) -> Vec<Proposed> {
+    fn propose(&self, group: &UpstreamGroup, homes: &[usize], prefix: &Prefix, turn: u64) -> Vec<ProposedCandidate> {
         if self.rules.routing != Routing::Cost {
-            return group.window(turn);
+            return group.rotation(turn);
         }
         let with_prefix = !prefix.blocks().is_empty();
-        let holders: Vec<u32> = if with_prefix && self.rules.with(Without::Affinity) {
+        let holders: Vec<u32> = if with_prefix && self.rules.with(Ablation::Affinity) {
             let held = self.history.lock().holders(prefix);
             held.iter().map(|holder| holder.upstream).collect()
         } else {
             Vec::new()
         };
-        let lead = (with_prefix && self.rules.with(Without::Rendezvous)).then(|| prefix.lead());
+        let lead = (with_prefix && self.rules.with(Ablation::Rendezvous)).then(|| prefix.leading_hash());
         group.propose(homes, lead, &holders, turn)
     }
 
     /// Gives the homes of the prompt's conversation, if it has one.
-    fn homes(&self, group: &Group, prefix: &Prefix) -> Vec<usize> {
-        let home = self.rules.routing == Routing::Cost && self.rules.with(Without::Home);
+    fn homes(&self, group: &UpstreamGroup, prefix: &Prefix) -> Vec<usize> {
+        let home = self.rules.routing == Routing::Cost && self.rules.with(Ablation::Home);
         let session = prefix.session().filter(|_| home);
         session.map_or_else(Vec::new, |session| group.homes(session.key).to_vec())
     }
@@ -195,7 +200,7 @@
     fn home_words(&self, row: &Row, prefix: &Prefix) -> Option<u64> {
         let begun = prefix
             .session()
-            .map(|session| session.begun)
+            .map(|session| session.earlier_words)
             .filter(|begun| *begun > 0)?;
         let index = self.index.load();
         let pool = index.pools.get(&Target::of(&row.spec))?;
@@ -206,28 +211,28 @@
     fn candidates<'a>(
         &self,
         pool: &'a Pool,
-        proposed: &[Proposed],
+        proposed: &[ProposedCandidate],
         homes: &[usize],
         ask: &Ask<'_>,
         now: Tick,
     ) -> Vec<Candidate<'a>> {
         let numbers: Vec<u32> = proposed.iter().map(|p| pool.rows[p.at].member.number).collect();
-        let held = if self.rules.with(Without::Affinity) {
-            self.history.lock().held(ask.prefix, &numbers)
+        let held = if self.rules.with(Ablation::Affinity) {
+            self.history.lock().cached_words(ask.prefix, &numbers)
         } else {
             vec![0; numbers.len()]
         };
         let expiry = self.expiry();
         let waves = self.waves.read();
-        let begun = ask.prefix.session().map_or(0, |session| session.begun) as f64;
+        let begun = ask.prefix.session().map_or(0, |session| session.earlier_words) as f64;
         let rates = *pool.rates.lock();
-        let kept = begun * rates.kept;
+        let kept = begun * rates.cached_share;
         let home = self.home(pool, homes);
-        let candidate = |(proposed, held): (&Proposed, u64)| {
+        let candidate = |(proposed, held): (&ProposedCandidate, u64)| {
             let row = &pool.rows[proposed.at];
             let spec = row.spec.as_ref();
             let state = row.member.state.lock();
-            let trust = if self.rules.with(Without::CacheEvents) {
+            let trust = if self.rules.with(Ablation::CacheEvents) {
                 state.trust.share()
             } else {
                 1.0
@@ -237,13 +242,13 @@
                 reason: proposed.reason,
                 class: spec.host.class,
                 price: spec.host.price,
-                slots: (f64::from(spec.slots) * rates.ease).ceil() as u32,
+                slots: (f64::from(spec.slots) * rates.usable_share).ceil() as u32,
                 near: spec.host.data_center == self.place,
-                reclaims: waves.reclaims(&spec.host.zone, now),
-                load: state.load.predict(now, expiry, self.rules.with(Without::Corrections)),
+                reclaims_per_hour: waves.reclaims(&spec.host.zone, now),
+                load: state.load.predict(now, expiry, self.rules.with(Ablation::Corrections)),
                 cached: (held as f64 * trust).max(if home == Some(proposed.at) { kept } else { 0.0 }) as u64,
                 home: home.is_none_or(|at| at == proposed.at),
-                barred: state.barred(!self.hosts.takes_work(&spec.host), ask.tried.contains(&spec.id), now),
+                exclusion: state.barred(!self.hosts.takes_work(&spec.host), ask.tried.contains(&spec.id), now),
             }
         };
         proposed.iter().zip(held).map(candidate).collect()
@@ -269,7 +274,7 @@
     }
 
     /// Takes in what another process or the cloud told about a host.
-    pub fn sign(&self, sign: &HostSign, now: Tick) {
+    pub fn sign(&self, sign: &HostSignal, now: Tick) {
         if !self.hosts.hear(sign, now) {
             return;
         }
@@ -285,13 +290,13 @@
             counter!("gentian_digest_loads_unknown_total").increment(1);
             return;
         };
-        let report = Report {
-            measured: now - Duration::from_millis(u64::from(load.age_ms)),
+        let report = LoadReport {
+            measured_at: now - Duration::from_millis(u64::from(load.age_ms)),
             running: load.running,
             waiting: load.waiting,
             kv_used: f32::from(load.kv_used) / 1_000.0,
         };
-        row.member.state.lock().load.report(report);
+        row.member.state.lock().load.update(report);
         // An upstream that refused a connection is read by one entry host only. Unless the others take that one's word,
         // they would doubt its host for ever, and their callers would be refused although it has long been back.
         self.hosts.answered(&row.spec.host, now);
@@ -309,7 +314,7 @@
             let report = state.load.newest()?;
             Some(LoadDigest {
                 upstream: short_key(&row.spec.id),
-                age_ms: now.since(report.measured).as_millis() as u32,
+                age_ms: now.since(report.measured_at).as_millis() as u32,
                 running: report.running,
                 waiting: report.waiting,
                 kv_used: (report.kv_used * 1_000.0) as u16,
@@ -331,7 +336,7 @@
         let size = |row: &Row, ease: f64| {
             let state = row.member.state.lock();
             let load = state.load.predict(now, expiry, true);
-            let own = f64::from(load.own);
+            let own = f64::from(load.own_requests);
             // Requests that still run where nothing new goes keep their places and take none elsewhere.
             if !self.hosts.takes_work(&row.spec.host) {
                 return own;
@@ -348,11 +353,11 @@
         };
         let sizes = index.pools.iter().map(|(target, pool)| {
             let rates = *pool.rates.lock();
-            let slots: f64 = pool.rows.iter().map(|row| size(row, rates.ease)).sum();
+            let slots: f64 = pool.rows.iter().map(|row| size(row, rates.usable_share)).sum();
             Size {
                 target: target.clone(),
                 slots: slots.floor() as usize,
-                first: Duration::from_secs_f64(rates.first_ms / 1_000.0),
+                first: Duration::from_secs_f64(rates.first_token_ms / 1_000.0),
             }
         });
         sizes.collect()
@@ -365,7 +370,7 @@
     }
 
     fn expiry(&self) -> Duration {
-        if self.rules.with(Without::ReportExpiry) {
+        if self.rules.with(Ablation::ReportExpiry) {
             Duration::from_millis(self.expiry_ms.load(Ordering::Relaxed))
         } else {
             Duration::MAX
--- a/crates/entry/src/fleet/poll.rs
+++ b/crates/entry/src/fleet/poll.rs
@@ -7,8 +7,8 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use metrics::{counter, gauge};
 use policy::Tick;
-use policy::divide::owner;
-use policy::load::Report;
+use policy::divide::polling_host;
+use policy::load::LoadReport;
 use upstream::engine::EngineClient;
 
 use super::Fleet;
@@ -17,7 +17,7 @@
 use crate::exchange::Live;
 
 /// Pause between two looks at what is due.
-const STEP: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 const TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes of one poll both ways, with the headers of TCP and IP: about 350 of HTTP and ten packets of 52.
 const BYTES: f64 = 900.0;
@@ -66,7 +66,7 @@
         owned.poll(&sender, interval, now);
         // Any entry host may send to any upstream, those of other data centres included.
         entry.admission.resize(&entry.fleet.sizes(live.count(), now));
-        std::thread::sleep(STEP);
+        std::thread::sleep(CHECK_INTERVAL);
     }
     Ok(())
 }
@@ -107,7 +107,7 @@
     let node = &entry.settings.node;
     let rows = index.rows.values().filter(|row| {
         let pollers = live.pollers(&row.spec.host.data_center);
-        owner(&row.spec.id, pollers) == Some(node)
+        polling_host(&row.spec.id, pollers) == Some(node)
     });
     rows.cloned().collect()
 }
@@ -121,14 +121,14 @@
         let now = entry.clock.now();
         match result {
             Ok(load) => {
-                let report = Report {
-                    measured: now - Duration::from_millis(load.age_ms),
+                let report = LoadReport {
+                    measured_at: now - Duration::from_millis(load.age_ms),
                     running: load.running,
                     waiting: load.waiting,
                     kv_used: load.kv_used,
                 };
                 let mut state = row.member.state.lock();
-                state.load.report(report);
+                state.load.update(report);
                 state.polled = Some(now);
                 drop(state);
                 entry.fleet.hosts.answered(&row.spec.host, now);
--- a/crates/entry/src/fleet/prompt.rs
+++ b/crates/entry/src/fleet/prompt.rs
@@ -12,7 +12,7 @@
 pub fn prefix(messages: &[Message]) -> Prefix {
     let prefix = Prefix::of(messages.iter().flat_map(words));
     match session(messages) {
-        Some(session) => prefix.in_session(session),
+        Some(session) => prefix.with_session(session),
         None => prefix,
     }
 }
@@ -29,7 +29,10 @@
     let answered = messages.iter().rposition(|message| message.role == ASSISTANT);
     let begun = answered.map_or(0, |last| messages[..=last].iter().flat_map(words).count() as u64);
     let key = hash.digest();
-    Some(Session { key, begun })
+    Some(Session {
+        key,
+        earlier_words: begun,
+    })
 }
 
 fn words(message: &Message) -> impl Iterator<Item = &str> {
--- a/crates/entry/src/fleet/visit.rs
+++ b/crates/entry/src/fleet/visit.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use policy::Tick;
 use policy::prefix::Prefix;
-use policy::route::Without;
+use policy::route::Ablation;
 
 use super::Fleet;
 use super::index::Row;
@@ -58,7 +58,7 @@
     pub fn first_token(&self, prefix: &Prefix, cached: u64, now: Tick) {
         let Some(row) = &self.row else { return };
         let mut history = self.fleet.history.lock();
-        let held = history.held(prefix, &[row.member.number]);
+        let held = history.cached_words(prefix, &[row.member.number]);
         history.store(prefix, row.member.number, now);
         drop(history);
         let seen = Seen {
@@ -70,7 +70,7 @@
         *self.seen.lock() = seen;
         row.rates
             .lock()
-            .first_token(seen.fresh, millis(now.since(self.started)));
+            .record_first_token(seen.fresh, millis(now.since(self.started)));
     }
 
     /// Notes a token, and the longest pause before it that was promised.
@@ -96,11 +96,11 @@
         let Some(row) = &self.row else { return };
         let held = self.seen.lock().held;
         if let Some(words) = self.fleet.home_words(row, prefix) {
-            row.rates.lock().found(cached as f64 / words as f64);
+            row.rates.lock().record_cached(cached as f64 / words as f64);
         }
         // Judged is what was remembered, not what was left of it after the last judgement.
-        if self.fleet.rules.with(Without::CacheEvents) {
-            row.member.state.lock().trust.counted(held, cached);
+        if self.fleet.rules.with(Ablation::CacheEvents) {
+            row.member.state.lock().trust.record_count(held, cached);
         }
     }
 }
@@ -114,11 +114,11 @@
         let mut rates = row.rates.lock();
         // The wait in the engine is no part of what a request keeps a slot for.
         let held = match seen.first_at {
-            Some(first) => seen.fresh as f64 * rates.prefill_ms + millis(now.since(first)),
+            Some(first) => seen.fresh as f64 * rates.prefill_token_ms + millis(now.since(first)),
             None => millis(now.since(self.started)),
         };
-        rates.held(held);
-        rates.paced(seen.pauses, seen.late);
+        rates.record_hold(held);
+        rates.record_pauses(seen.pauses, seen.late);
     }
 }
 
--- a/crates/entry/src/rescue.rs
+++ b/crates/entry/src/rescue.rs
@@ -18,9 +18,9 @@
 use metrics::counter;
 use parking_lot::{Condvar, Mutex};
 use policy::Tick;
-use policy::life::AnyLife;
+use policy::life::AnyHostState;
 use policy::prefix::Prefix;
-use policy::rescue::{How, Rates, Stream, plan};
+use policy::rescue::{MoveRates, Stream, StreamAction, plan};
 
 use crate::Entry;
 use crate::settings::KvExport;
@@ -29,7 +29,7 @@
 pub use ride::{Boarding, Move, Ride};
 
 /// Pause between two looks at the streams.
-const STEP: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Threads that copy KV cache.
 const COPIERS: usize = 8;
 /// Time to prefill one token, for the question whether a replay would miss a target.
@@ -70,9 +70,9 @@
         self.kept.lock().push(id, spec, prefix);
     }
 
-    fn rates(&self, export: bool) -> Rates {
+    fn rates(&self, export: bool) -> MoveRates {
         let measured = self.export.lock().map(Duration::from_secs_f64);
-        Rates {
+        MoveRates {
             export: export.then(|| measured.unwrap_or(EXPORT)),
             prefill: PREFILL,
         }
@@ -115,7 +115,7 @@
         let mut streams = Vec::new();
         for (id, one) in aboard.iter().filter(|(_, one)| one.stage == Stage::Riding) {
             // A host that is drained by an operator has no end, and its streams finish there.
-            if let AnyLife::Leaving(life) = hosts.stage(&one.spec.host)
+            if let AnyHostState::Leaving(life) = hosts.stage(&one.spec.host)
                 && let Some(gone_at) = life.gone_at()
             {
                 ids.push(id.clone());
@@ -133,12 +133,12 @@
         for (at, how) in steps {
             let Some(one) = aboard.get_mut(&ids[at]) else { continue };
             match how {
-                How::Replay => one.ask(None, How::Replay),
-                How::Export if busy.insert(one.spec.id.clone()) => {
+                StreamAction::Replay => one.ask(None, StreamAction::Replay),
+                StreamAction::Export if busy.insert(one.spec.id.clone()) => {
                     one.stage = Stage::Exporting;
                     copies.push(ids[at].clone());
                 }
-                How::Export | How::Finish => {}
+                StreamAction::Export | StreamAction::Finish => {}
             }
         }
         copies
@@ -169,12 +169,12 @@
         let next = numbers.len();
         Stream {
             source: *numbers.entry(stream.source.clone()).or_insert(next),
-            left: stream.left,
+            time_left: stream.time_left,
             tokens: stream.tokens,
             remaining: stream.remaining,
-            step: stream.step,
+            token_interval: stream.token_interval,
             slack: stream.slack,
-            failed: stream.failed,
+            failed_copies: stream.failed_copies,
         }
     };
     streams.iter().map(number).collect()
@@ -207,6 +207,6 @@
                 entry.rescue.put_back(refused.into_inner());
             }
         }
-        std::thread::sleep(STEP);
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
--- a/crates/entry/tests/config_feed.rs
+++ b/crates/entry/tests/config_feed.rs
@@ -12,8 +12,8 @@
 use entry::current::Current;
 use policy::Tick;
 use quickcheck::{Gen, QuickCheck};
-use state::applied::{Applied, Command, Entry};
-use wire::client::{Calls, StateClient};
+use state::applied::{AppliedState, Command, LogEntry};
+use wire::client::{RpcRuntime, StateClient};
 use wire::state::{Propose, Proposed};
 
 fn propose(number: usize) -> Propose {
@@ -34,12 +34,12 @@
 }
 
 /// Gives a node's state after each change.
-fn history(count: usize) -> Vec<Applied> {
-    let mut applied = Applied::default();
+fn history(count: usize) -> Vec<AppliedState> {
+    let mut applied = AppliedState::default();
     let mut states = vec![applied.clone()];
     for number in 0..count {
         let command = Command::Propose(propose(number));
-        applied.apply(&Entry {
+        applied.apply(&LogEntry {
             at_ms: 0,
             wall_ms: 0,
             command,
@@ -106,7 +106,7 @@
     let folder = tempfile::tempdir().unwrap();
     let address = free_address();
     let mut node = Process::state(address, folder.path());
-    let calls = Calls::start(1, Duration::from_secs(2)).unwrap();
+    let calls = RpcRuntime::start(1, Duration::from_secs(2)).unwrap();
     let client = StateClient::new(&calls, &"tester".into(), &[address]).unwrap();
     change(&client, 0);
     let (mut first, _, ops) = Process::entry("entry-1", address, &[]);
--- /dev/null
+++ b/crates/gateway/src/caller_connection.rs
@@ -0,0 +1,280 @@
+//! Serves the connections of callers, request by request.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use contract::{Repeatable, Route};
+use metrics::counter;
+use policy::quota::OverQuota;
+use slog::info;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::dialect::RequestInfo;
+use crate::head::{Framing, HeadError};
+use crate::refusal::Refusal;
+use crate::request::{Progress, Request};
+use crate::request_reader::{ReadError, RequestReader};
+use crate::server::{DRAIN_TIME, STOP_MARGIN, SYNC_INTERVAL, Server};
+
+/// Retry delay for a caller refused by a stopping host: by then the balancer sends it to another host.
+const STOP_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Shortest and longest retry delay for a caller over its quota, in seconds.
+const QUOTA_RETRY_S: (f64, f64) = (0.05, 30.0);
+/// Longest wait for a body whose caller sets no timeout.
+const DEFAULT_BODY_WAIT: Duration = Duration::from_secs(30);
+/// Longest time that a request waits for the first catalog, as a duration and as a share of its timeout. After a power
+/// loss the state group elects a leader within 0.8 s of its start.
+const MAX_CONFIG_WAIT: Duration = Duration::from_millis(900);
+const MAX_CONFIG_WAIT_SHARE: f64 = 0.35;
+/// Interval at which a waiting request checks for a catalog.
+const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+impl Server {
+    /// Serves the requests of one connection.
+    pub(crate) async fn serve_caller(self: Rc<Self>, stream: TcpStream) {
+        // If this fails, the connection is only slower.
+        let _ = stream.set_nodelay(true);
+        let (read_half, mut out) = stream.into_split();
+        let mut reader = RequestReader::new(read_half);
+        counter!("gentian_gateway_connections_total").increment(1);
+        while self.wait_request(&mut reader).await {
+            self.active.set(self.active.get() + 1);
+            let state = self.serve_request(&mut reader, &mut out).await;
+            self.active.set(self.active.get() - 1);
+            match state {
+                ConnectionState::KeepAlive => {}
+                ConnectionState::Close => {
+                    // What was written stays sent; an error means that the caller is gone.
+                    let _ = out.shutdown().await;
+                    reader.drain().await;
+                    return;
+                }
+                ConnectionState::Gone => return,
+            }
+        }
+    }
+
+    /// Waits for the next request; returns whether it came.
+    async fn wait_request(&self, reader: &mut RequestReader) -> bool {
+        let limits = self.gateway.shared.table.load().as_ref().map(|table| table.limits());
+        let idle = Duration::from_millis(limits.unwrap_or_default().idle_ms);
+        tokio::select! {
+            begun = timeout(idle, reader.wait_for_data()) => begun.unwrap_or(false),
+            () = self.wait_stopping() => false,
+        }
+    }
+
+    /// Waits until idle connections are to be closed because the process stops.
+    async fn wait_stopping(&self) {
+        loop {
+            if self.refuses_requests() {
+                return;
+            }
+            sleep(SYNC_INTERVAL).await;
+        }
+    }
+
+    /// Returns whether the stop has progressed so far that new requests may be refused.
+    fn refuses_requests(&self) -> bool {
+        self.stopping_since
+            .get()
+            .is_some_and(|since| since.elapsed() >= DRAIN_TIME)
+    }
+
+    /// Waits a short time until a catalog, an upstream list and the host's quota share are known.
+    ///
+    /// After a restart of the whole system they arrive within a second. A caller refused before that would use up its
+    /// only retry, or come back later than it would have been served.
+    async fn wait_configured(&self, max_wait: Option<Duration>) {
+        let share = max_wait.unwrap_or(MAX_CONFIG_WAIT).mul_f64(MAX_CONFIG_WAIT_SHARE);
+        let deadline = Instant::now() + MAX_CONFIG_WAIT.min(share);
+        let has_share = || self.gateway.shared.quota_share.load().is_some();
+        while !(self.has_config() && has_share()) && Instant::now() < deadline {
+            self.gateway.exchange_state();
+            sleep(CONFIG_POLL_INTERVAL).await;
+        }
+    }
+
+    /// Returns whether a request of a route is certain to end before the process does.
+    fn ends_before_stop(&self, route: &Route) -> bool {
+        let streams = matches!(route.repeat, Repeatable::Stream | Repeatable::ResumableStream);
+        let elapsed = self
+            .stopping_since
+            .get()
+            .map_or(Duration::ZERO, |since| since.elapsed());
+        !streams && elapsed + Duration::from_millis(route.timeout_ms) < self.grace.saturating_sub(STOP_MARGIN)
+    }
+
+    /// Serves one request.
+    async fn serve_request(&self, reader: &mut RequestReader, out: &mut OwnedWriteHalf) -> ConnectionState {
+        let request = match self.read_request(reader, out).await {
+            Ok(request) => request,
+            Err(NotForwarded::CallerGone) => return ConnectionState::Gone,
+            Err(NotForwarded::Refused(refusal, keep_alive)) => {
+                let close = refusal.close || !keep_alive;
+                if out.write_all(&refusal.render(close)).await.is_err() {
+                    return ConnectionState::Gone;
+                }
+                return if close {
+                    ConnectionState::Close
+                } else {
+                    ConnectionState::KeepAlive
+                };
+            }
+        };
+        let keep_alive = request.keep_alive;
+        let outcome = tokio::select! {
+            outcome = request.serve(&self.gateway, out) => outcome,
+            () = reader.wait_closed() => {
+                counter!("gentian_gateway_callers_left_total").increment(1);
+                info!(self.gateway.logger, "caller left"; "request" => &request.info.id,
+                    "after_ms" => request.arrived.elapsed().as_millis() as u64,
+                    "sends" => request.progress.get().sends);
+                return ConnectionState::Gone;
+            }
+        };
+        match outcome {
+            crate::request::Outcome::Broken { .. } => ConnectionState::Gone,
+            _ if keep_alive => ConnectionState::KeepAlive,
+            _ => ConnectionState::Close,
+        }
+    }
+
+    /// Reads a request, and determines its account, route and service.
+    async fn read_request(
+        &self,
+        reader: &mut RequestReader,
+        out: &mut OwnedWriteHalf,
+    ) -> Result<Request, NotForwarded> {
+        let gateway = &self.gateway;
+        let limits = gateway
+            .shared
+            .table
+            .load()
+            .as_ref()
+            .map(|table| table.limits())
+            .unwrap_or_default();
+        let arrived = Instant::now();
+        let head = reader
+            .read_head(limits.head_bytes, Duration::from_millis(limits.head_ms))
+            .await;
+        let head = head.map_err(|reason| self.refuse_unreadable(&reason))?;
+        let framing = head
+            .framing()
+            .map_err(|error| self.refuse_unreadable(&ReadError::Head(error)))?;
+        let keep_alive = head.keeps_alive() && self.stopping_since.get().is_none();
+        if head.values("host").count() != 1 {
+            return Err(self.refuse(Refusal::closing(400, "one host is needed"), "", keep_alive));
+        }
+        let info = match gateway.codec.asked(&head) {
+            Ok(info) => info,
+            Err(reason) => return Err(self.refuse(Refusal::closing(400, reason), "", keep_alive)),
+        };
+        let id = info.id.clone();
+        self.wait_configured(info.timeout).await;
+        let routed = gateway.route_request(&head, &info);
+        let expects_continue = head.has_token("expect", "100-continue");
+        let deadline = arrived + info.timeout.unwrap_or(DEFAULT_BODY_WAIT);
+        let body = self
+            .read_body((reader, out), expects_continue, framing, limits.body_bytes, deadline)
+            .await?;
+        let (route, service, account) = routed.map_err(|refusal| self.refuse(refusal, &id, keep_alive))?;
+        if self.refuses_requests() && !self.ends_before_stop(&route) {
+            let refusal = Refusal::closing(503, "not run: the host stops").with_retry_after(STOP_RETRY_AFTER);
+            return Err(self.refuse(refusal, &id, false));
+        }
+        gateway.record_request(&service);
+        let admitted = match &account {
+            Some(account) => gateway.admit(account, &info).await,
+            None => Ok(0.0),
+        };
+        let name = account.as_ref().map(|account| account.name.as_str());
+        let quota_units = admitted.map_err(|exceeded| self.refuse_over_quota(&exceeded, name, &info, keep_alive))?;
+        let deadline = gateway.deadline(arrived, &info, &route);
+        Ok(Request {
+            head,
+            info,
+            body,
+            route,
+            service,
+            account,
+            arrived,
+            deadline,
+            quota_units,
+            keep_alive,
+            progress: Cell::new(Progress::default()),
+            last_upstream: RefCell::new(None),
+        })
+    }
+
+    /// Reads the body, after a `100 Continue` if the caller waits for one.
+    async fn read_body(
+        &self,
+        (reader, out): (&mut RequestReader, &mut OwnedWriteHalf),
+        expects_continue: bool,
+        framing: Framing,
+        max_bytes: usize,
+        deadline: Instant,
+    ) -> Result<bytes::Bytes, NotForwarded> {
+        if expects_continue && out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
+            return Err(NotForwarded::CallerGone);
+        }
+        let body = reader.read_body(framing, max_bytes, deadline).await;
+        body.map_err(|reason| self.refuse_unreadable(&reason))
+    }
+
+    /// Refuses a request that is over its account's quota.
+    fn refuse_over_quota(
+        &self,
+        exceeded: &OverQuota,
+        account: Option<&str>,
+        info: &RequestInfo,
+        keep_alive: bool,
+    ) -> NotForwarded {
+        let wait = Duration::from_secs_f64(exceeded.wait_s.clamp(QUOTA_RETRY_S.0, QUOTA_RETRY_S.1));
+        info!(self.gateway.logger, "over quota"; "request" => &info.id, "account" => account,
+            "saved" => exceeded.balance as i64, "rate" => exceeded.rate as i64,
+            "tokens" => info.tokens.map(|tokens| tokens.prompt + tokens.max_output),
+            "entries" => self.gateway.entry_count());
+        let refusal = Refusal::new(429, "not run: over the account's quota").with_retry_after(wait);
+        self.refuse(refusal, &info.id, keep_alive)
+    }
+
+    fn refuse_unreadable(&self, reason: &ReadError) -> NotForwarded {
+        let refusal = match reason {
+            ReadError::Closed => return NotForwarded::CallerGone,
+            ReadError::Head(HeadError::TooLarge) => Refusal::closing(431, "the head is too large"),
+            ReadError::Head(HeadError::Malformed) => Refusal::closing(400, "the head is malformed"),
+            ReadError::MalformedBody => Refusal::closing(400, "the body is malformed"),
+            ReadError::BodyTooLarge => Refusal::closing(413, "the body is too large"),
+            ReadError::Timeout => Refusal::closing(408, "not run: the request did not come in time"),
+        };
+        self.refuse(refusal, "", false)
+    }
+
+    fn refuse(&self, refusal: Refusal, id: &str, keep_alive: bool) -> NotForwarded {
+        counter!("gentian_gateway_refused_total", "status" => refusal.status.to_string()).increment(1);
+        let version = self.gateway.shared.table.load().as_ref().map(|table| table.version());
+        info!(self.gateway.logger, "request refused"; "request" => id, "status" => refusal.status,
+            "why" => &refusal.reason,
+            "retry_ms" => refusal.retry_after.map(|after| after.as_millis() as u64), "version" => version);
+        NotForwarded::Refused(refusal, keep_alive)
+    }
+}
+
+/// What happens to a connection after a request.
+enum ConnectionState {
+    KeepAlive,
+    Close,
+    Gone,
+}
+
+/// Why a request was not forwarded.
+enum NotForwarded {
+    CallerGone,
+    Refused(Refusal, bool),
+}
--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Admission with 10 and 1,000 waiting requests, and the split of a limit at 8 and 390 entry hosts.
+//! Admission with 10 and 1,000 waiting requests, and the division of a limit at 8 and 390 entry hosts.
 #![expect(
     missing_docs,
     reason = "the macro of the library makes a public function without documentation"
@@ -11,44 +11,44 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use policy::Tick;
 use policy::fair::Ticket;
-use policy::lane::Lane;
-use policy::limits::{Amounts, Peer, Share, part_of};
+use policy::lane::AdmissionQueue;
+use policy::limits::{CustomerShare, LimitAmounts, PeerDemand, owned_part};
 
 fn ticket(id: u64, customers: u64) -> Ticket {
     Ticket {
         id,
         customer: format!("customer-{}", id % customers).into(),
-        share: (id % customers) as u32 + 1,
+        weight: (id % customers) as u32 + 1,
         tokens: 100.0 + (id % 7) as f64,
-        latest: Tick::from_millis(1_000_000 + id % 1_000),
-        shed: (id % 4) as u8,
+        latest_start: Tick::from_millis(1_000_000 + id % 1_000),
+        shed_order: (id % 4) as u8,
     }
 }
 
-/// One request comes into a full queue and another one is let run.
+/// A request arrives at a full queue and another one starts.
 fn admission(c: &mut Criterion) {
     let mut group = c.benchmark_group("admit");
     for waiting in [10, 1_000] {
-        let mut lane = Lane::new(16, waiting, false);
+        let mut queue = AdmissionQueue::new(16, waiting, false);
         for id in 0..waiting as u64 + 16 {
-            // Some are refused; the queue is full in the end.
-            let _ = lane.offer(ticket(id, 10), Tick::default());
-            lane.grant();
+            // Some are refused; the queue is full at the end.
+            let _ = queue.offer(ticket(id, 10), Tick::default());
+            queue.admit_next();
         }
         let mut id = 1_000_000;
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter(|| {
                 id += 1;
-                lane.finished(100.0, Duration::from_millis(1));
-                black_box(lane.grant());
-                black_box(lane.offer(ticket(id, 10), Tick::default()).is_ok());
+                queue.finished(100.0, Duration::from_millis(1));
+                black_box(queue.admit_next());
+                black_box(queue.offer(ticket(id, 10), Tick::default()).is_ok());
             });
         });
     }
     group.finish();
 }
 
-/// One customer's row for one peer is worked out.
+/// Computes one customer's loans to one peer.
 fn split(c: &mut Criterion) {
     const LIMITS: Limits = Limits {
         requests_per_s: 3_600.0,
@@ -58,21 +58,21 @@
     let mut group = c.benchmark_group("split");
     for hosts in [8, 390] {
         let now = Tick::from_millis(10_000);
-        let mut share = Share::new(false, Tick::default());
+        let mut share = CustomerShare::new(false, Tick::default());
         for peer in 1..hosts {
-            let wanted = Amounts::from([f64::from(peer % 30), f64::from(peer % 30) * 400.0, f64::from(peer % 90)]);
-            let told = Peer {
+            let wanted = LimitAmounts::from([f64::from(peer % 30), f64::from(peer % 30) * 400.0, f64::from(peer % 90)]);
+            let reported = PeerDemand {
                 wanted,
                 running: wanted.running,
             };
-            share.hear(peer, told, now);
+            share.record_demand(peer, reported, now);
         }
-        let part = part_of(&LIMITS, hosts, 0);
+        let part = owned_part(&LIMITS, hosts, 0);
         let mut peer = 0;
         group.bench_function(BenchmarkId::from_parameter(hosts), |b| {
             b.iter(|| {
                 peer = peer % (hosts - 1) + 1;
-                let own = Amounts::from([1.0, 400.0, 3.0]);
+                let own = LimitAmounts::from([1.0, 400.0, 3.0]);
                 black_box(share.grant(peer, part, own, now));
                 black_box(share.usable(part, now))
             });
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/choice.rs
@@ -1,4 +1,4 @@
-//! One choice of an upstream at 40, 400 and 3,300 replicas.
+//! Choice of an upstream among 40, 400 and 3,300 replicas.
 #![expect(
     missing_docs,
     reason = "the macro of the library makes a public function without documentation"
@@ -10,17 +10,17 @@
 use contract::{MachineClass, UpstreamId};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use policy::Tick;
-use policy::load::{LoadEstimate, Report};
-use policy::prefix::{History, Prefix};
-use policy::route::{Candidate, Group, Need, Place, Rates, Rules, choose};
+use policy::load::{LoadEstimate, LoadReport};
+use policy::prefix::{Prefix, PrefixIndex};
+use policy::route::{Candidate, GroupMember, RequestNeed, RoutingRules, ServiceRates, UpstreamGroup, choose};
 
 const EXPIRY: Duration = Duration::from_secs(3);
 
 struct Fleet {
     ids: Vec<UpstreamId>,
-    group: Group,
+    group: UpstreamGroup,
     loads: Vec<LoadEstimate>,
-    history: History,
+    index: PrefixIndex,
 }
 
 fn prompt(seed: usize, words: usize) -> Prefix {
@@ -30,15 +30,15 @@
 
 fn fleet(count: u32) -> Fleet {
     let ids: Vec<UpstreamId> = (0..count).map(|number| format!("engine-{number}").into()).collect();
-    let place = |number: u32| Place {
+    let member = |number: u32| GroupMember {
         number,
         id: ids[number as usize].clone(),
         near: number.is_multiple_of(8),
     };
-    let group = Group::new((0..count).map(place).collect());
-    let mut history = History::new(256 * 1024);
+    let group = UpstreamGroup::new((0..count).map(member).collect());
+    let mut index = PrefixIndex::new(256 * 1024);
     for seed in 0..2_000 {
-        history.store(
+        index.store(
             &prompt(seed, 1_600),
             seed as u32 % count,
             Tick::from_millis(seed as u64),
@@ -46,10 +46,10 @@
     }
     let load = |number: u32| {
         let mut load = LoadEstimate::default();
-        load.report(Report {
-            measured: Tick::from_millis(2_000),
+        load.update(LoadReport {
+            measured_at: Tick::from_millis(2_000),
             running: number % 16,
-            ..Report::default()
+            ..LoadReport::default()
         });
         (0..8).for_each(|at| load.sent(Tick::from_millis(1_996 + at)));
         load
@@ -59,7 +59,7 @@
         ids,
         group,
         loads,
-        history,
+        index,
     }
 }
 
@@ -70,30 +70,40 @@
         class: MachineClass::Reclaimable,
         price: 90_000,
         slots: 16,
-        near: fleet.group.places()[at].near,
-        reclaims: 0.05,
+        near: fleet.group.members()[at].near,
+        reclaims_per_hour: 0.05,
         load: fleet.loads[at].predict(Tick::from_millis(2_500), EXPIRY, true),
         cached,
         home: true,
-        barred: None,
+        exclusion: None,
     }
 }
 
 fn pick(fleet: &Fleet, prefix: &Prefix, turn: u64) -> Option<UpstreamId> {
-    let holders: Vec<u32> = fleet.history.holders(prefix).iter().map(|held| held.upstream).collect();
-    let proposed = fleet
-        .group
-        .propose(&fleet.group.homes(prefix.lead()), Some(prefix.lead()), &holders, turn);
-    let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.places()[p.at].number).collect();
-    let held = fleet.history.held(prefix, &numbers);
-    let rows = proposed.iter().zip(held);
-    let candidates: Vec<Candidate<'_>> = rows.map(|(p, held)| candidate(fleet, p.at, held, p.reason)).collect();
-    let need = Need {
+    let holders: Vec<u32> = fleet
+        .index
+        .holders(prefix)
+        .iter()
+        .map(|holder| holder.upstream)
+        .collect();
+    let proposed = fleet.group.propose(
+        &fleet.group.homes(prefix.leading_hash()),
+        Some(prefix.leading_hash()),
+        &holders,
+        turn,
+    );
+    let numbers: Vec<u32> = proposed.iter().map(|p| fleet.group.members()[p.at].number).collect();
+    let cached = fleet.index.cached_words(prefix, &numbers);
+    let rows = proposed.iter().zip(cached);
+    let candidates: Vec<Candidate<'_>> = rows
+        .map(|(p, cached)| candidate(fleet, p.at, cached, p.reason))
+        .collect();
+    let need = RequestNeed {
         prompt_tokens: prefix.words(),
         answer_tokens: 200,
         turn,
     };
-    let choice = choose(&Rules::default(), &candidates, &need, &Rates::default())?;
+    let choice = choose(&RoutingRules::default(), &candidates, &need, &ServiceRates::default())?;
     Some(choice.chosen)
 }
 
@@ -114,9 +124,9 @@
     let mut index = c.benchmark_group("index");
     index.sample_size(10);
     for count in [40, 400, 3_300] {
-        let places = fleet(count).group.places().to_vec();
+        let members = fleet(count).group.members().to_vec();
         index.bench_function(BenchmarkId::from_parameter(count), |b| {
-            b.iter(|| black_box(Group::new(places.clone())));
+            b.iter(|| black_box(UpstreamGroup::new(members.clone())));
         });
     }
     index.finish();
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,11 +1,11 @@
-//! A budget for retries: a share of recent successes, so that retries cannot amplify an outage.
+//! A retry budget: a share of recent successes, so that retries cannot amplify an outage.
 
-/// Retries that are saved up at most; older successes than those that pay for them no longer count.
-pub const MOST: f64 = 10.0;
-/// Parts of one retry; whole numbers, so that ten tenths pay for one retry and not for a little less.
-const PARTS: u32 = 1_000;
+/// Most retries that can be saved up; successes older than those that pay for them no longer count.
+pub const MAX_SAVED: f64 = 10.0;
+/// Units of one retry. Integers avoid rounding: ten successes at a tenth each pay for exactly one retry.
+const UNITS_PER_RETRY: u32 = 1_000;
 
-/// Counts how many retries may still be made.
+/// The retries that may still be made.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     share: u32,
@@ -13,25 +13,28 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget in which each success pays for a share of a retry, counted in thousandths.
+    /// Creates a full budget in which each success pays for `share` of a retry, rounded to thousandths.
     #[must_use]
     pub fn new(share: f64) -> Self {
         Self {
-            share: (share * f64::from(PARTS)).round() as u32,
-            saved: MOST as u32 * PARTS,
+            share: (share * f64::from(UNITS_PER_RETRY)).round() as u32,
+            saved: MAX_SAVED as u32 * UNITS_PER_RETRY,
         }
     }
 
-    /// Notes a first attempt that succeeded.
+    /// Records a first attempt that succeeded.
     pub fn succeeded(&mut self) {
-        self.saved = self.saved.saturating_add(self.share).min(MOST as u32 * PARTS);
+        self.saved = self
+            .saved
+            .saturating_add(self.share)
+            .min(MAX_SAVED as u32 * UNITS_PER_RETRY);
     }
 
-    /// Takes a retry from the budget, if one is left.
+    /// Takes one retry from the budget; returns whether one was left.
     pub fn take(&mut self) -> bool {
-        let left = self.saved >= PARTS;
+        let left = self.saved >= UNITS_PER_RETRY;
         if left {
-            self.saved -= PARTS;
+            self.saved -= UNITS_PER_RETRY;
         }
         left
     }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queueing between customers, earliest latest-start first within one.
+//! Weighted fair queueing between customers; within a customer the request with the earliest start deadline goes first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,205 +10,208 @@
 /// A request that waits for admission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
-    /// Distinguishes it from other tickets.
+    /// Unique among all tickets.
     pub id: u64,
-    /// The customer in whose name it is made.
+    /// The customer that the request is charged to.
     pub customer: CustomerId,
-    /// The customer's weight.
-    pub share: u32,
+    /// The customer's weight in the queue; zero counts as one.
+    pub weight: u32,
     /// Expected work, in tokens.
     pub tokens: f64,
-    /// Latest start with which it can still be on time.
-    pub latest: Tick,
-    /// Order of shedding: higher numbers go first.
-    pub shed: u8,
+    /// Latest start at which the request still meets its target.
+    pub latest_start: Tick,
+    /// Order in which a full queue drops requests of the customer; higher values are dropped first.
+    pub shed_order: u8,
 }
 
-/// Why a request was refused; it was not run.
+/// Why a request was refused. A refused request was not run.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum Refused {
-    /// The queue holds as many requests as it may.
+pub enum RefusalReason {
+    /// The queue is full, and no other request may be dropped for this one.
     #[display("the queue is full")]
     QueueFull,
-    /// It can't be on time.
+    /// The request cannot meet its target any more.
     #[display("it can no longer be on time")]
     TooLate,
 }
 
-/// A bounded queue that shares capacity by weight.
+/// A bounded queue that divides capacity between customers by weight.
 #[derive(Debug)]
 pub struct FairQueue {
     bound: usize,
     length: usize,
     virtual_time: f64,
-    lines: BTreeMap<CustomerId, Line>,
+    queues: BTreeMap<CustomerId, CustomerQueue>,
 }
 
-/// One customer's waiting requests.
+/// The waiting requests of one customer.
 #[derive(Debug, Default)]
-struct Line {
-    /// Virtual time at which the next request starts.
+struct CustomerQueue {
+    /// Virtual start time of the next request.
     start: f64,
-    share: f64,
-    /// Waiting work in tokens.
+    weight: f64,
+    /// Waiting work, in tokens.
     work: f64,
-    order: BTreeSet<(Tick, u64)>,
-    sheds: BTreeSet<(u8, Tick, u64)>,
+    by_deadline: BTreeSet<(Tick, u64)>,
+    drop_order: BTreeSet<(u8, Tick, u64)>,
     tickets: BTreeMap<u64, Ticket>,
 }
 
 impl FairQueue {
-    /// Makes a queue that holds at most `bound` requests.
+    /// Creates a queue of at most `bound` requests.
     #[must_use]
     pub const fn new(bound: usize) -> Self {
         Self {
             bound,
             length: 0,
             virtual_time: 0.0,
-            lines: BTreeMap::new(),
+            queues: BTreeMap::new(),
         }
     }
 
-    /// Gives the number of waiting requests.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.length
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Changes the bound; requests beyond a smaller one stay.
+    /// Changes the bound; requests already queued beyond a smaller bound stay.
     pub const fn set_bound(&mut self, bound: usize) {
         self.bound = bound;
     }
 
-    /// Queues a request; a full queue makes room by shedding another, which is returned.
+    /// Queues a request. If the queue is full, another request is dropped for it and returned.
     ///
-    /// The victim is of the customer that waits with the most work for its share, so that a customer that floods the
-    /// queue pays for it alone. Of that customer it is the request that its contract sheds first.
+    /// The dropped request belongs to the customer with the most waiting work for its weight, so that a customer that
+    /// floods the queue only harms itself. Among that customer's requests it is the one with the highest
+    /// [`Ticket::shed_order`].
     ///
     /// # Errors
-    /// Refuses the request when it is too late already or is the victim itself.
-    pub fn push(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, Refused> {
-        if ticket.latest < now {
-            return Err(Refused::TooLate);
+    /// Refuses a request whose start deadline has passed, or that would itself be the one to drop.
+    pub fn push(&mut self, ticket: Ticket, now: Tick) -> Result<Option<Ticket>, RefusalReason> {
+        if ticket.latest_start < now {
+            return Err(RefusalReason::TooLate);
         }
-        let shed = if self.length >= self.bound {
-            Some(self.shed_for(&ticket).ok_or(Refused::QueueFull)?)
+        let dropped = if self.length >= self.bound {
+            Some(self.drop_for(&ticket).ok_or(RefusalReason::QueueFull)?)
         } else {
             None
         };
         let virtual_time = self.virtual_time;
-        let line = self.lines.entry(ticket.customer.clone()).or_default();
-        if line.tickets.is_empty() {
-            // An idle customer starts at the present, so that it can't save up a burst that starves the others.
-            line.start = line.start.max(virtual_time);
+        let queue = self.queues.entry(ticket.customer.clone()).or_default();
+        if queue.tickets.is_empty() {
+            // A customer that was idle starts at the current virtual time; otherwise it could save up a burst that
+            // starves others.
+            queue.start = queue.start.max(virtual_time);
         }
-        line.add(ticket);
+        queue.add(ticket);
         self.length += 1;
-        Ok(shed)
+        Ok(dropped)
     }
 
-    /// Takes the request that is next by share and, within the customer, by latest start.
+    /// Removes and returns the next request: by virtual start time, and within the customer by start deadline.
     pub fn pop(&mut self) -> Option<Ticket> {
-        let waiting = self.lines.values_mut().filter(|line| !line.tickets.is_empty());
-        let line = waiting.min_by(|a, b| a.start.total_cmp(&b.start))?;
-        let (_, id) = *line.order.first()?;
-        let ticket = line.take(id)?;
-        self.virtual_time = self.virtual_time.max(line.start);
-        line.start += ticket.tokens / line.share;
+        let waiting = self.queues.values_mut().filter(|queue| !queue.tickets.is_empty());
+        let queue = waiting.min_by(|a, b| a.start.total_cmp(&b.start))?;
+        let (_, id) = *queue.by_deadline.first()?;
+        let ticket = queue.take(id)?;
+        self.virtual_time = self.virtual_time.max(queue.start);
+        queue.start += ticket.tokens / queue.weight;
         self.length -= 1;
         self.forget_idle();
         Some(ticket)
     }
 
-    /// Gives the tokens that are served before a request if it is queued now.
+    /// Returns the work, in tokens, that would be served before the request if it was queued now.
     #[must_use]
-    pub fn ahead(&self, ticket: &Ticket) -> f64 {
-        let own = self.lines.get(&ticket.customer);
-        let before = own.map_or(0.0, |line| line.before(ticket));
-        let start = own.map_or(self.virtual_time, |line| line.start.max(self.virtual_time));
-        let turn = start + before / f64::from(ticket.share.max(1));
-        let others = self.lines.iter().filter(|(customer, _)| **customer != ticket.customer);
-        let served = others.map(|(_, line)| ((turn - line.start).max(0.0) * line.share).min(line.work));
-        before + served.sum::<f64>()
+    pub fn work_ahead(&self, ticket: &Ticket) -> f64 {
+        let own = self.queues.get(&ticket.customer);
+        let own_work = own.map_or(0.0, |queue| queue.work_before(ticket));
+        let start = own.map_or(self.virtual_time, |queue| queue.start.max(self.virtual_time));
+        let virtual_start = start + own_work / f64::from(ticket.weight.max(1));
+        let others = self.queues.iter().filter(|(customer, _)| **customer != ticket.customer);
+        let served = others.map(|(_, queue)| ((virtual_start - queue.start).max(0.0) * queue.weight).min(queue.work));
+        own_work + served.sum::<f64>()
     }
 
-    /// Takes out every request that can no longer be on time.
+    /// Removes and returns the requests whose start deadline has passed.
     pub fn expire(&mut self, now: Tick) -> Vec<Ticket> {
         let mut late = Vec::new();
-        for line in self.lines.values_mut() {
-            while let Some(&(latest, id)) = line.order.first()
-                && latest < now
+        for queue in self.queues.values_mut() {
+            while let Some(&(deadline, id)) = queue.by_deadline.first()
+                && deadline < now
             {
-                late.extend(line.take(id));
+                late.extend(queue.take(id));
             }
         }
         self.length -= late.len();
         late
     }
 
-    /// Takes out one request whose caller has gone away.
+    /// Removes a waiting request, for example because its caller disconnected.
     pub fn remove(&mut self, customer: &CustomerId, id: u64) -> Option<Ticket> {
-        let ticket = self.lines.get_mut(customer)?.take(id)?;
+        let ticket = self.queues.get_mut(customer)?.take(id)?;
         self.length -= 1;
         Some(ticket)
     }
 
-    /// Takes out the victim of a full queue, unless it is the new request itself.
-    fn shed_for(&mut self, ticket: &Ticket) -> Option<Ticket> {
-        let share = f64::from(ticket.share.max(1));
-        let weight = |(customer, line): &(&CustomerId, &mut Line)| {
-            let more = if **customer == ticket.customer {
+    /// Removes the request to drop from a full queue; `None` if that is the new request itself.
+    fn drop_for(&mut self, ticket: &Ticket) -> Option<Ticket> {
+        let own_weight = f64::from(ticket.weight.max(1));
+        let relative_work = |(customer, queue): &(&CustomerId, &mut CustomerQueue)| {
+            let added = if **customer == ticket.customer {
                 ticket.tokens
             } else {
                 0.0
             };
-            (line.work + more) / line.share
+            (queue.work + added) / queue.weight
         };
-        let waiting = self.lines.iter_mut().filter(|(_, line)| !line.tickets.is_empty());
-        let (customer, line) = waiting.max_by(|a, b| weight(a).total_cmp(&weight(b)))?;
+        let waiting = self.queues.iter_mut().filter(|(_, queue)| !queue.tickets.is_empty());
+        let (customer, queue) = waiting.max_by(|a, b| relative_work(a).total_cmp(&relative_work(b)))?;
         if *customer == ticket.customer {
-            let first = *line.sheds.last()?;
-            if (ticket.shed, ticket.latest, ticket.id) > first {
+            let first_dropped = *queue.drop_order.last()?;
+            if (ticket.shed_order, ticket.latest_start, ticket.id) > first_dropped {
                 return None;
             }
-        } else if ticket.tokens / share > line.work / line.share {
-            // A single request that alone outweighs all that any other customer has waiting.
+        } else if ticket.tokens / own_weight > queue.work / queue.weight {
+            // This request alone exceeds the waiting work of every other customer.
             return None;
         }
-        let (_, _, id) = *line.sheds.last()?;
-        let victim = line.take(id)?;
+        let (_, _, id) = *queue.drop_order.last()?;
+        let victim = queue.take(id)?;
         self.length -= 1;
         Some(victim)
     }
 
-    /// Drops customers that wait for nothing and have no more than their share behind them.
+    /// Forgets customers without waiting requests that have used no more than their share.
     fn forget_idle(&mut self) {
         let virtual_time = self.virtual_time;
-        self.lines
-            .retain(|_, line| !line.tickets.is_empty() || line.start > virtual_time);
+        self.queues
+            .retain(|_, queue| !queue.tickets.is_empty() || queue.start > virtual_time);
     }
 }
 
-impl Line {
+impl CustomerQueue {
     fn add(&mut self, ticket: Ticket) {
-        self.share = f64::from(ticket.share.max(1));
+        self.weight = f64::from(ticket.weight.max(1));
         self.work += ticket.tokens;
-        self.order.insert((ticket.latest, ticket.id));
-        self.sheds.insert((ticket.shed, ticket.latest, ticket.id));
+        self.by_deadline.insert((ticket.latest_start, ticket.id));
+        self.drop_order
+            .insert((ticket.shed_order, ticket.latest_start, ticket.id));
         self.tickets.insert(ticket.id, ticket);
     }
 
     fn take(&mut self, id: u64) -> Option<Ticket> {
         let ticket = self.tickets.remove(&id)?;
-        self.order.remove(&(ticket.latest, id));
-        self.sheds.remove(&(ticket.shed, ticket.latest, id));
-        // Rounding errors must not pile up while the line is never empty.
+        self.by_deadline.remove(&(ticket.latest_start, id));
+        self.drop_order.remove(&(ticket.shed_order, ticket.latest_start, id));
+        // The sum is reset whenever it can be: rounding errors would add up otherwise.
         self.work = if self.tickets.is_empty() {
             0.0
         } else {
@@ -217,9 +220,9 @@
         Some(ticket)
     }
 
-    /// Gives the customer's own work that goes before a request.
-    fn before(&self, ticket: &Ticket) -> f64 {
-        let earlier = self.order.range(..(ticket.latest, ticket.id));
+    /// Returns the customer's own work, in tokens, that would be served before the request.
+    fn work_before(&self, ticket: &Ticket) -> f64 {
+        let earlier = self.by_deadline.range(..(ticket.latest_start, ticket.id));
         earlier
             .filter_map(|(_, id)| self.tickets.get(id))
             .map(|other| other.tokens)
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,125 +1,129 @@
-//! How many upstreams of a service are ordered in each data centre, by count and kind.
+//! Number of upstreams to order for a service in each data centre, on-demand and reclaimable.
 //!
-//! Reclaimable upstreams are cheap and are taken away a data centre at a time, so there are more of them than the load
-//! needs, spread evenly. A small number of on-demand upstreams is never taken away. While reclaimable ones are not to be
-//! had, on-demand ones stand in as far as the load needs it.
+//! Reclaimable upstreams are cheap and are reclaimed a data centre at a time, so more of them are ordered than the load
+//! needs, spread evenly. A few on-demand upstreams remain as a floor. While reclaimable ones are unavailable, on-demand
+//! ones replace them as far as the load needs it.
 
 use std::collections::BTreeMap;
 
 use contract::{Scaling, Zone};
 
-/// Requests that one upstream runs at once while first events are on time. Measured on the users' sheets: at sixteen
-/// running requests an engine reads prompts half of the time.
-const PER_UPSTREAM: f64 = 16.0;
-/// Part of its time that an upstream may spend on reading prompts. Prompts are read one after the other and hold up the
-/// tokens of all others; beyond a half, first events wait behind several prompts.
-const READING: f64 = 0.45;
-/// Part of an upstream's slots that may be filled; requests come in bunches, and one that finds no slot waits for a whole run.
-const FILLED: f64 = 0.5;
-/// Factor and number of upstreams by which running requests may raise the need beyond what prompts ask for.
-const BACKLOG: (f64, f64) = (1.5, 3.0);
-/// Fewest upstreams that the load is taken to need: with fewer, one that fails takes a third of the service along.
-const FEWEST: u32 = 3;
-/// Reclaimable upstreams for each that is needed, so that two of four data centres may be lost at once.
-const SPARE: f64 = 2.0;
-/// Part of the needed upstreams that is always on-demand, so that the loss of all others leaves a thin service until
-/// on-demand ones have started.
-const FLOOR: f64 = 0.25;
+/// Concurrent requests at which one upstream still sends first events on time: at sixteen, an engine prefills half of
+/// the time.
+const RUNNING_PER_UPSTREAM: f64 = 16.0;
+/// Share of its time that an upstream may spend on prefill. Prompts are prefilled one after the other and delay the
+/// tokens of all other requests; beyond a half, first events wait for several prompts.
+const PREFILL_SHARE: f64 = 0.45;
+/// Share of an upstream's slots to plan for. Requests arrive in bursts, and one that finds no free slot waits for a
+/// whole run.
+const SLOT_SHARE: f64 = 0.5;
+/// Factor on the upstreams needed for prefill, and number added to it, up to which running requests may raise the need.
+const QUEUE_ALLOWANCE: (f64, f64) = (1.5, 3.0);
+/// Least need that is planned for: with fewer upstreams, one that fails takes a third of the service's capacity with
+/// it.
+const MIN_NEEDED: u32 = 3;
+/// Reclaimable upstreams for each needed one: two of four data centres may be lost at once.
+const RECLAIMABLE_FACTOR: f64 = 2.0;
+/// Share of the needed upstreams that is always on-demand, so that some service remains after the loss of all others
+/// until new on-demand ones have started.
+const FLOOR_SHARE: f64 = 0.25;
 
-/// Part of the needed upstreams that is kept on-demand on top in a wave of reclaims. Load grew by a fifth within a wave, and
-/// upstreams that had been given up were ordered anew: for four seconds a fifth of all answers was late.
-const KEPT: f64 = 0.25;
+/// Share of the needed upstreams that is kept on-demand in addition during a wave of reclaims. Load grew by a fifth
+/// within a wave; upstreams given up before had to be ordered again, and a fifth of all answers was late for four
+/// seconds.
+const KEPT_SHARE: f64 = 0.25;
 
-/// What there is in one data centre.
+/// Upstreams available in one data centre.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Present {
-    /// On-demand upstreams that are ready, or ordered and starting.
+pub struct ZoneSupply {
+    /// On-demand upstreams that are ready or starting.
     pub on_demand: u32,
-    /// Reclaimable ones that are ready.
+    /// Reclaimable upstreams that are ready.
     pub reclaimable: u32,
-    /// Whether reclaimable ones were refused lately, so that a wave of reclaims is likely under way.
-    pub dry: bool,
-    /// Whether its reclaimable ones were called back a moment ago, within the time in which an upstream starts.
+    /// Whether an order of reclaimable upstreams was refused lately, which hints at a wave of reclaims.
+    pub scarce: bool,
+    /// Whether its reclaimable upstreams were reclaimed within the last start time of an upstream.
     pub reclaimed: bool,
-    /// Whether they were refused just now, so that asking again is of no use yet.
-    pub closed: bool,
+    /// Whether an order of reclaimable upstreams was refused so recently that another would be refused too.
+    pub backing_off: bool,
 }
 
-/// What there shall be in one data centre.
+/// Target number of upstreams in one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct ZoneTarget {
     /// On-demand upstreams.
     pub on_demand: u32,
-    /// Reclaimable ones.
+    /// Reclaimable upstreams.
     pub reclaimable: u32,
 }
 
-/// Gives the upstreams that are needed for so many requests at once, whose prompts keep so many busy with reading.
+/// Returns the number of upstreams needed for `running` concurrent requests whose prefill keeps `busy` upstreams busy.
 ///
-/// The count of requests alone says too little: with long prompts an upstream is full while few run there.
+/// The number of requests alone is not enough: with long prompts an upstream is at its limit with few requests.
 #[must_use]
-pub fn needed(running: f64, busy: f64, slots: u32) -> f64 {
-    let reading = busy / READING;
-    // Under too much load requests pile up. Upstreams that are ordered for the pile start when it is gone.
-    let piled = BACKLOG.0 * reading + BACKLOG.1;
-    let each = PER_UPSTREAM.min(f64::from(slots.max(2)) * FILLED);
-    reading.max((running / each).min(piled))
+pub fn upstreams_needed(running: f64, busy: f64, slots: u32) -> f64 {
+    let for_prefill = busy / PREFILL_SHARE;
+    // Under overload requests queue up, and upstreams ordered for that queue would start after it has drained.
+    let most = QUEUE_ALLOWANCE.0 * for_prefill + QUEUE_ALLOWANCE.1;
+    let per_upstream = RUNNING_PER_UPSTREAM.min(f64::from(slots.max(2)) * SLOT_SHARE);
+    for_prefill.max((running / per_upstream).min(most))
 }
 
-/// Plans the upstreams of a service of which so many are needed.
+/// Plans the upstreams of a service that needs `needed` of them.
 #[must_use]
-pub fn plan(present: &BTreeMap<Zone, Present>, scaling: &Scaling, needed: f64) -> BTreeMap<Zone, Wanted> {
-    let zones = by_price(present, scaling);
-    let needed = (needed.ceil() as u32).max(FEWEST);
+pub fn plan(supplies: &BTreeMap<Zone, ZoneSupply>, scaling: &Scaling, needed: f64) -> BTreeMap<Zone, ZoneTarget> {
+    let zones = by_price(supplies, scaling);
+    let needed = (needed.ceil() as u32).max(MIN_NEEDED);
     if scaling.spot_price >= 1.0 {
         return all_on_demand(&zones, scaling, needed);
     }
-    let mut wanted: BTreeMap<Zone, Wanted> = zones.iter().map(|zone| (zone.clone(), Wanted::default())).collect();
-    spread_reclaimable(&mut wanted, &zones, scaling, needed);
-    let dry = present.values().any(|there| there.dry);
-    if dry {
-        keep_reclaimable(&mut wanted, present);
+    let mut targets: BTreeMap<Zone, ZoneTarget> =
+        zones.iter().map(|zone| (zone.clone(), ZoneTarget::default())).collect();
+    spread_reclaimable(&mut targets, &zones, scaling, needed);
+    let scarce = supplies.values().any(|supply| supply.scarce);
+    if scarce {
+        keep_reclaimable(&mut targets, supplies);
     }
-    let floor = (f64::from(needed) * FLOOR).ceil() as u32;
-    let usable: u32 = present.values().map(|there| there.reclaimable).sum();
-    let sure = if dry { usable - soon_lost(present) } else { usable };
-    let missing = needed.saturating_sub(sure).max(floor);
-    let held: u32 = present.values().map(|there| there.on_demand).sum();
-    // What is there already is kept first: an upstream that is drained and ordered anew elsewhere loses its cache.
-    // In a wave some more are kept than the load of the moment asks for: what is given up takes seconds to come back.
-    let spare = if dry { f64::from(needed) * KEPT } else { 0.0 };
-    let keep = held.min(missing + spare.ceil() as u32);
-    place(&mut wanted, keep, &zones, |zone, there| {
-        there.on_demand < present.get(zone).map_or(0, |held| held.on_demand)
+    let floor = (f64::from(needed) * FLOOR_SHARE).ceil() as u32;
+    let usable: u32 = supplies.values().map(|supply| supply.reclaimable).sum();
+    let remaining = if scarce { usable - soon_lost(supplies) } else { usable };
+    let missing = needed.saturating_sub(remaining).max(floor);
+    let current: u32 = supplies.values().map(|supply| supply.on_demand).sum();
+    // Existing upstreams are kept first: one that is replaced elsewhere loses its cache. During a wave of reclaims more
+    // are kept than the current load needs, since a replacement takes seconds to start.
+    let spare = if scarce { f64::from(needed) * KEPT_SHARE } else { 0.0 };
+    let keep = current.min(missing + spare.ceil() as u32);
+    add_on_demand(&mut targets, keep, &zones, |zone, target| {
+        target.on_demand < supplies.get(zone).map_or(0, |supply| supply.on_demand)
     });
-    let more = if dry || usable + held == 0 {
+    let more = if scarce || usable + current == 0 {
         missing.saturating_sub(keep)
     } else {
         floor.saturating_sub(keep)
     };
-    place(&mut wanted, more, &zones, |_, there| {
-        there.on_demand + there.reclaimable < scaling.max
+    add_on_demand(&mut targets, more, &zones, |_, target| {
+        target.on_demand + target.reclaimable < scaling.max
     });
-    for there in wanted.values_mut() {
-        there.reclaimable = there.reclaimable.min(scaling.max.saturating_sub(there.on_demand));
+    for target in targets.values_mut() {
+        target.reclaimable = target.reclaimable.min(scaling.max.saturating_sub(target.on_demand));
     }
-    wanted
+    targets
 }
 
-/// Gives the reclaimable upstreams that a wave of reclaims may take before on-demand ones that are ordered now have started: as
-/// many data centres as were called back in the last such time, the fullest ones.
+/// Returns the number of reclaimable upstreams that may be lost before on-demand ones ordered now have started. As many
+/// data centres are assumed to be lost as were reclaimed within the last start time, at least one, the fullest first.
 ///
-/// What is ordered when one goes starts seconds too late for the next. Where data centres go three seconds after one another
-/// and an upstream starts in four, the next two are gone by then.
-fn soon_lost(present: &BTreeMap<Zone, Present>) -> u32 {
-    let mut counts: Vec<u32> = present.values().map(|there| there.reclaimable).collect();
+/// An upstream ordered at one loss starts too late for the next: where data centres are lost three seconds apart and an
+/// upstream starts in four, two more are gone by then.
+fn soon_lost(supplies: &BTreeMap<Zone, ZoneSupply>) -> u32 {
+    let mut counts: Vec<u32> = supplies.values().map(|supply| supply.reclaimable).collect();
     counts.sort_unstable_by(|a, b| b.cmp(a));
-    let pace = present.values().filter(|there| there.reclaimed).count().max(1);
-    counts.iter().take(pace).sum()
+    let lost_zones = supplies.values().filter(|supply| supply.reclaimed).count().max(1);
+    counts.iter().take(lost_zones).sum()
 }
 
-fn by_price(present: &BTreeMap<Zone, Present>, scaling: &Scaling) -> Vec<Zone> {
-    let known = present.keys().chain(scaling.prices.keys());
+fn by_price(supplies: &BTreeMap<Zone, ZoneSupply>, scaling: &Scaling) -> Vec<Zone> {
+    let known = supplies.keys().chain(scaling.prices.keys());
     let mut zones: Vec<Zone> = known.cloned().collect();
     zones.sort();
     zones.dedup();
@@ -128,56 +132,63 @@
     zones
 }
 
-fn spread_reclaimable(wanted: &mut BTreeMap<Zone, Wanted>, zones: &[Zone], scaling: &Scaling, needed: u32) {
-    let total = (f64::from(needed) * SPARE).ceil() as u32;
+fn spread_reclaimable(targets: &mut BTreeMap<Zone, ZoneTarget>, zones: &[Zone], scaling: &Scaling, needed: u32) {
+    let total = (f64::from(needed) * RECLAIMABLE_FACTOR).ceil() as u32;
     for at in 0..total.max(zones.len() as u32) {
         let zone = &zones[at as usize % zones.len()];
-        if let Some(there) = wanted.get_mut(zone) {
-            there.reclaimable = (there.reclaimable + 1).min(scaling.max);
+        if let Some(target) = targets.get_mut(zone) {
+            target.reclaimable = (target.reclaimable + 1).min(scaling.max);
         }
     }
-    for there in wanted.values_mut() {
-        there.reclaimable = there.reclaimable.max(scaling.min).min(scaling.max);
+    for target in targets.values_mut() {
+        target.reclaimable = target.reclaimable.max(scaling.min).min(scaling.max);
     }
 }
 
-/// Gives up no reclaimable upstream while others can't be had: a lower load for a moment would cost what can't be replaced.
-/// Where they can't be had, their places are left for on-demand ones.
-fn keep_reclaimable(wanted: &mut BTreeMap<Zone, Wanted>, present: &BTreeMap<Zone, Present>) {
-    for (zone, there) in wanted {
-        let Some(held) = present.get(zone) else {
+/// Keeps all reclaimable upstreams while no more can be ordered: those given up in a short lull could not be replaced.
+/// A data centre that refuses orders gets no more than it has, which leaves room for on-demand upstreams.
+fn keep_reclaimable(targets: &mut BTreeMap<Zone, ZoneTarget>, supplies: &BTreeMap<Zone, ZoneSupply>) {
+    for (zone, target) in targets {
+        let Some(supply) = supplies.get(zone) else {
             continue;
         };
-        there.reclaimable = if held.closed {
-            held.reclaimable
+        target.reclaimable = if supply.backing_off {
+            supply.reclaimable
         } else {
-            there.reclaimable.max(held.reclaimable)
+            target.reclaimable.max(supply.reclaimable)
         };
     }
 }
 
-/// Adds on-demand upstreams, the cheapest data centre with room first and one after the other.
-fn place(wanted: &mut BTreeMap<Zone, Wanted>, count: u32, zones: &[Zone], room: impl Fn(&Zone, &Wanted) -> bool) {
+/// Adds on-demand upstreams one by one to the data centre that has fewest and still has room; of equals, to the
+/// cheapest.
+fn add_on_demand(
+    targets: &mut BTreeMap<Zone, ZoneTarget>,
+    count: u32,
+    zones: &[Zone],
+    has_room: impl Fn(&Zone, &ZoneTarget) -> bool,
+) {
     for _ in 0..count {
         let open = zones
             .iter()
-            .filter(|zone| wanted.get(*zone).is_some_and(|there| room(zone, there)));
-        let best = open.min_by_key(|zone| wanted.get(*zone).map_or(0, |there| there.on_demand));
-        let Some(there) = best.cloned().and_then(|zone| wanted.get_mut(&zone)) else {
+            .filter(|zone| targets.get(*zone).is_some_and(|target| has_room(zone, target)));
+        let best = open.min_by_key(|zone| targets.get(*zone).map_or(0, |target| target.on_demand));
+        let Some(target) = best.cloned().and_then(|zone| targets.get_mut(&zone)) else {
             return;
         };
-        there.on_demand += 1;
+        target.on_demand += 1;
     }
 }
 
-fn all_on_demand(zones: &[Zone], scaling: &Scaling, needed: u32) -> BTreeMap<Zone, Wanted> {
-    let mut wanted: BTreeMap<Zone, Wanted> = zones.iter().map(|zone| (zone.clone(), Wanted::default())).collect();
-    for there in wanted.values_mut() {
-        there.on_demand = scaling.min;
+fn all_on_demand(zones: &[Zone], scaling: &Scaling, needed: u32) -> BTreeMap<Zone, ZoneTarget> {
+    let mut targets: BTreeMap<Zone, ZoneTarget> =
+        zones.iter().map(|zone| (zone.clone(), ZoneTarget::default())).collect();
+    for target in targets.values_mut() {
+        target.on_demand = scaling.min;
     }
     let base = scaling.min * zones.len() as u32;
-    place(&mut wanted, (needed + 1).saturating_sub(base), zones, |_, there| {
-        there.on_demand < scaling.max
+    add_on_demand(&mut targets, (needed + 1).saturating_sub(base), zones, |_, target| {
+        target.on_demand < scaling.max
     });
-    wanted
+    targets
 }
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/life.rs
@@ -1,6 +1,6 @@
-//! The life cycle of a host: starting, serving, doubted, leaving, gone.
+//! The life cycle of a host: starting, serving, suspected, leaving, gone.
 //!
-//! Each stage is a type of its own, so that a host that left cannot serve again; one that comes back under the same
+//! Each stage is a type of its own, so that a host that has left cannot serve again. One that comes back under the same
 //! name is a new incarnation.
 
 use std::collections::HashMap;
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Serving;
 
-/// The host refused a connection and may be gone; nobody has announced it.
+/// The host refused a connection and may be gone, without any notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubted;
+pub struct Suspected;
 
-/// The host finishes what it has.
+/// The host finishes its work and gets no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leaving {
-    /// When it will be gone, if announced.
+    /// When the host will be gone; absent if the notice did not say.
     pub gone_at: Option<Tick>,
 }
 
@@ -34,35 +34,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone;
 
-/// A host at one stage of its life.
+/// A host at the stage `S` of its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life<S> {
+pub struct HostState<S> {
     incarnation: u64,
     stage: S,
 }
 
-/// A host at any stage of its life.
+/// A host at any stage of its life cycle.
 #[derive(Clone, Copy, Debug, Display, From, PartialEq, Eq)]
-pub enum AnyLife {
-    /// Starting.
+pub enum AnyHostState {
+    /// Ordered, not serving yet.
     #[display("starting")]
-    Starting(Life<Starting>),
-    /// Serving.
+    Starting(HostState<Starting>),
+    /// Takes work.
     #[display("serving")]
-    Serving(Life<Serving>),
-    /// Doubted.
+    Serving(HostState<Serving>),
+    /// Refused a connection and has not answered since.
     #[display("doubted")]
-    Doubted(Life<Doubted>),
-    /// Leaving.
+    Suspected(HostState<Suspected>),
+    /// Is reclaimed or drained.
     #[display("leaving")]
-    Leaving(Life<Leaving>),
-    /// Gone.
+    Leaving(HostState<Leaving>),
+    /// Has ended.
     #[display("gone")]
-    Gone(Life<Gone>),
+    Gone(HostState<Gone>),
 }
 
-impl Life<Starting> {
-    /// Begins the life of a host.
+impl HostState<Starting> {
+    /// Starts the life cycle of an incarnation.
     #[must_use]
     pub const fn new(incarnation: u64) -> Self {
         Self {
@@ -71,21 +71,21 @@
         }
     }
 
-    /// The host answers.
+    /// Moves to serving, once the host answers.
     #[must_use]
-    pub const fn serve(self) -> Life<Serving> {
-        Life {
+    pub const fn serve(self) -> HostState<Serving> {
+        HostState {
             incarnation: self.incarnation,
             stage: Serving,
         }
     }
 }
 
-impl Life<Serving> {
-    /// The host will be taken away.
+impl HostState<Serving> {
+    /// Moves to leaving; the host will be gone after `left`, if known.
     #[must_use]
-    pub fn leave(self, now: Tick, left: Option<Duration>) -> Life<Leaving> {
-        Life {
+    pub fn leave(self, now: Tick, left: Option<Duration>) -> HostState<Leaving> {
+        HostState {
             incarnation: self.incarnation,
             stage: Leaving {
                 gone_at: left.map(|left| now + left),
@@ -94,32 +94,32 @@
     }
 }
 
-impl Life<Serving> {
-    /// The host refused a connection.
+impl HostState<Serving> {
+    /// Moves to suspected, because the host refused a connection.
     #[must_use]
-    pub const fn doubt(self) -> Life<Doubted> {
-        Life {
+    pub const fn suspect(self) -> HostState<Suspected> {
+        HostState {
             incarnation: self.incarnation,
-            stage: Doubted,
+            stage: Suspected,
         }
     }
 }
 
-impl Life<Doubted> {
-    /// The host answers again.
+impl HostState<Suspected> {
+    /// Moves back to serving, because the host answers again.
     #[must_use]
-    pub const fn trust(self) -> Life<Serving> {
-        Life {
+    pub const fn recover(self) -> HostState<Serving> {
+        HostState {
             incarnation: self.incarnation,
             stage: Serving,
         }
     }
 }
 
-impl Life<Leaving> {
-    /// Takes over an announcement that is earlier than the known one.
+impl HostState<Leaving> {
+    /// Applies another notice; the earliest known end counts.
     #[must_use]
-    pub fn hurry(mut self, now: Tick, left: Option<Duration>) -> Self {
+    pub fn shorten(mut self, now: Tick, left: Option<Duration>) -> Self {
         let announced = left.map(|left| now + left);
         self.stage.gone_at = match (self.stage.gone_at, announced) {
             (Some(known), Some(new)) => Some(known.min(new)),
@@ -128,134 +128,144 @@
         self
     }
 
-    /// Gives the time when it will be gone, if announced.
+    /// Returns the time at which the host will be gone; `None` if no notice said.
     #[must_use]
     pub const fn gone_at(&self) -> Option<Tick> {
         self.stage.gone_at
     }
 
-    /// The host is gone.
+    /// Moves to gone.
     #[must_use]
-    pub const fn end(self) -> Life<Gone> {
-        Life {
+    pub const fn end(self) -> HostState<Gone> {
+        HostState {
             incarnation: self.incarnation,
             stage: Gone,
         }
     }
 }
 
-impl AnyLife {
-    /// Tells whether new work may go there.
+impl AnyHostState {
+    /// Returns whether new work may be sent to the host.
     #[must_use]
-    pub const fn takes_work(&self) -> bool {
+    pub const fn accepts_work(&self) -> bool {
         matches!(self, Self::Serving(_))
     }
 
-    /// Gives the incarnation.
+    /// Returns the incarnation, which grows with each host of the same name.
     #[must_use]
     pub const fn incarnation(&self) -> u64 {
         match self {
-            Self::Starting(life) => life.incarnation,
-            Self::Serving(life) => life.incarnation,
-            Self::Doubted(life) => life.incarnation,
-            Self::Leaving(life) => life.incarnation,
-            Self::Gone(life) => life.incarnation,
+            Self::Starting(state) => state.incarnation,
+            Self::Serving(state) => state.incarnation,
+            Self::Suspected(state) => state.incarnation,
+            Self::Leaving(state) => state.incarnation,
+            Self::Gone(state) => state.incarnation,
         }
     }
 
-    /// Gives the life after a sign.
+    /// Returns the state after an event.
     ///
-    /// Signs come late, twice and in any order, so a stage never goes back to an earlier one: a list that still shows a
-    /// host as serving would otherwise undo its notice, and callers' work would go to a host that is about to be gone.
+    /// Events arrive late, twice and in any order, so the stage never goes back except from suspected to serving.
+    /// Otherwise an outdated list that still shows the host as serving would undo its reclaim notice, and requests
+    /// would be sent to a host that is about to end.
     #[must_use]
-    pub fn after(self, sign: Sign, now: Tick) -> Self {
-        match (self, sign) {
-            (Self::Starting(life), Sign::Answered) => life.serve().into(),
-            (Self::Doubted(life), Sign::Answered) => life.trust().into(),
-            (Self::Serving(life), Sign::Refused) => life.doubt().into(),
-            (Self::Gone(_), _) | (_, Sign::Answered | Sign::Refused) => self,
-            (Self::Leaving(life), Sign::Leaves { left }) => life.hurry(now, left).into(),
-            (Self::Leaving(life), Sign::Gone) => life.end().into(),
-            (before, Sign::Leaves { left }) => before.served().leave(now, left).into(),
-            (before, Sign::Gone) => before.served().leave(now, None).end().into(),
+    pub fn after(self, event: HostEvent, now: Tick) -> Self {
+        match (self, event) {
+            (Self::Starting(state), HostEvent::Answered) => state.serve().into(),
+            (Self::Suspected(state), HostEvent::Answered) => state.recover().into(),
+            (Self::Serving(state), HostEvent::Refused) => state.suspect().into(),
+            (Self::Gone(_), _) | (_, HostEvent::Answered | HostEvent::Refused) => self,
+            (Self::Leaving(state), HostEvent::Leaves { left }) => state.shorten(now, left).into(),
+            (Self::Leaving(state), HostEvent::Gone) => state.end().into(),
+            (before, HostEvent::Leaves { left }) => before.as_serving().leave(now, left).into(),
+            (before, HostEvent::Gone) => before.as_serving().leave(now, None).end().into(),
         }
     }
 
-    const fn served(self) -> Life<Serving> {
-        Life {
+    const fn as_serving(self) -> HostState<Serving> {
+        HostState {
             incarnation: self.incarnation(),
             stage: Serving,
         }
     }
 }
 
-/// Something that tells about the life of a host.
+/// An observation about a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    /// It will be taken away or is drained.
+pub enum HostEvent {
+    /// The host will be reclaimed or is drained.
     Leaves {
-        /// Time until it is gone, if announced.
+        /// Time until the host is gone; absent if the notice did not say.
         left: Option<Duration>,
     },
-    /// It is gone.
+    /// The host is gone.
     Gone,
-    /// It refused a connection.
+    /// The host refused a connection.
     Refused,
-    /// It answered.
+    /// The host answered.
     Answered,
 }
 
-/// The lives of all hosts that signs have told about; a host that no sign has told about serves.
+/// The states of all hosts that had an event. Any other host counts as serving.
 #[derive(Debug, Default)]
-pub struct Lives {
-    hosts: HashMap<HostId, AnyLife>,
+pub struct HostStates {
+    hosts: HashMap<HostId, AnyHostState>,
 }
 
-impl Lives {
-    /// Takes a sign in; returns the new stage where it changed.
+impl HostStates {
+    /// Applies an event and returns the new state if it changed.
     ///
-    /// A sign about an earlier host of the same name is late and changes nothing.
-    pub fn hear(&mut self, host: &HostId, incarnation: u64, sign: Sign, now: Tick) -> Option<AnyLife> {
+    /// An event of an earlier incarnation is outdated and ignored.
+    pub fn apply_event(
+        &mut self,
+        host: &HostId,
+        incarnation: u64,
+        event: HostEvent,
+        now: Tick,
+    ) -> Option<AnyHostState> {
         let known = self.hosts.get(host).copied();
         let before = match known {
-            Some(life) if life.incarnation() > incarnation => return None,
-            Some(life) if life.incarnation() == incarnation => life,
-            _ => Life::new(incarnation).serve().into(),
+            Some(state) if state.incarnation() > incarnation => return None,
+            Some(state) if state.incarnation() == incarnation => state,
+            _ => HostState::new(incarnation).serve().into(),
         };
-        let after = before.after(sign, now);
-        // Hosts that just serve need no row, which keeps the table as small as the trouble.
+        let after = before.after(event, now);
+        // Hosts that simply serve get no entry, which keeps the table small.
         if known.is_some() || after != before {
             self.hosts.insert(host.clone(), after);
         }
         (after != before).then_some(after)
     }
 
-    /// Gives the stage of a host.
+    /// Returns the state of an incarnation of a host.
     #[must_use]
-    pub fn stage(&self, host: &HostId, incarnation: u64) -> AnyLife {
+    pub fn stage(&self, host: &HostId, incarnation: u64) -> AnyHostState {
         match self.hosts.get(host) {
-            Some(life) if life.incarnation() == incarnation => *life,
-            // A newer host of that name is known, so this one is gone.
-            Some(life) if life.incarnation() > incarnation => {
-                Life::new(incarnation).serve().leave(Tick::default(), None).end().into()
-            }
-            _ => Life::new(incarnation).serve().into(),
+            Some(state) if state.incarnation() == incarnation => *state,
+            // A newer incarnation is known, so this one is gone.
+            Some(state) if state.incarnation() > incarnation => HostState::new(incarnation)
+                .serve()
+                .leave(Tick::default(), None)
+                .end()
+                .into(),
+            _ => HostState::new(incarnation).serve().into(),
         }
     }
 
-    /// Tells whether new work may go to a host.
+    /// Returns whether new work may be sent to an incarnation of a host.
     #[must_use]
     pub fn takes_work(&self, host: &HostId, incarnation: u64) -> bool {
-        self.stage(host, incarnation).takes_work()
+        self.stage(host, incarnation).accepts_work()
     }
 
-    /// Gives every host that signs have told about.
-    pub fn iter(&self) -> impl Iterator<Item = (&HostId, &AnyLife)> {
+    /// Iterates over the hosts that had an event.
+    pub fn iter(&self) -> impl Iterator<Item = (&HostId, &AnyHostState)> {
         self.hosts.iter()
     }
 
-    /// Forgets hosts, so that the table doesn't grow with every host that ever was.
-    pub fn retain(&mut self, keep: impl Fn(&HostId, &AnyLife) -> bool) {
-        self.hosts.retain(|host, life| keep(host, life));
+    /// Drops the hosts for which `keep` returns false; without this the table would grow with every host that ever
+    /// existed.
+    pub fn retain(&mut self, keep: impl Fn(&HostId, &AnyHostState) -> bool) {
+        self.hosts.retain(|host, state| keep(host, state));
     }
 }
--- a/crates/policy/src/limits/share.rs
+++ b/crates/policy/src/limits/share.rs
@@ -1,24 +1,24 @@
-//! One customer's limits at one entry host.
+//! A customer's limits at one entry host.
 
 use std::collections::BTreeMap;
 
 use contract::Limits;
 
-use super::loans::{LEASE, Loans, Part, plan};
+use super::loans::{LEASE, Loans, OwnedPart, plan};
 use crate::Tick;
 
-/// Amounts of a customer's three limits.
+/// Amounts of the three resources that a customer's limits bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Amounts {
-    /// Requests a second.
+pub struct LimitAmounts {
+    /// Requests per second.
     pub requests: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens: f64,
-    /// Requests that run at the same time.
+    /// Concurrent requests.
     pub running: f64,
 }
 
-impl From<[f64; 3]> for Amounts {
+impl From<[f64; 3]> for LimitAmounts {
     fn from([requests, tokens, running]: [f64; 3]) -> Self {
         Self {
             requests,
@@ -28,47 +28,47 @@
     }
 }
 
-impl Amounts {
-    /// Gives the amounts in the order of the fields.
+impl LimitAmounts {
+    /// Returns the amounts in the order of the fields.
     #[must_use]
-    pub const fn list(&self) -> [f64; 3] {
+    pub const fn to_array(&self) -> [f64; 3] {
         [self.requests, self.tokens, self.running]
     }
 }
 
-/// Gives the part of the limits that the host at a rank among all entry hosts owns.
+/// Returns the part of the limits that the host with `rank` among all entry hosts owns.
 ///
-/// Running requests are whole: the hosts of the first ranks own one more where they can't be divided.
+/// Concurrent requests are indivisible: if they do not divide evenly, the hosts with the lowest ranks own one more.
 #[must_use]
-pub fn part_of(limits: &Limits, hosts: u32, rank: u32) -> Amounts {
+pub fn owned_part(limits: &Limits, hosts: u32, rank: u32) -> LimitAmounts {
     let hosts = hosts.max(1);
     let count = f64::from(hosts);
     let running = limits.concurrency / hosts + u32::from(rank < limits.concurrency % hosts);
-    Amounts {
+    LimitAmounts {
         requests: limits.requests_per_s / count,
         tokens: limits.tokens_per_s / count,
         running: f64::from(running),
     }
 }
 
-/// What a peer told of a customer.
+/// The state of a customer at another entry host, as that host reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Peer {
-    /// What its callers ask for.
-    pub wanted: Amounts,
+pub struct PeerDemand {
+    /// Demand of its callers.
+    pub wanted: LimitAmounts,
     /// Requests that run there now.
     pub running: f64,
 }
 
-/// One customer's limits at one entry host.
+/// A customer's limits at one entry host.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct CustomerShare {
     loans: [Loans; 3],
-    peers: BTreeMap<u32, (Tick, Peer)>,
+    peers: BTreeMap<u32, (Tick, PeerDemand)>,
 }
 
-impl Share {
-    /// Starts with nothing lent or borrowed; the host may be alone, without any peers in its settings.
+impl CustomerShare {
+    /// Starts with nothing lent or borrowed. `alone` means that the settings name no peers.
     #[must_use]
     pub fn new(alone: bool, now: Tick) -> Self {
         Self {
@@ -77,62 +77,66 @@
         }
     }
 
-    /// Takes in what a peer tells.
-    pub fn hear(&mut self, peer: u32, told: Peer, now: Tick) {
-        self.peers.insert(peer, (now, told));
+    /// Records the state that a peer reported.
+    pub fn record_demand(&mut self, peer: u32, reported: PeerDemand, now: Tick) {
+        self.peers.insert(peer, (now, reported));
     }
 
-    /// Takes over what a peer lends in answer to a demand that was sent at the given time.
-    pub fn borrow(&mut self, peer: u32, lent: Amounts, asked: Tick) {
-        for (loans, amount) in self.loans.iter_mut().zip(lent.list()) {
-            loans.borrow(peer, amount, asked);
+    /// Records the loans of a peer in answer to a demand sent at `sent_at`.
+    pub fn borrow(&mut self, peer: u32, lent: LimitAmounts, sent_at: Tick) {
+        for (loans, amount) in self.loans.iter_mut().zip(lent.to_array()) {
+            loans.borrow(peer, amount, sent_at);
         }
     }
 
-    /// Lends to a peer what it lacks and this host doesn't need.
+    /// Grants a peer what it lacks and this host does not need.
     ///
-    /// Peers that were not heard for the time of a lease get nothing and count for nothing: they are dead or cut off
-    /// and could not take a loan.
-    pub fn grant(&mut self, peer: u32, part: Amounts, own: Amounts, now: Tick) -> Amounts {
+    /// Peers not heard for the length of a lease receive nothing and are not counted: they are down or cut off, and
+    /// could not use a loan.
+    pub fn grant(&mut self, peer: u32, part: LimitAmounts, own: LimitAmounts, now: Tick) -> LimitAmounts {
         self.peers.retain(|_, (at, _)| now.since(*at) < LEASE);
-        let Some(place) = self.peers.keys().position(|other| *other == peer) else {
-            return Amounts::default();
+        let Some(position) = self.peers.keys().position(|other| *other == peer) else {
+            return LimitAmounts::default();
         };
-        let told = self.peers[&peer].1;
-        let granted = std::array::from_fn(|measure| {
+        let reported = self.peers[&peer].1;
+        let granted = std::array::from_fn(|resource| {
             let wanted: Vec<f64> = self
                 .peers
                 .values()
-                .map(|(_, peer)| peer.wanted.list()[measure])
+                .map(|(_, peer)| peer.wanted.to_array()[resource])
                 .collect();
-            let (part, own) = (parts_of(part)[measure], own.list()[measure]);
-            let mut wish = plan(part, own, &wanted)[place];
-            if measure == RUNNING {
-                // Slots that are in use can't come back before the requests end. Lending them on, or using them here,
-                // would run more requests than the limit allows.
-                let in_use = (told.running - part.owned).max(0.0);
-                wish = wish.max(in_use.min(self.loans[measure].lent_to(peer, now))).round();
+            let (part, own) = (resource_parts(part)[resource], own.to_array()[resource]);
+            let mut loan = plan(part, own, &wanted)[position];
+            if resource == CONCURRENT {
+                // Slots in use stay taken until the requests end. Lending them to others, or using them here, would run
+                // more requests than the limit allows.
+                let in_use = (reported.running - part.owned).max(0.0);
+                loan = loan.max(in_use.min(self.loans[resource].lent_to(peer, now))).round();
             }
-            self.loans[measure].grant(peer, wish, part, own, now)
+            self.loans[resource].grant(peer, loan, part, own, now)
         });
-        let mut granted = Amounts::from(granted);
+        let mut granted = LimitAmounts::from(granted);
         granted.running = granted.running.floor();
         granted
     }
 
-    /// Gives what may be used now.
+    /// Returns what may be used now.
     #[must_use]
-    pub fn usable(&self, part: Amounts, now: Tick) -> Amounts {
-        let parts = parts_of(part);
-        let usable = std::array::from_fn(|measure| self.loans[measure].usable(parts[measure], now));
-        Amounts::from(usable)
+    pub fn usable(&self, part: LimitAmounts, now: Tick) -> LimitAmounts {
+        let parts = resource_parts(part);
+        let usable = std::array::from_fn(|resource| self.loans[resource].usable(parts[resource], now));
+        LimitAmounts::from(usable)
     }
 }
 
-/// Position of the running requests among the measures.
-const RUNNING: usize = 2;
+/// Index of the concurrent requests among the resources.
+const CONCURRENT: usize = 2;
 
-fn parts_of(amounts: Amounts) -> [Part; 3] {
-    let [requests, tokens, running] = amounts.list();
-    [Part::rate(requests), Part::rate(tokens), Part::count(running)]
+fn resource_parts(amounts: LimitAmounts) -> [OwnedPart; 3] {
+    let [requests, tokens, running] = amounts.to_array();
+    [
+        OwnedPart::rate(requests),
+        OwnedPart::rate(tokens),
+        OwnedPart::count(running),
+    ]
 }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -1,100 +1,103 @@
-//! The load of one upstream: its last report, corrected by what was sent and answered since.
+//! Load estimate of one upstream: its latest report, corrected by the requests sent and ended since.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::Tick;
 
-/// Own dispatches and completions that are remembered; with more, the oldest no longer correct a report.
-const MAX_MOVES: usize = 512;
+/// Most recorded dispatches and completions; with more since a report, the oldest no longer correct it.
+const MAX_CHANGES: usize = 512;
 
-/// A load report.
+/// A load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Time at which the upstream measured it, on the own clock.
-    pub measured: Tick,
-    /// Requests that ran.
+pub struct LoadReport {
+    /// When the upstream measured it, by this host's clock.
+    pub measured_at: Tick,
+    /// Running requests.
     pub running: u32,
-    /// Requests that waited.
+    /// Waiting requests.
     pub waiting: u32,
     /// Used share of the KV cache, 0 to 1.
     pub kv_used: f32,
 }
 
-/// What is known of the load of one upstream.
+/// Estimates the load of one upstream from its reports and this entry host's own requests.
 #[derive(Clone, Debug, Default)]
 pub struct LoadEstimate {
-    report: Option<Report>,
+    report: Option<LoadReport>,
     running: u32,
-    moves: VecDeque<(Tick, i8)>,
+    changes: VecDeque<(Tick, i8)>,
 }
 
-/// The predicted load with what it rests on.
+/// A predicted load with the data behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Predicted {
-    /// Requests that run or wait there; absent without an unexpired report.
+pub struct PredictedLoad {
+    /// Requests that run or wait at the upstream; absent without an unexpired report.
     pub reported: Option<f64>,
-    /// Own requests there.
-    pub own: u32,
-    /// Age of the newest report, expired or not.
+    /// Requests of this entry host at the upstream.
+    pub own_requests: u32,
+    /// Age of the latest report, expired or not; absent if there was none.
     pub age: Option<Duration>,
 }
 
 impl LoadEstimate {
-    /// Notes a request that is sent.
+    /// Records a request sent to the upstream.
     pub fn sent(&mut self, now: Tick) {
         self.running += 1;
-        self.note(now, 1);
+        self.record_change(now, 1);
     }
 
-    /// Notes a request that ended.
+    /// Records the end of a request.
     pub fn ended(&mut self, now: Tick) {
         self.running = self.running.saturating_sub(1);
-        self.note(now, -1);
+        self.record_change(now, -1);
     }
 
-    /// Takes a report over unless a newer one is known; tells whether it did.
-    pub fn report(&mut self, report: Report) -> bool {
-        let newer = self.report.is_none_or(|before| before.measured < report.measured);
+    /// Applies a report unless a newer one is known; returns whether it was applied.
+    pub fn update(&mut self, report: LoadReport) -> bool {
+        let newer = self.report.is_none_or(|before| before.measured_at < report.measured_at);
         if newer {
             self.report = Some(report);
-            self.moves.retain(|(at, _)| *at > report.measured);
+            self.changes.retain(|(at, _)| *at > report.measured_at);
         }
         newer
     }
 
-    /// Gives the newest report.
+    /// Returns the latest report, expired or not.
     #[must_use]
-    pub const fn newest(&self) -> Option<Report> {
+    pub const fn newest(&self) -> Option<LoadReport> {
         self.report
     }
 
-    /// Predicts the load.
+    /// Predicts the load; reports older than `expiry` do not count.
     ///
-    /// The report speaks of the time at which the upstream measured it, not of that at which it came. Own requests
-    /// sent or ended after that are added and taken off; without this every entry host sends all it has to whichever
-    /// upstream was idle at the last report, and one sees bursts that wander from upstream to upstream.
+    /// A report describes the upstream at the time of measurement, not at its arrival. With `corrected`, own requests
+    /// sent or ended after the measurement are added or subtracted. Without the correction, every entry host sends all
+    /// requests to the upstream that was idle in the last report, and bursts move from upstream to upstream.
     #[must_use]
-    pub fn predict(&self, now: Tick, expiry: Duration, corrected: bool) -> Predicted {
-        let age = self.report.map(|report| now.since(report.measured));
-        let valid = self.report.filter(|report| now.since(report.measured) < expiry);
+    pub fn predict(&self, now: Tick, expiry: Duration, corrected: bool) -> PredictedLoad {
+        let age = self.report.map(|report| now.since(report.measured_at));
+        let valid = self.report.filter(|report| now.since(report.measured_at) < expiry);
         let reported = valid.map(|report| {
-            let since = self.moves.iter().filter(|(at, _)| corrected && *at > report.measured);
-            let change: f64 = since.map(|(_, by)| f64::from(*by)).sum();
+            let later = self
+                .changes
+                .iter()
+                .filter(|(at, _)| corrected && *at > report.measured_at);
+            let change: f64 = later.map(|(_, delta)| f64::from(*delta)).sum();
             let own = if corrected { f64::from(self.running) } else { 0.0 };
             (f64::from(report.running + report.waiting) + change).max(own)
         });
-        Predicted {
+        PredictedLoad {
             reported,
-            own: self.running,
+            own_requests: self.running,
             age,
         }
     }
 
-    fn note(&mut self, now: Tick, by: i8) {
-        if self.moves.len() >= MAX_MOVES {
-            self.moves.pop_front();
+    fn record_change(&mut self, now: Tick, delta: i8) {
+        if self.changes.len() >= MAX_CHANGES {
+            self.changes.pop_front();
         }
-        self.moves.push_back((now, by));
+        self.changes.push_back((now, delta));
     }
 }
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,63 +1,65 @@
-//! Which upstream a request goes to, by predicted time: the wait there and the prompt tokens that are not cached.
+//! Choice of the upstream for a request by predicted time: queueing plus prefill of the uncached prompt tokens.
 
 use std::cmp::Ordering;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::Tick;
-use crate::pace::{Rates, Reading};
+use crate::pace::{EngineRates, PrefillWork};
 
-/// Part of the longest pause of an answer in time for which an engine may read without making tokens: one event holds the
-/// tokens of several steps, and these come on top.
-const PAUSE: f64 = 0.67;
-/// Milliseconds of the caller's own wait that one millisecond beyond it weighs for each request that runs there. Replayed with
-/// 65 engines, plans that pause too long fall from 16 to 8 in 100 and questions from 13 to 5, while plans that begin late rise
-/// from 6.8 to 7.7; with half as much they are 9, 7 and 6.7.
-const HARM: f64 = 0.25;
-/// Part of the slots up to which an engine counts as not crowded. Beyond it a prompt may find no slot. With a half, hosts that
-/// read the same old reports left busy homes together and met elsewhere: of the consultations and plans of ninety and a
-/// hundred and twelve engines 79 and 63 in 100 began in time, with three quarters 82 and 67.
-const CROWDED: f64 = 0.75;
-/// Milliseconds that another data centre is taken to be farther; it breaks ties and saves traffic between them.
+/// Share of the longest allowed pause that a prefill may take: an event carries the tokens of several steps, and their
+/// time is added to the pause.
+const PAUSE_SHARE: f64 = 0.67;
+/// Cost of a millisecond by which a prefill exceeds the allowed pause, for each running request, in milliseconds of the
+/// new request's own wait. With a larger value more long prompts start late; with a smaller one more running answers
+/// pause for too long.
+const STALL_WEIGHT: f64 = 0.25;
+/// Share of the slots up to which an upstream counts as not crowded. With a larger value, prompts may find no free
+/// slot. With a smaller one, entry hosts that read the same outdated reports leave busy homes together and overload the
+/// same other upstreams.
+const CROWDED_FILL: f64 = 0.75;
+/// Extra cost of another data centre, in milliseconds. It breaks ties and saves traffic between data centres.
 const DISTANCE_MS: f64 = 2.0;
-/// How long a part of a prompt is believed to stay cached after its last use.
-const CACHED: Duration = Duration::from_mins(1);
-/// Parts of prompts that are remembered for one upstream; more than its cache holds at common sizes.
-const MAX_PARTS: usize = 4_096;
+/// Time after its last use for which a prompt part is assumed to be cached.
+const CACHE_TIME: Duration = Duration::from_mins(1);
+/// Most prompt parts recorded for one upstream; more than its cache holds at common sizes.
+const MAX_RECORDED_PARTS: usize = 4_096;
 
-/// One part of a prompt.
+/// A part of a prompt, which other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
-    /// Identifies it together with all parts before it.
+pub struct PromptPart {
+    /// Identifies the part together with all parts before it.
     pub key: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// The parts of prompts that an upstream is believed to hold.
+/// The prompt parts that an upstream is assumed to have cached.
 #[derive(Clone, Debug, Default)]
-pub struct Cached {
+pub struct CachedParts {
+    /// Time of the last use of each part, by key.
     used: HashMap<u64, Tick>,
+    /// All recorded uses, oldest first.
     order: VecDeque<(Tick, u64)>,
 }
 
-impl Cached {
-    /// Notes that the upstream has read a prompt.
-    pub fn store(&mut self, parts: &[Part], now: Tick) {
+impl CachedParts {
+    /// Records the parts of a prompt that the upstream has prefilled.
+    pub fn store(&mut self, parts: &[PromptPart], now: Tick) {
         for part in parts {
             self.used.insert(part.key, now);
             self.order.push_back((now, part.key));
         }
-        while self.order.len() > MAX_PARTS {
+        while self.order.len() > MAX_RECORDED_PARTS {
             self.forget_oldest();
         }
     }
 
-    /// Gives the tokens at the beginning of a prompt that the upstream holds.
+    /// Returns the number of tokens in the longest cached sequence of leading parts.
     #[must_use]
-    pub fn tokens(&self, parts: &[Part], now: Tick) -> u64 {
-        let held = |part: &&Part| self.used.get(&part.key).is_some_and(|at| now.since(*at) < CACHED);
-        parts.iter().take_while(held).map(|part| part.tokens).sum()
+    pub fn tokens(&self, parts: &[PromptPart], now: Tick) -> u64 {
+        let cached = |part: &&PromptPart| self.used.get(&part.key).is_some_and(|at| now.since(*at) < CACHE_TIME);
+        parts.iter().take_while(cached).map(|part| part.tokens).sum()
     }
 
     fn forget_oldest(&mut self) {
@@ -69,106 +71,113 @@
     }
 }
 
-/// An upstream that may take the request.
+/// An upstream that may serve the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Its number among the upstreams.
+    /// Index among the upstreams.
     pub at: usize,
-    /// Requests that run or wait there.
+    /// Running and waiting requests.
     pub load: f64,
-    /// Requests that run at once.
+    /// Most requests that run at once.
     pub slots: f64,
-    /// Prompt tokens that are cached there.
+    /// Prompt tokens that are assumed to be cached.
     pub cached: u64,
-    /// Weight of the rendezvous hash of prompt and upstream, on which all entry hosts agree.
+    /// Rendezvous hash of prompt and upstream, equal at all entry hosts; the highest marks the home.
     pub weight: u64,
-    /// Whether it stands in the own data centre.
+    /// Whether the upstream is in the data centre of this host.
     pub near: bool,
-    /// Milliseconds of work that goes before, as far as known: prompts that were sent there and are not read yet.
+    /// Known work queued before the request, in milliseconds: prompts sent there and not prefilled yet.
     pub backlog_ms: f64,
-    /// What it takes to read a prompt.
-    pub rates: Rates,
+    /// Estimated times of the engine.
+    pub rates: EngineRates,
 }
 
 impl Candidate {
-    /// Gives what a prompt of so many tokens asks of it.
+    /// Returns the prefill work of a prompt of `tokens` tokens at this upstream.
     #[must_use]
-    pub fn reading(&self, tokens: u64) -> Reading {
-        Reading {
+    pub fn prefill(&self, tokens: u64) -> PrefillWork {
+        PrefillWork {
             cached: self.cached,
             fresh: tokens.saturating_sub(self.cached),
         }
     }
 }
 
-/// What is predicted for one upstream.
+/// The prediction for one upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Predicted {
-    /// The upstream's number.
+pub struct Prediction {
+    /// Index of the upstream.
     pub at: usize,
-    /// Milliseconds until the answer begins.
+    /// Time to first event, in milliseconds.
     pub ms: f64,
-    /// Milliseconds of them in which the prompt is read.
-    pub reading_ms: f64,
-    /// Milliseconds of them for what goes before.
-    pub before_ms: f64,
-    /// Milliseconds that weigh against it besides: requests that run there get no tokens while a long prompt is read.
-    pub harm_ms: f64,
-    /// Whether it takes the request without queueing it.
-    pub free: bool,
+    /// Part of the time that is prefill of the prompt, in milliseconds.
+    pub prefill_ms: f64,
+    /// Part of the time that is work queued before the request, in milliseconds.
+    pub backlog_ms: f64,
+    /// Extra cost for the requests that run there, which get no tokens during a long prefill, in milliseconds.
+    pub stall_ms: f64,
+    /// Whether the request finds a free slot.
+    pub has_slot: bool,
 }
 
-/// What is asked of an upstream.
+/// What a request needs from an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Wish {
-    /// Tokens of the prompt.
+pub struct PromptNeed {
+    /// Prompt length in tokens.
     pub tokens: u64,
-    /// Milliseconds of the longest pause of an answer in time; endless where the answer comes whole.
-    pub pause_ms: f64,
+    /// Longest pause between two events that running answers may have, in milliseconds; infinite for answers sent as a
+    /// whole.
+    pub max_pause_ms: f64,
 }
 
-/// Predicts the time until an upstream answers.
+/// Predicts the time until an upstream begins its answer.
 #[must_use]
-pub fn predict(option: &Candidate, wish: Wish) -> Predicted {
-    let Wish { tokens, pause_ms } = wish;
-    let slots = option.slots.max(1.0);
-    let queued = (option.load + 1.0 - slots).max(0.0);
-    let filled = (option.load / slots).min(1.0);
-    // Prompts go to their home as long as it is not crowded. Reports are as old as two beats, and many entry hosts read the
-    // same ones: if small differences counted, all of them would send to whichever was idle then.
+pub fn predict(candidate: &Candidate, need: PromptNeed) -> Prediction {
+    let PromptNeed { tokens, max_pause_ms } = need;
+    let slots = candidate.slots.max(1.0);
+    let queued = (candidate.load + 1.0 - slots).max(0.0);
+    let filled = (candidate.load / slots).min(1.0);
+    // Prompts go to their home unless it is crowded. Reports are up to two heartbeats old, and many entry hosts read
+    // the same ones: if small differences counted, all of them would send to the upstream that was idle then.
     let crowd = if tokens == 0 {
         filled
     } else {
-        ((filled - CROWDED) / (1.0 - CROWDED)).max(0.0)
+        ((filled - CROWDED_FILL) / (1.0 - CROWDED_FILL)).max(0.0)
     };
-    let reading_ms = option.rates.reading_ms(option.reading(tokens));
-    // Until one of the slots is free; a crowded upstream may be full when the request comes.
-    let slot_ms = option.rates.run_ms / slots;
-    let ms = reading_ms * (1.0 + crowd)
+    let prefill_ms = candidate.rates.prefill_ms(candidate.prefill(tokens));
+    // Time until one of the slots becomes free; a crowded upstream may be full when the request arrives.
+    let slot_ms = candidate.rates.run_ms / slots;
+    let ms = prefill_ms * (1.0 + crowd)
         + (crowd * crowd + queued) * slot_ms
-        + if option.near { 0.0 } else { DISTANCE_MS }
-        + option.backlog_ms;
-    let held_up = (option.backlog_ms + reading_ms - pause_ms * PAUSE).max(0.0);
-    Predicted {
-        at: option.at,
+        + if candidate.near { 0.0 } else { DISTANCE_MS }
+        + candidate.backlog_ms;
+    let excess_ms = (candidate.backlog_ms + prefill_ms - max_pause_ms * PAUSE_SHARE).max(0.0);
+    Prediction {
+        at: candidate.at,
         ms,
-        reading_ms,
-        before_ms: option.backlog_ms,
-        harm_ms: held_up * option.load * HARM,
-        free: queued == 0.0,
+        prefill_ms,
+        backlog_ms: candidate.backlog_ms,
+        stall_ms: excess_ms * candidate.load * STALL_WEIGHT,
+        has_slot: queued == 0.0,
     }
 }
 
-/// Gives the upstream with the lowest predicted time and harm; of those that differ by little, the one with the highest weight.
+/// Returns the upstream with the lowest predicted time and stall cost. Among those within `close_ms` of it, the highest
+/// weight wins.
 #[must_use]
-pub fn choose(options: &[Candidate], wish: Wish, close_ms: f64) -> Option<Predicted> {
-    let predicted: Vec<(Predicted, u64)> = options
+pub fn choose(candidates: &[Candidate], need: PromptNeed, close_ms: f64) -> Option<Prediction> {
+    let predictions: Vec<(Prediction, u64)> = candidates
         .iter()
-        .map(|option| (predict(option, wish), option.weight))
+        .map(|candidate| (predict(candidate, need), candidate.weight))
         .collect();
-    let cost = |one: &Predicted| one.ms + one.harm_ms;
-    let least = predicted.iter().map(|(one, _)| cost(one)).min_by(f64::total_cmp)?;
-    let close = predicted.iter().filter(|(one, _)| cost(one) <= least + close_ms);
-    let best = close.max_by(|(_, a), (_, b)| a.cmp(b).then(Ordering::Equal));
-    best.map(|(one, _)| *one)
+    let cost = |prediction: &Prediction| prediction.ms + prediction.stall_ms;
+    let lowest = predictions
+        .iter()
+        .map(|(prediction, _)| cost(prediction))
+        .min_by(f64::total_cmp)?;
+    let near_lowest = predictions
+        .iter()
+        .filter(|(prediction, _)| cost(prediction) <= lowest + close_ms);
+    let best = near_lowest.max_by(|(_, a), (_, b)| a.cmp(b).then(Ordering::Equal));
+    best.map(|(prediction, _)| *prediction)
 }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,8 +1,8 @@
-//! The plan of capacity: which hosts to start and which to drain, as a pure function of what is known.
+//! Capacity plan: which hosts to start and which to drain, as a pure function of the current state.
 //!
-//! The hosts of a model are spread so that the loss of any one zone leaves what its contracts need. Reclaimable hosts
-//! come first since they are cheap; on-demand hosts are the floor that no reclaim takes. What operators said goes before
-//! everything else.
+//! The hosts of a model are spread so that the loss of any one zone leaves enough for its contracts. Reclaimable hosts
+//! are preferred since they are cheap; on-demand hosts are a floor that no reclaim removes. Operator rules take
+//! precedence over everything else.
 
 mod backoff;
 mod queue;
@@ -13,59 +13,59 @@
 use derive_more::Display;
 
 pub use backoff::Backoff;
-pub use queue::{Load, next_loads};
+pub use queue::{WeightLoad, next_loads};
 
-/// Most steps for one model in one plan; more are taken by the next.
-const MOST_STEPS: usize = 64;
+/// Most starts for one model in one plan; the next plan adds more.
+const MAX_STARTS: usize = 64;
 
-/// How a plan is made.
+/// Parameters of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct ScalingRules {
     /// Requests that one host runs at once within its targets.
     pub slots: u32,
     /// Factor on the busy slots up to which hosts are started.
     pub grow: f64,
-    /// Factor on the busy slots above which hosts are drained; larger than the other one, so that a load between the
-    /// two changes nothing and hosts don't come and go with every wave of requests.
+    /// Factor on the busy slots above which hosts are drained. It is larger than `grow`: a load between the two changes
+    /// nothing, so hosts are not started and drained with every fluctuation of the load.
     pub shrink: f64,
 }
 
-/// What a model needs.
+/// Demand for a model.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Need {
-    /// The model.
+pub struct ModelNeed {
+    /// Its name, as in the contracts.
     pub model: ModelName,
-    /// Requests that run or wait now.
+    /// Running and waiting requests.
     pub busy: f64,
-    /// Requests that its contracts may have at once at any time; on-demand hosts carry these.
-    pub floor: u32,
+    /// Concurrent requests that the contracts guarantee; on-demand hosts serve these.
+    pub guaranteed: u32,
 }
 
-/// A host that is held; those that leave or are drained aren't.
+/// A host that is kept; hosts that leave or are drained are not listed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
-    /// The host.
+pub struct HeldHost {
+    /// Its id, which a drain step names.
     pub host: HostId,
-    /// Its model.
+    /// The model it serves.
     pub model: ModelName,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: Zone,
     /// Whether it can be reclaimed.
     pub class: MachineClass,
-    /// Its price.
+    /// Price in micro-dollars an hour.
     pub price: u64,
-    /// Requests that run or wait there.
+    /// Running and waiting requests.
     pub busy: f64,
 }
 
-/// Where hosts can be started.
+/// A zone and machine class in which hosts can be started.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pool {
-    /// The zone.
+pub struct HostPool {
+    /// The zone, which may be lost as a whole.
     pub zone: Zone,
-    /// Whether hosts there can be reclaimed.
+    /// Whether its hosts can be reclaimed.
     pub class: MachineClass,
-    /// Price of a host.
+    /// Price of a host in micro-dollars an hour.
     pub price: u64,
     /// Whether a start may be tried now.
     pub open: bool,
@@ -77,38 +77,38 @@
     /// Starts a host.
     #[display("start {class} host in {zone} for {model}: {why}")]
     Start {
-        /// Its model.
+        /// The model it will serve.
         model: ModelName,
-        /// Its zone.
+        /// The zone to start it in.
         zone: Zone,
         /// Whether it can be reclaimed.
         class: MachineClass,
-        /// What it's for.
-        why: Why,
+        /// Why it is started.
+        why: StepReason,
     },
-    /// Drains a host; it's stopped when nothing runs there any more.
+    /// Drains a host, which is stopped once nothing runs on it.
     #[display("drain {host}: {why}")]
     Drain {
-        /// The host.
+        /// The host to drain.
         host: HostId,
-        /// What for.
-        why: Why,
+        /// Why it is drained.
+        why: StepReason,
     },
 }
 
 /// Why a step is taken.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Why {
-    /// An operator said so.
+pub enum StepReason {
+    /// An operator's rule asks for it.
     #[display("an operator's rule")]
     Rule,
-    /// The contracts' floor of on-demand hosts.
+    /// The contracts guarantee it with on-demand hosts.
     #[display("the contracts' floor")]
     Floor,
-    /// There is more work than hosts.
+    /// The load needs more hosts.
     #[display("load")]
     Load,
-    /// The loss of one zone would leave too little.
+    /// The loss of one zone would leave too few hosts.
     #[display("the loss of a zone")]
     Spread,
     /// There are more hosts than needed.
@@ -116,20 +116,20 @@
     Surplus,
 }
 
-/// Makes the plan; hosts are only drained for lack of work while it's calm, which means some time after the last step.
+/// Makes the plan. Surplus hosts are only drained while `calm`, that is some time after the last step.
 #[must_use]
 pub fn plan(
-    needs: &[Need],
-    held: &[Held],
-    pools: &[Pool],
-    said: &BTreeMap<String, HostRule>,
-    rules: &Rules,
+    needs: &[ModelNeed],
+    held: &[HeldHost],
+    pools: &[HostPool],
+    operator_rules: &BTreeMap<String, HostRule>,
+    rules: &ScalingRules,
     calm: bool,
 ) -> Vec<Step> {
     let mut steps = Vec::new();
     for need in needs {
-        let mut model = Model::new(need, held, pools, said, rules);
-        steps.extend(model.exceeding());
+        let mut model = Model::new(need, held, pools, operator_rules, rules);
+        steps.extend(model.drain_excess());
         steps.extend(model.grow());
         if calm && steps.is_empty() {
             steps.extend(model.shrink());
@@ -140,58 +140,61 @@
 
 /// The hosts of one model while its plan is made.
 struct Model<'a> {
-    need: &'a Need,
-    held: Vec<&'a Held>,
+    need: &'a ModelNeed,
+    held: Vec<&'a HeldHost>,
     started: Vec<(Zone, MachineClass)>,
-    pools: &'a [Pool],
-    said: Vec<&'a HostRule>,
-    rules: &'a Rules,
+    pools: &'a [HostPool],
+    operator_rules: Vec<&'a HostRule>,
+    rules: &'a ScalingRules,
 }
 
 impl<'a> Model<'a> {
     fn new(
-        need: &'a Need,
-        held: &'a [Held],
-        pools: &'a [Pool],
-        said: &'a BTreeMap<String, HostRule>,
-        rules: &'a Rules,
+        need: &'a ModelNeed,
+        held: &'a [HeldHost],
+        pools: &'a [HostPool],
+        operator_rules: &'a BTreeMap<String, HostRule>,
+        rules: &'a ScalingRules,
     ) -> Self {
         Self {
             need,
-            held: held.iter().filter(|one| one.model == need.model).collect(),
+            held: held.iter().filter(|host| host.model == need.model).collect(),
             started: Vec::new(),
             pools,
-            said: said.values().filter(|rule| rule.model == need.model).collect(),
+            operator_rules: operator_rules
+                .values()
+                .filter(|rule| rule.model == need.model)
+                .collect(),
             rules,
         }
     }
 
-    fn places(&self) -> impl Iterator<Item = (&Zone, MachineClass)> {
-        let held = self.held.iter().map(|one| (&one.zone, one.class));
+    fn locations(&self) -> impl Iterator<Item = (&Zone, MachineClass)> {
+        let held = self.held.iter().map(|host| (&host.zone, host.class));
         held.chain(self.started.iter().map(|(zone, class)| (zone, *class)))
     }
 
     fn total(&self) -> u32 {
-        self.places().count() as u32
+        self.locations().count() as u32
     }
 
     fn in_zone(&self, zone: &Zone) -> u32 {
-        self.places().filter(|(other, _)| *other == zone).count() as u32
+        self.locations().filter(|(other, _)| *other == zone).count() as u32
     }
 
     fn in_pool(&self, zone: &Zone, class: MachineClass) -> u32 {
-        self.places().filter(|place| *place == (zone, class)).count() as u32
+        self.locations().filter(|location| *location == (zone, class)).count() as u32
     }
 
     fn on_demand(&self) -> u32 {
-        self.places()
+        self.locations()
             .filter(|(_, class)| *class == MachineClass::OnDemand)
             .count() as u32
     }
 
-    /// Gives the hosts that stay when the fullest zone is lost.
+    /// Returns the number of hosts that remain after the loss of the fullest zone.
     fn after_loss(&self) -> u32 {
-        let most = self.places().map(|(zone, _)| self.in_zone(zone)).max();
+        let most = self.locations().map(|(zone, _)| self.in_zone(zone)).max();
         self.total() - most.unwrap_or_default()
     }
 
@@ -200,45 +203,48 @@
     }
 
     fn floor(&self) -> u32 {
-        self.hosts_for(f64::from(self.need.floor))
+        self.hosts_for(f64::from(self.need.guaranteed))
     }
 
-    /// Gives the hosts that must be there also without any one zone.
-    fn base(&self) -> u32 {
+    /// Returns the number of hosts that must remain after the loss of any one zone.
+    fn required(&self) -> u32 {
         self.hosts_for(self.need.busy).max(self.floor())
     }
 
-    fn want(&self, factor: f64) -> u32 {
-        self.hosts_for(self.need.busy * factor).max(self.base())
+    fn wanted(&self, factor: f64) -> u32 {
+        self.hosts_for(self.need.busy * factor).max(self.required())
     }
 
     fn rule(&self, zone: &Zone, class: MachineClass) -> Option<&'a HostRule> {
-        let fits = |rule: &&&HostRule| rule.zone == *zone && rule.class == class;
-        self.said.iter().find(fits).copied()
+        let matches_pool = |rule: &&&HostRule| rule.zone == *zone && rule.class == class;
+        self.operator_rules.iter().find(matches_pool).copied()
     }
 
-    fn may_add(&self, pool: &Pool) -> bool {
+    fn may_add(&self, pool: &HostPool) -> bool {
         let room = |rule: &HostRule| self.in_pool(&pool.zone, pool.class) < rule.most;
         pool.open && self.rule(&pool.zone, pool.class).is_none_or(room)
     }
 
-    fn may_remove(&self, host: &Held) -> bool {
+    fn may_remove(&self, host: &HeldHost) -> bool {
         let spare = |rule: &HostRule| self.in_pool(&host.zone, host.class) > rule.least;
         self.rule(&host.zone, host.class).is_none_or(spare)
     }
 
-    /// Drains what an operator allows no more.
-    fn exceeding(&mut self) -> Vec<Step> {
+    /// Drains the hosts beyond an operator's limits.
+    fn drain_excess(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
-        for rule in self.said.clone() {
+        for rule in self.operator_rules.clone() {
             while self.in_pool(&rule.zone, rule.class) > rule.most {
-                let inside = |one: &Held| one.zone == rule.zone && one.class == rule.class;
+                let matches_rule = |host: &HeldHost| host.zone == rule.zone && host.class == rule.class;
                 let idlest = (0..self.held.len())
-                    .filter(|at| inside(self.held[*at]))
+                    .filter(|at| matches_rule(self.held[*at]))
                     .min_by(|a, b| self.held[*a].busy.total_cmp(&self.held[*b].busy));
                 let Some(at) = idlest else { break };
                 let host = self.held.remove(at).host.clone();
-                steps.push(Step::Drain { host, why: Why::Rule });
+                steps.push(Step::Drain {
+                    host,
+                    why: StepReason::Rule,
+                });
             }
         }
         steps
@@ -246,7 +252,7 @@
 
     fn grow(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
-        while steps.len() < MOST_STEPS
+        while steps.len() < MAX_STARTS
             && let Some((zone, class, why)) = self.next_start()
         {
             self.started.push((zone.clone(), class));
@@ -261,47 +267,47 @@
         steps
     }
 
-    fn next_start(&self) -> Option<(Zone, MachineClass, Why)> {
-        let short = |pool: &&Pool| {
+    fn next_start(&self) -> Option<(Zone, MachineClass, StepReason)> {
+        let below_rule = |pool: &&HostPool| {
             let rule = self.rule(&pool.zone, pool.class);
             pool.open && rule.is_some_and(|rule| self.in_pool(&pool.zone, pool.class) < rule.least)
         };
-        if let Some(pool) = self.pools.iter().find(short) {
-            return Some((pool.zone.clone(), pool.class, Why::Rule));
+        if let Some(pool) = self.pools.iter().find(below_rule) {
+            return Some((pool.zone.clone(), pool.class, StepReason::Rule));
         }
         if self.on_demand() < self.floor()
             && let Some(zone) = self.best(MachineClass::OnDemand)
         {
-            return Some((zone, MachineClass::OnDemand, Why::Floor));
+            return Some((zone, MachineClass::OnDemand, StepReason::Floor));
         }
-        let loses = self.after_loss() < self.base();
-        let why = if self.total() < self.want(self.rules.grow) {
-            Why::Load
-        } else if loses {
-            Why::Spread
+        let lacks_spread = self.after_loss() < self.required();
+        let why = if self.total() < self.wanted(self.rules.grow) {
+            StepReason::Load
+        } else if lacks_spread {
+            StepReason::Spread
         } else {
             return None;
         };
-        // Dear hosts stand in for refused cheap ones only as far as targets are at stake.
-        let at_stake = self.total() < self.base() || loses;
-        let cheap = self
+        // Expensive hosts replace refused cheap ones only as far as targets are at risk.
+        let targets_at_risk = self.total() < self.required() || lacks_spread;
+        let reclaimable = self
             .best(MachineClass::Reclaimable)
             .map(|zone| (zone, MachineClass::Reclaimable));
-        let dear = || self.best(MachineClass::OnDemand).filter(|_| at_stake);
-        let (zone, class) = cheap.or_else(|| dear().map(|zone| (zone, MachineClass::OnDemand)))?;
-        let helps = why != Why::Spread || self.spreads_with(&zone);
+        let on_demand = || self.best(MachineClass::OnDemand).filter(|_| targets_at_risk);
+        let (zone, class) = reclaimable.or_else(|| on_demand().map(|zone| (zone, MachineClass::OnDemand)))?;
+        let helps = why != StepReason::Spread || self.spreads_with(&zone);
         helps.then_some((zone, class, why))
     }
 
-    /// Tells whether hosts in a zone can make the loss of the fullest one smaller: in the fullest zone itself only when
-    /// another zone can follow.
+    /// Returns whether more hosts in `zone` can reduce the loss of the fullest zone. In the fullest zone itself they
+    /// can only if another zone can get hosts afterwards.
     fn spreads_with(&self, zone: &Zone) -> bool {
         let fullest = self.total() - self.after_loss();
-        let follows = |pool: &Pool| pool.zone != *zone && self.may_add(pool);
+        let follows = |pool: &HostPool| pool.zone != *zone && self.may_add(pool);
         self.in_zone(zone) < fullest || self.pools.iter().any(follows)
     }
 
-    /// Gives the zone with the fewest hosts of the model, the cheapest among equal ones.
+    /// Returns the zone with the fewest hosts of the model; of equals, the cheapest.
     fn best(&self, class: MachineClass) -> Option<Zone> {
         let open = self
             .pools
@@ -311,30 +317,30 @@
         Some(best.zone.clone())
     }
 
-    /// Drains one host that isn't needed: the dearest, in the fullest zone, with the least to do.
+    /// Drains one surplus host: the most expensive, then in the fullest zone, then the least busy.
     fn shrink(&self) -> Option<Step> {
-        let mut spare: Vec<&Held> = self.held.iter().copied().filter(|one| self.is_spare(one)).collect();
+        let mut spare: Vec<&HeldHost> = self.held.iter().copied().filter(|host| self.is_spare(host)).collect();
         spare.sort_by(|a, b| {
-            let zone = |one: &Held| self.in_zone(&one.zone);
+            let zone = |host: &HeldHost| self.in_zone(&host.zone);
             let order = b.price.cmp(&a.price).then(zone(b).cmp(&zone(a)));
             order.then(a.busy.total_cmp(&b.busy))
         });
         let host = spare.first()?.host.clone();
-        let why = Why::Surplus;
+        let why = StepReason::Surplus;
         Some(Step::Drain { host, why })
     }
 
-    fn is_spare(&self, host: &Held) -> bool {
+    fn is_spare(&self, host: &HeldHost) -> bool {
         let mut rest = Model {
             held: self.held.clone(),
             started: self.started.clone(),
-            said: self.said.clone(),
+            operator_rules: self.operator_rules.clone(),
             ..*self
         };
-        rest.held.retain(|one| one.host != host.host);
+        rest.held.retain(|other| other.host != host.host);
         self.may_remove(host)
-            && rest.total() >= self.want(self.rules.shrink)
-            && (rest.after_loss() >= self.base() || rest.after_loss() == self.after_loss())
+            && rest.total() >= self.wanted(self.rules.shrink)
+            && (rest.after_loss() >= self.required() || rest.after_loss() == self.after_loss())
             && rest.on_demand() >= self.floor().min(self.on_demand())
     }
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,56 +1,57 @@
-//! An entry host's part of a client account's quota.
+//! An entry host's share of a client account's quota.
 
 use crate::Tick;
 
-/// Part of the burst that must be there for a request that is larger than it. A larger request than the whole burst would
-/// else never be let in; what it takes too much is paid back before the next one.
-const LARGE: f64 = 0.5;
+/// Share of the burst that must be available for a request larger than it. Otherwise a request larger than the whole
+/// burst could never be admitted; the bucket then goes below zero, which delays the next requests.
+const MIN_FILL_SHARE: f64 = 0.5;
 
-/// Part of a burst that is there at the start. All processes of a system may be restarted twice in the window in which a
-/// quota is kept before this is more than what the bounds leave.
-const FIRST: f64 = 0.4;
+/// Share of the burst that is available at the start. All processes of a system may be restarted twice within the
+/// window of a quota before this exceeds the slack.
+const INITIAL_SHARE: f64 = 0.4;
 
-/// A bucket that fills at the account's rate times the own part.
+/// A token bucket that fills at the rate of the entry host's share.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     units: f64,
-    at: Tick,
-    /// Units a second.
+    updated: Tick,
+    /// Units per second.
     rate: f64,
-    /// Most units that are saved up.
+    /// Most units that can be saved up.
     burst: f64,
-    /// Units that came while it was full, since the start.
-    spare: f64,
+    /// Units that arrived while the bucket was full, since the start.
+    overflow: f64,
 }
 
-/// A request that is over the quota.
+/// A request that exceeds the quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Over {
-    /// Seconds until there is room for it.
+pub struct OverQuota {
+    /// Seconds until there is room for the request.
     pub wait_s: f64,
-    /// Units that are saved up; below zero what a large request before has taken too much.
-    pub saved: f64,
-    /// Units a second.
+    /// Units in the bucket; negative after a request larger than its contents.
+    pub balance: f64,
+    /// Units per second at which the bucket fills.
     pub rate: f64,
 }
 
 impl Bucket {
-    /// Makes a bucket that holds a part of a burst at the start.
+    /// Creates a bucket with a part of its burst.
     ///
-    /// A process that was restarted must not own again what its forerunner spent. But if it began with nothing, a restart
-    /// of all processes would refuse for seconds what is within every quota: after a loss of power one request in two.
+    /// A restarted process must not spend again what its predecessor spent. But with an empty bucket, a restart of all
+    /// processes would refuse requests within their quota for seconds: after a power loss, it refused every second
+    /// request.
     #[must_use]
     pub fn new(burst: f64, now: Tick) -> Self {
         Self {
-            units: burst * FIRST,
-            at: now,
+            units: burst * INITIAL_SHARE,
+            updated: now,
             rate: 0.0,
             burst,
-            spare: 0.0,
+            overflow: 0.0,
         }
     }
 
-    /// Changes rate and burst; what is saved up beyond the new burst is lost.
+    /// Changes rate and burst; saved units beyond the new burst are lost.
     pub fn set(&mut self, rate: f64, burst: f64, now: Tick) {
         self.fill(now);
         self.rate = rate;
@@ -58,18 +59,18 @@
         self.units = self.units.min(burst);
     }
 
-    /// Takes a request's units.
+    /// Takes the units of a request. A request larger than the burst may overdraw the bucket.
     ///
     /// # Errors
-    /// Tells how long the request would have to wait when there is no room for it.
-    pub fn take(&mut self, units: f64, now: Tick) -> Result<(), Over> {
+    /// Returns the time to wait if there is no room for the request.
+    pub fn take(&mut self, units: f64, now: Tick) -> Result<(), OverQuota> {
         self.fill(now);
-        let needed = units.min(self.burst * LARGE);
+        let needed = units.min(self.burst * MIN_FILL_SHARE);
         if self.units < needed || self.rate <= 0.0 {
             let wait_s = (needed - self.units) / self.rate.max(f64::MIN_POSITIVE);
-            return Err(Over {
+            return Err(OverQuota {
                 wait_s,
-                saved: self.units,
+                balance: self.units,
                 rate: self.rate,
             });
         }
@@ -77,39 +78,39 @@
         Ok(())
     }
 
-    /// Takes a request's units only if all of them are saved up.
+    /// Takes the units of a request only if all of them are in the bucket.
     ///
     /// # Errors
-    /// Tells how long the request would have to wait when there is no room for it.
-    pub fn take_whole(&mut self, units: f64, now: Tick) -> Result<(), Over> {
+    /// Returns the time to wait if there is no room for the request.
+    pub fn take_whole(&mut self, units: f64, now: Tick) -> Result<(), OverQuota> {
         self.fill(now);
         if self.units >= units {
             self.units -= units;
             return Ok(());
         }
-        Err(Over {
+        Err(OverQuota {
             wait_s: (units.min(self.burst) - self.units) / self.rate.max(f64::MIN_POSITIVE),
-            saved: self.units,
+            balance: self.units,
             rate: self.rate,
         })
     }
 
-    /// Gives back the units of a request that no upstream ran.
-    pub fn give_back(&mut self, units: f64) {
+    /// Returns the units of a request that no upstream ran to the bucket.
+    pub fn refund(&mut self, units: f64) {
         self.units = (self.units + units).min(self.burst);
     }
 
-    /// Gives the units that came while it was full, since the start; whoever shares the quota may use them.
+    /// Returns the units that arrived while the bucket was full, since the start; other entry hosts may use them.
     #[must_use]
-    pub const fn spare(&self) -> f64 {
-        self.spare
+    pub const fn overflow(&self) -> f64 {
+        self.overflow
     }
 
     fn fill(&mut self, now: Tick) {
-        let passed = now.since(self.at).as_secs_f64();
-        let filled = self.units + passed * self.rate;
+        let elapsed = now.since(self.updated).as_secs_f64();
+        let filled = self.units + elapsed * self.rate;
         self.units = filled.min(self.burst);
-        self.spare += filled - self.units;
-        self.at = now;
+        self.overflow += filled - self.units;
+        self.updated = now;
     }
 }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -1,8 +1,8 @@
-//! Reclaims of which engines tell before the list does.
+//! Reclaims that engines report before the upstream list shows them.
 //!
-//! Where a notice comes one second before the end and the list lags by eight tenths, streams are lost before anybody has heard
-//! of it. Engines tell of their own end at once. All reclaimable upstreams of a data centre are taken away together, so that two
-//! of them speak for all, and asking one is enough while nothing happens.
+//! A reclaim notice may come one second before the end while the list lags by 0.8 seconds, so streams would be lost
+//! before anyone knows. Engines report their own end at once. All reclaimable upstreams of a data centre are reclaimed
+//! together, so two reports stand for all of them, and probing one engine is enough while nothing happens.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,73 +11,75 @@
 
 use crate::Tick;
 
-/// How long the list may go on showing upstreams as ready after engines told of a reclaim; it lags by up to a second and is
-/// read twice a second. Afterwards the list is right.
-const AHEAD: Duration = Duration::from_millis(1_600);
+/// Time for which a reported reclaim overrides the list: the list lags by up to a second and is read twice a second.
+const LIST_LAG: Duration = Duration::from_millis(1_600);
 
-/// Reclaimable upstreams that are taken away together.
-pub type Group = (ServiceName, Zone);
+/// Reclaimable upstreams that are reclaimed together.
+pub type ReclaimGroup = (ServiceName, Zone);
 
-/// The reclaims that the list may not show yet.
+/// Reclaims that the list may not show yet.
 #[derive(Clone, Debug, Default)]
-pub struct Reclaims {
-    told: BTreeMap<Group, Told>,
+pub struct ReportedReclaims {
+    reports: BTreeMap<ReclaimGroup, Report>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    at: Tick,
+struct Report {
+    reported: Tick,
     ends: Tick,
 }
 
-impl Reclaims {
-    /// Notes a reclaim that engines told of.
-    pub fn note(&mut self, group: Group, ends: Tick, now: Tick) {
-        self.told.entry(group).or_insert(Told { at: now, ends });
+impl ReportedReclaims {
+    /// Records a reclaim that was reported by engines; `ends` is the announced end.
+    pub fn record(&mut self, group: ReclaimGroup, ends: Tick, now: Tick) {
+        self.reports.entry(group).or_insert(Report { reported: now, ends });
     }
 
-    /// Tells whether a reclaim was told of lately.
+    /// Returns whether a reclaim of the group was reported lately.
     #[must_use]
-    pub fn knows(&self, group: &Group, now: Tick) -> bool {
-        self.told.get(group).is_some_and(|told| told.is_ahead(now))
+    pub fn contains(&self, group: &ReclaimGroup, now: Tick) -> bool {
+        self.reports.get(group).is_some_and(|report| report.is_current(now))
     }
 
-    /// Marks upstreams as leaving that a list which was asked for at a time does not show as leaving yet.
-    pub fn apply(&mut self, list: &mut [Listed], asked: Tick) {
-        self.told.retain(|_, told| told.is_ahead(asked));
-        for one in list.iter_mut().filter(|one| one.reclaimable && !one.leaving) {
-            if let Some(told) = self.told.get(&group(one)) {
-                one.leaving = true;
-                one.left = Some(told.ends.since(asked));
+    /// Marks the upstreams of reported reclaims as leaving in a list; `requested` is when the list was requested.
+    pub fn apply(&mut self, list: &mut [Listed], requested: Tick) {
+        self.reports.retain(|_, report| report.is_current(requested));
+        for upstream in list
+            .iter_mut()
+            .filter(|upstream| upstream.reclaimable && !upstream.leaving)
+        {
+            if let Some(report) = self.reports.get(&group_of(upstream)) {
+                upstream.leaving = true;
+                upstream.left = Some(report.ends.since(requested));
             }
         }
     }
 }
 
-impl Told {
-    fn is_ahead(&self, now: Tick) -> bool {
-        now.since(self.at) < AHEAD
+impl Report {
+    fn is_current(&self, now: Tick) -> bool {
+        now.since(self.reported) < LIST_LAG
     }
 }
 
-fn group(one: &Listed) -> Group {
-    (one.service.clone(), one.zone.clone())
+fn group_of(upstream: &Listed) -> ReclaimGroup {
+    (upstream.service.clone(), upstream.zone.clone())
 }
 
-/// Gives the upstreams of each group that are asked in a turn: the first, and the one that must say the same. The turns go
-/// round, so that one engine that does not answer hides nothing for long.
+/// Returns the upstreams of each group to probe in a turn: the first, and a second one that must confirm its report.
+/// They rotate with the turn, so that an engine that hangs does not hide a reclaim for long.
 #[must_use]
-pub fn witnesses(list: &[Listed], turn: usize) -> Vec<(Group, Vec<&Listed>)> {
-    let mut groups: BTreeMap<Group, Vec<&Listed>> = BTreeMap::new();
-    for one in list.iter().filter(|one| one.reclaimable && !one.leaving) {
-        groups.entry(group(one)).or_default().push(one);
+pub fn engines_to_probe(list: &[Listed], turn: usize) -> Vec<(ReclaimGroup, Vec<&Listed>)> {
+    let mut groups: BTreeMap<ReclaimGroup, Vec<&Listed>> = BTreeMap::new();
+    for upstream in list.iter().filter(|upstream| upstream.reclaimable && !upstream.leaving) {
+        groups.entry(group_of(upstream)).or_default().push(upstream);
     }
     groups
         .into_iter()
-        .map(|(group, all)| (group, two(&all, turn)))
+        .map(|(group, all)| (group, pair(&all, turn)))
         .collect()
 }
 
-fn two<'a>(all: &[&'a Listed], turn: usize) -> Vec<&'a Listed> {
+fn pair<'a>(all: &[&'a Listed], turn: usize) -> Vec<&'a Listed> {
     (0..all.len().min(2)).map(|at| all[(turn + at) % all.len()]).collect()
 }
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -1,7 +1,7 @@
-//! The choice of an upstream for one attempt.
+//! Choice of an upstream for one attempt of a request.
 //!
-//! A [`Group`] holds everything that serves one model or service and gives a bounded set of candidates for a request;
-//! [`choose`] ranks them and leaves a [`Choice`] that tells why.
+//! An [`UpstreamGroup`] holds the upstreams of one model or service and proposes a bounded set of candidates for a
+//! request. [`choose`] ranks them and returns a [`Choice`], which records why.
 
 mod cost;
 mod group;
@@ -10,13 +10,13 @@
 use derive_more::{Display, Error, FromStr};
 use serde::{Deserialize, Serialize};
 
-pub use cost::{Cost, Rates};
-pub use group::{CANDIDATES, Group, HOMES, Place, Proposed, Reason, Target};
-pub use record::{Barred, Choice, Lost, Weighed};
+pub use cost::{Cost, ServiceRates};
+pub use group::{GroupMember, HOMES, MAX_CANDIDATES, ProposedCandidate, Reason, Target, UpstreamGroup};
+pub use record::{Choice, Exclusion, NotChosen, ScoredCandidate};
 
 use contract::{MachineClass, UpstreamId};
 
-/// How an upstream is chosen.
+/// The routing algorithm.
 #[derive(Clone, Copy, Debug, Default, Display, FromStr, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
@@ -25,19 +25,19 @@
     #[default]
     #[display("cost")]
     Cost,
-    /// Fewest requests of our own and reported ones.
+    /// Fewest requests, own and reported.
     #[display("least-loaded")]
     LeastLoaded,
-    /// One after the other.
+    /// Each upstream in turn.
     #[display("round-robin")]
     RoundRobin,
 }
 
-/// A part of the decision that an ablation takes out.
+/// A term of the routing decision that can be disabled for an ablation.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Without {
-    /// Cached prefixes: neither candidates nor cost know of them.
+pub enum Ablation {
+    /// Cached prefixes, both as candidates and in the cost.
     #[display("affinity")]
     Affinity,
     /// Rendezvous hashing of the leading prefix.
@@ -55,67 +55,67 @@
     /// Distance between data centres.
     #[display("distance")]
     Distance,
-    /// Expiry of load reports: old ones count as if they were new.
+    /// Expiry of load reports; without it, old ones count like new ones.
     #[display("report-expiry")]
     ReportExpiry,
-    /// Own dispatches and completions since a report.
+    /// Correction of load reports by own dispatches and completions since.
     #[display("corrections")]
     Corrections,
-    /// Cache events and engines' counts of cached words: only own dispatches are believed.
+    /// Cache events and hit counts of engines; without them, only own dispatches show what is cached.
     #[display("cache-events")]
     CacheEvents,
 }
 
-/// Every part that can be taken out.
-pub const ABLATIONS: [Without; 9] = [
-    Without::Affinity,
-    Without::Rendezvous,
-    Without::Home,
-    Without::Risk,
-    Without::Price,
-    Without::Distance,
-    Without::ReportExpiry,
-    Without::Corrections,
-    Without::CacheEvents,
+/// Every term that can be disabled.
+pub const ABLATIONS: [Ablation; 9] = [
+    Ablation::Affinity,
+    Ablation::Rendezvous,
+    Ablation::Home,
+    Ablation::Risk,
+    Ablation::Price,
+    Ablation::Distance,
+    Ablation::ReportExpiry,
+    Ablation::Corrections,
+    Ablation::CacheEvents,
 ];
 
-/// A name that is no part of the decision.
+/// The name given is not a term of the routing decision.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{name} is no part of the routing decision")]
-pub struct UnknownPart {
+#[display("{name} is not a term of the routing decision")]
+pub struct UnknownAblation {
     name: String,
 }
 
-impl std::str::FromStr for Without {
-    type Err = UnknownPart;
+impl std::str::FromStr for Ablation {
+    type Err = UnknownAblation;
 
-    fn from_str(text: &str) -> Result<Self, UnknownPart> {
-        let found = ABLATIONS.into_iter().find(|part| part.to_string() == text);
-        found.ok_or_else(|| UnknownPart { name: text.to_owned() })
+    fn from_str(text: &str) -> Result<Self, UnknownAblation> {
+        let found = ABLATIONS.into_iter().find(|term| term.to_string() == text);
+        found.ok_or_else(|| UnknownAblation { name: text.to_owned() })
     }
 }
 
-/// How decisions are made: the way of choosing and the parts that are left out.
+/// Settings of the routing decision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rules {
-    /// The way of choosing.
+pub struct RoutingRules {
+    /// The algorithm.
     pub routing: Routing,
-    /// Parts that are left out.
-    pub without: Vec<Without>,
+    /// Disabled terms.
+    pub without: Vec<Ablation>,
 }
 
-impl Rules {
-    /// Tells whether a part counts.
+impl RoutingRules {
+    /// Returns whether a term is enabled.
     #[must_use]
-    pub fn with(&self, part: Without) -> bool {
-        !self.without.contains(&part)
+    pub fn with(&self, term: Ablation) -> bool {
+        !self.without.contains(&term)
     }
 }
 
-/// An upstream as the choice sees it.
+/// An upstream as input of the choice.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// The upstream.
+    /// Name of the upstream.
     pub id: &'a UpstreamId,
     /// Why it is a candidate.
     pub reason: Reason,
@@ -125,36 +125,39 @@
     pub price: u64,
     /// Requests that it runs at once without slowing down.
     pub slots: u32,
-    /// Whether it stands in the own data centre.
+    /// Whether it is in the data centre of this host.
     pub near: bool,
-    /// Reclaims an hour that its zone is expected to see.
-    pub reclaims: f64,
+    /// Expected reclaims an hour in its zone.
+    pub reclaims_per_hour: f64,
     /// Its predicted load.
-    pub load: crate::load::Predicted,
+    pub load: crate::load::PredictedLoad,
     /// Words of the prompt that are likely to be cached there.
     pub cached: u64,
-    /// Whether the request's conversation has its home there; also true of all where there is no conversation.
+    /// Whether it is the home of the request's conversation; true for all candidates if there is no conversation.
     pub home: bool,
-    /// Why it may not be chosen, if it may not.
-    pub barred: Option<Barred>,
+    /// Why it may not be chosen; absent if it may.
+    pub exclusion: Option<Exclusion>,
 }
 
-/// What the request needs.
+/// The size of a request, and its place in the rotation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Need {
-    /// Length of the prompt in tokens.
+pub struct RequestNeed {
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Expected length of the answer in tokens.
+    /// Expected answer length in tokens; zero for plain services.
     pub answer_tokens: u64,
-    /// Counts the choices, for rotation and for breaking ties.
+    /// Number of the choice, for rotation and for breaking ties.
     pub turn: u64,
 }
 
-/// Chooses among candidates.
-///
-/// Returns `None` when every candidate is barred.
+/// Chooses among candidates; returns `None` if all of them are excluded.
 #[must_use]
-pub fn choose(rules: &Rules, candidates: &[Candidate<'_>], need: &Need, rates: &Rates) -> Option<Choice> {
+pub fn choose(
+    rules: &RoutingRules,
+    candidates: &[Candidate<'_>],
+    need: &RequestNeed,
+    rates: &ServiceRates,
+) -> Option<Choice> {
     let loads = candidates.iter().filter_map(|candidate| candidate.load.reported);
     let beside = loads.sum::<f64>() / candidates.len().max(1) as f64;
     let costs: Vec<Cost> = candidates
@@ -163,29 +166,29 @@
         .collect();
     let first = need.turn as usize % candidates.len().max(1);
     let order = (first..candidates.len()).chain(0..first);
-    let open = order.filter(|at| candidates[*at].barred.is_none());
+    let open = order.filter(|at| candidates[*at].exclusion.is_none());
     let rank = |at: &usize| match rules.routing {
         Routing::Cost => costs[*at].total(),
         Routing::LeastLoaded => costs[*at].load,
         Routing::RoundRobin => 0.0,
     };
-    // The first of equals wins, and which is first turns with every choice.
+    // The first of equal candidates wins, and the starting index rotates with every choice.
     let chosen = open.min_by(|a, b| rank(a).total_cmp(&rank(b)))?;
     let best = rank(&chosen);
-    let lost = |at: usize| match candidates[at].barred {
+    let not_chosen = |at: usize| match candidates[at].exclusion {
         _ if at == chosen => None,
-        Some(why) => Some(Lost::Barred(why)),
-        None => Some(Lost::Behind { by: rank(&at) - best }),
+        Some(why) => Some(NotChosen::Barred(why)),
+        None => Some(NotChosen::Behind { by: rank(&at) - best }),
     };
-    let weighed = candidates.iter().enumerate().map(|(at, candidate)| Weighed {
+    let scored = candidates.iter().enumerate().map(|(at, candidate)| ScoredCandidate {
         upstream: candidate.id.clone(),
         reason: candidate.reason,
-        cost_ms: candidate.barred.is_none().then(|| costs[at].total()),
+        cost_ms: candidate.exclusion.is_none().then(|| costs[at].total()),
         parts: costs[at],
         cached: candidate.cached,
         report_age_ms: candidate.load.age.map(|age| age.as_millis() as u64),
         expired: candidate.load.age.is_some() && candidate.load.reported.is_none(),
-        lost: lost(at),
+        lost: not_chosen(at),
     });
     Some(Choice {
         routing: rules.routing,
@@ -193,6 +196,6 @@
         cached: candidates[chosen].cached,
         prompt_tokens: need.prompt_tokens,
         answer_tokens: need.answer_tokens,
-        weighed: weighed.collect(),
+        weighed: scored.collect(),
     })
 }
--- a/crates/policy/src/sources.rs
+++ b/crates/policy/src/sources.rs
@@ -1,7 +1,8 @@
-//! Which state node an entry host asks for changes of the catalog.
+//! Choice of the state node that an entry host requests catalog changes from.
 //!
-//! Hosts spread over all nodes. A node that fails is left alone for a while, since each question to a silent one costs
-//! most of a second. A host that knows of a version that its node does not bring asks the leader, who has it for certain.
+//! Entry hosts spread over all nodes. A node that failed is avoided for a while, since each request to a silent one
+//! costs most of a second. If a version is known that the current node does not deliver, the host asks the leader,
+//! which certainly has it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,18 +10,18 @@
 
 use crate::Tick;
 
-/// How long a node that failed is asked only if all others have failed since.
-const AVOIDED: Duration = Duration::from_secs(5);
+/// Time for which a node that failed is only asked if all others have failed too.
+const AVOID_TIME: Duration = Duration::from_secs(5);
 
-/// The choice among state nodes.
+/// Chooses among the state nodes.
 #[derive(Debug, Default)]
-pub struct Sources {
+pub struct NodeSelector {
     turn: usize,
     failed: BTreeMap<SocketAddr, Tick>,
 }
 
-impl Sources {
-    /// Begins at a place among the nodes.
+impl NodeSelector {
+    /// Starts at the node with index `turn`, modulo the number of nodes.
     #[must_use]
     pub fn new(turn: usize) -> Self {
         Self {
@@ -29,26 +30,27 @@
         }
     }
 
-    /// Gives the node to ask. `leader` is given where a version is known that this host lacks.
+    /// Returns the node to ask; `None` if there are no nodes. `leader` is given if a version is known that this host
+    /// lacks.
     #[must_use]
     pub fn pick(&self, nodes: &BTreeSet<SocketAddr>, leader: Option<SocketAddr>, now: Tick) -> Option<SocketAddr> {
-        let sound = |node: &SocketAddr| self.failed.get(node).is_none_or(|at| now.since(*at) >= AVOIDED);
-        if let Some(leader) = leader.filter(sound) {
+        let usable = |node: &SocketAddr| self.failed.get(node).is_none_or(|at| now.since(*at) >= AVOID_TIME);
+        if let Some(leader) = leader.filter(usable) {
             return Some(leader);
         }
         let count = nodes.len();
         let first = self.turn.checked_rem(count)?;
         let order = || nodes.iter().cycle().skip(first).take(count);
         let longest_ago = || order().min_by_key(|node| self.failed.get(node));
-        order().find(|node| sound(node)).or_else(longest_ago).copied()
+        order().find(|node| usable(node)).or_else(longest_ago).copied()
     }
 
-    /// Notes that a node did not answer, or that its word is too old.
-    pub fn fail(&mut self, node: SocketAddr, now: Tick) {
+    /// Records that a node did not answer, or answered with outdated data.
+    pub fn record_failure(&mut self, node: SocketAddr, now: Tick) {
         self.failed.insert(node, now);
     }
 
-    /// Notes that a node answers.
+    /// Records that a node answered.
     pub fn hear(&mut self, node: SocketAddr) {
         self.failed.remove(&node);
     }
--- a/crates/policy/tests/early_reclaim.rs
+++ b/crates/policy/tests/early_reclaim.rs
@@ -1,10 +1,10 @@
-//! Who is asked for reclaims, and what follows from the answers.
+//! Which engines are probed for reclaims, and how a reported reclaim changes the list.
 
 use std::time::Duration;
 
 use contract::{Listed, ServiceName, Zone};
 use policy::Tick;
-use policy::reclaim::{Reclaims, witnesses};
+use policy::reclaim::{ReportedReclaims, engines_to_probe};
 
 fn listed(id: &str, zone: &str, reclaimable: bool) -> Listed {
     Listed {
@@ -21,9 +21,10 @@
     }
 }
 
-/// One engine of a data centre hangs. If it were the one that is always asked, nobody would hear of a reclaim there.
+/// One engine of a data centre hangs. If it was the one that is always probed, a reclaim of the data centre would go
+/// unnoticed.
 #[test]
-fn taking_turns() {
+fn probes_rotate() {
     let list = [
         listed("a", "y", true),
         listed("b", "z", true),
@@ -31,28 +32,28 @@
         listed("d", "z", true),
         listed("e", "z", false),
     ];
-    let asked = |turn| -> Vec<Vec<String>> {
-        let groups = witnesses(&list, turn).into_iter();
+    let probed = |turn| -> Vec<Vec<String>> {
+        let groups = engines_to_probe(&list, turn).into_iter();
         groups
-            .map(|(_, two)| two.iter().map(|one| one.id.clone()).collect())
+            .map(|(_, engines)| engines.iter().map(|one| one.id.clone()).collect())
             .collect()
     };
-    assert_eq!(asked(0), [vec!["a"], vec!["b", "c"]]);
-    assert_eq!(asked(2), [vec!["a"], vec!["d", "b"]]);
+    assert_eq!(probed(0), [vec!["a"], vec!["b", "c"]]);
+    assert_eq!(probed(2), [vec!["a"], vec!["d", "b"]]);
 }
 
-/// The data centre gets new reclaimable engines seconds after it lost the old ones. The reclaim that was told of then says
-/// nothing of them.
+/// A data centre gets new reclaimable engines seconds after a reclaim took the old ones. The reported reclaim must not
+/// mark the new ones as leaving.
 #[test]
-fn newcomers_stay() {
-    let mut reclaims = Reclaims::default();
+fn new_engines_stay() {
+    let mut reclaims = ReportedReclaims::default();
     let group = (ServiceName::from("m"), Zone::from("z"));
-    reclaims.note(group.clone(), Tick::from_millis(2_000), Tick::from_millis(1_000));
+    reclaims.record(group.clone(), Tick::from_millis(2_000), Tick::from_millis(1_000));
     let mut list = [listed("b", "z", true), listed("e", "z", false)];
     reclaims.apply(&mut list, Tick::from_millis(1_500));
     assert_eq!(list[0].left, Some(Duration::from_millis(500)));
-    assert!(!list[1].leaving && reclaims.knows(&group, Tick::from_millis(1_500)));
+    assert!(!list[1].leaving && reclaims.contains(&group, Tick::from_millis(1_500)));
     let mut list = [listed("n", "z", true)];
     reclaims.apply(&mut list, Tick::from_millis(6_000));
-    assert!(!list[0].leaving && !reclaims.knows(&group, Tick::from_millis(6_000)));
+    assert!(!list[0].leaving && !reclaims.contains(&group, Tick::from_millis(6_000)));
 }
--- a/crates/policy/tests/fair_queue.rs
+++ b/crates/policy/tests/fair_queue.rs
@@ -1,19 +1,20 @@
-//! Capacity is shared by weight, idle customers cannot save up a burst, and a full queue sheds by share and class.
+//! Capacity is divided by weight, idle customers cannot save up a burst, and a full queue drops by weight and shed
+//! order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use policy::Tick;
-use policy::fair::{FairQueue, Refused, Ticket};
+use policy::fair::{FairQueue, RefusalReason, Ticket};
 use quickcheck::{Gen, QuickCheck};
 
-fn ticket(id: u64, customer: &str, share: u32) -> Ticket {
+fn ticket(id: u64, customer: &str, weight: u32) -> Ticket {
     Ticket {
         id,
         customer: customer.into(),
-        share,
+        weight,
         tokens: 100.0,
-        latest: Tick::from_millis(1_000),
-        shed: 0,
+        latest_start: Tick::from_millis(1_000),
+        shed_order: 0,
     }
 }
 
@@ -34,48 +35,56 @@
     assert!((148..=152).contains(&of_a), "a got {of_a} of 200");
 }
 
+/// Requests that cannot be on time, or find the queue full, must be refused at once instead of waiting in vain.
 #[test]
 fn refuses_late() {
     let mut queue = FairQueue::new(1);
     assert_eq!(
         queue.push(ticket(1, "a", 1), Tick::from_millis(1_001)),
-        Err(Refused::TooLate)
+        Err(RefusalReason::TooLate)
     );
     queue.push(ticket(2, "a", 1), Tick::default()).unwrap();
-    assert_eq!(queue.push(ticket(3, "a", 1), Tick::default()), Err(Refused::QueueFull));
+    assert_eq!(
+        queue.push(ticket(3, "a", 1), Tick::default()),
+        Err(RefusalReason::QueueFull)
+    );
     assert_eq!(queue.expire(Tick::from_millis(1_001)).len(), 1);
     assert!(queue.is_empty());
 }
 
-/// Everybody asks for more than there is, with requests of all sizes. At any time the tokens that two customers got,
-/// each divided by its share, differ by no more than one of their largest requests.
+/// All customers ask for more than there is, with requests of all sizes. At any time the tokens served to two
+/// customers, each divided by its weight, may differ by no more than one of the largest requests for each.
 #[test]
 fn weights_hold() {
-    fn holds(shares: Vec<u8>, sizes: Vec<u16>) -> bool {
-        let shares: Vec<u32> = shares.iter().take(8).map(|share| u32::from(share % 20) + 1).collect();
+    fn holds(weights: Vec<u8>, sizes: Vec<u16>) -> bool {
+        let weights: Vec<u32> = weights
+            .iter()
+            .take(8)
+            .map(|weight| u32::from(weight % 20) + 1)
+            .collect();
         let sizes: Vec<f64> = sizes
             .iter()
             .map(|size| f64::from(size % 4_000) + 1.0)
             .chain([100.0])
             .collect();
         let mut queue = FairQueue::new(100_000);
-        let mut served = vec![0.0; shares.len()];
+        let mut served = vec![0.0; weights.len()];
         for id in 0..200_u64 {
-            for (number, share) in shares.iter().enumerate() {
+            for (number, weight) in weights.iter().enumerate() {
                 let tokens = sizes[(id as usize + number) % sizes.len()];
                 let ticket = Ticket {
                     tokens,
-                    ..ticket(id * 100 + number as u64, &number.to_string(), *share)
+                    ..ticket(id * 100 + number as u64, &number.to_string(), *weight)
                 };
                 queue.push(ticket, Tick::default()).unwrap();
             }
         }
         let largest = sizes.iter().fold(0.0_f64, |a, b| a.max(*b));
-        // As long as nobody's line is empty.
+        // Within these rounds no customer runs out of requests.
         for _ in 0..200 {
             let Some(ticket) = queue.pop() else { break };
             let number: usize = ticket.customer.as_str().parse().unwrap();
-            served[number] += ticket.tokens / f64::from(shares[number]);
+            served[number] += ticket.tokens / f64::from(weights[number]);
             let low = served.iter().fold(f64::MAX, |a, b| a.min(*b));
             let high = served.iter().fold(0.0_f64, |a, b| a.max(*b));
             if high - low > 2.0 * largest {
@@ -87,43 +96,46 @@
     check(71, holds as fn(Vec<u8>, Vec<u16>) -> bool);
 }
 
-/// One customer is idle for a while and the other gets everything. When the idle one comes back it has its share at
-/// once, and no more: it neither waits behind the other's queue nor gets back what it did not use.
+/// One customer is idle while the other gets everything. When it returns it must get its share at once, and no more: it
+/// must neither wait behind the other's queue nor be repaid for its idle time.
 #[test]
-fn lent_share_returns() {
+fn idle_share_returns() {
     let mut queue = FairQueue::new(10_000);
     for id in 0..1_000 {
         queue.push(ticket(id, "busy", 1), Tick::default()).unwrap();
     }
-    let alone: Vec<Ticket> = (0..500).filter_map(|_| queue.pop()).collect();
-    assert_eq!(alone.len(), 500);
+    let served_alone: Vec<Ticket> = (0..500).filter_map(|_| queue.pop()).collect();
+    assert_eq!(served_alone.len(), 500);
     for id in 0..100 {
         queue.push(ticket(5_000 + id, "back", 1), Tick::default()).unwrap();
     }
-    let mut back = 0;
+    let mut returned = 0;
     for served in 1..=80 {
         let ticket = queue.pop().unwrap();
-        back += usize::from(ticket.customer.as_str() == "back");
-        // Its half at any time, and at most one request more.
-        assert!(2 * back >= served && 2 * back <= served + 2, "{back} of {served}");
+        returned += usize::from(ticket.customer.as_str() == "back");
+        // Half of all at any time, and one request more at most.
+        assert!(
+            2 * returned >= served && 2 * returned <= served + 2,
+            "{returned} of {served}"
+        );
     }
 }
 
-/// A customer with the smallest share asks once while the others flood the queue. What goes before it is what was
-/// predicted when it came, so that it neither starves nor is refused for a wait that it would not have had.
+/// A customer with a small weight sends one request while others flood the queue. The work served before it must match
+/// the prediction at its arrival; otherwise it would starve, or be refused for a wait that would not happen.
 #[test]
 fn wait_predicted() {
-    fn holds(others: Vec<(u8, u16, u8)>, share: u8, size: u16) -> bool {
+    fn holds(others: Vec<(u8, u16, u8)>, weight: u8, size: u16) -> bool {
         let mut queue = FairQueue::new(100_000);
         let mut largest = 0.0_f64;
-        for (id, (who, size, share)) in (0..).zip(&others) {
+        for (id, (customer, size, weight)) in (0..).zip(&others) {
             let tokens = f64::from(size % 4_000) + 1.0;
             largest = largest.max(tokens);
-            let who = who % 5;
+            let customer = customer % 5;
             let ticket = Ticket {
                 tokens,
-                latest: Tick::from_millis(1_000 + u64::from(*share)),
-                ..ticket(id, &who.to_string(), u32::from(who) + 1)
+                latest_start: Tick::from_millis(1_000 + u64::from(*weight)),
+                ..ticket(id, &customer.to_string(), u32::from(customer) + 1)
             };
             queue.push(ticket, Tick::default()).unwrap();
             if id % 3 == 0 {
@@ -132,20 +144,20 @@
         }
         let small = Ticket {
             tokens: f64::from(size % 4_000) + 1.0,
-            ..ticket(1_000_000, "small", u32::from(share % 3) + 1)
+            ..ticket(1_000_000, "small", u32::from(weight % 3) + 1)
         };
-        let ahead = queue.ahead(&small);
+        let ahead = queue.work_ahead(&small);
         queue.push(small, Tick::default()).unwrap();
         let before = std::iter::from_fn(|| queue.pop()).take_while(|ticket| ticket.customer.as_str() != "small");
         let served: f64 = before.map(|ticket| ticket.tokens).sum();
-        // The last request of each other customer may overshoot its turn.
+        // The last request of each other customer may exceed that customer's share.
         (served - ahead).abs() <= 5.0 * largest + 1e-6
     }
     check(72, holds as fn(Vec<(u8, u16, u8)>, u8, u16) -> bool);
 }
 
-/// Random comings, goings, sheddings and expiries: each request ends in exactly one way, and what was refused, shed or
-/// expired is never let run. Otherwise a caller would be told "not run" of a request that was.
+/// Random arrivals, departures, drops and expiries: each request must end in exactly one way, and one that was refused,
+/// dropped or expired must never run. Otherwise a caller would be told "not run" about a request that did run.
 #[test]
 fn refused_never_run() {
     fn holds(steps: Vec<(u8, u8, u8, u16)>, bound: u8) -> bool {
@@ -154,15 +166,15 @@
         let mut open: BTreeMap<u64, Ticket> = BTreeMap::new();
         let mut ended: BTreeSet<u64> = BTreeSet::new();
         let mut now = Tick::default();
-        for (id, (what, who, shed, time)) in (0..).zip(steps) {
+        for (id, (what, customer, shed, time)) in (0..).zip(steps) {
             let some = open.values().next().cloned();
             let mut end = |ticket: &Ticket| open.remove(&ticket.id).is_some() && ended.insert(ticket.id);
             let good = match what % 8 {
                 0..=4 => {
                     let new = Ticket {
-                        latest: now + std::time::Duration::from_millis(u64::from(time)),
-                        shed: shed % 4,
-                        ..ticket(id, &(who % 4).to_string(), u32::from(who % 4) + 1)
+                        latest_start: now + std::time::Duration::from_millis(u64::from(time)),
+                        shed_order: shed % 4,
+                        ..ticket(id, &(customer % 4).to_string(), u32::from(customer % 4) + 1)
                     };
                     match queue.push(new.clone(), now) {
                         Ok(victim) => {
@@ -189,14 +201,14 @@
     check(73, holds as fn(Vec<(u8, u8, u8, u16)>, u8) -> bool);
 }
 
-/// One customer floods the queue with menu notices that can wait; then another asks for a seat. The seat lookup must
-/// get a place and one of the notices must go, not whoever comes last.
+/// One customer floods the queue with requests that can wait, then another sends an urgent one. The urgent request must
+/// be queued and one of the flood dropped, not the last arrival.
 #[test]
-fn flood_sheds_itself() {
+fn flood_drops_itself() {
     let mut queue = FairQueue::new(10);
     for id in 0..10 {
         let notice = Ticket {
-            shed: if id == 4 { 9 } else { 1 },
+            shed_order: if id == 4 { 9 } else { 1 },
             ..ticket(id, "flood", 1)
         };
         queue.push(notice, Tick::default()).unwrap();
@@ -204,11 +216,11 @@
     let victim = queue.push(ticket(100, "gate", 1), Tick::default()).unwrap();
     assert_eq!(victim.map(|ticket| ticket.id), Some(4));
     let late = Ticket {
-        shed: 5,
+        shed_order: 5,
         ..ticket(101, "flood", 1)
     };
-    assert_eq!(queue.push(late, Tick::default()), Err(Refused::QueueFull));
+    assert_eq!(queue.push(late, Tick::default()), Err(RefusalReason::QueueFull));
     let urgent = queue.push(ticket(102, "flood", 1), Tick::default()).unwrap();
-    assert!(urgent.is_some_and(|ticket| ticket.customer.as_str() == "flood" && ticket.shed == 1));
+    assert!(urgent.is_some_and(|ticket| ticket.customer.as_str() == "flood" && ticket.shed_order == 1));
     assert_eq!(queue.len(), 10);
 }
--- a/crates/policy/tests/quota_bucket.rs
+++ b/crates/policy/tests/quota_bucket.rs
@@ -1,38 +1,39 @@
-//! What one entry host lets pass of an account's quota.
+//! What one entry host admits of an account's quota.
 
 use policy::Tick;
 use policy::quota::Bucket;
 use quickcheck::quickcheck;
 
 quickcheck! {
-    /// Whatever is asked for, no more passes than the burst and what the rate has brought since; whole takes only.
-    fn never_over(asks: Vec<(u16, u16)>) -> bool {
+    /// Whatever is requested with `take_whole`, no more is admitted than the initial units and what the rate has added
+    /// since.
+    fn never_exceeds(requests: Vec<(u16, u16)>) -> bool {
         let (rate, burst) = (1_000.0, 5_000.0);
         let mut bucket = Bucket::new(0.0, Tick::default());
         bucket.set(rate, burst, Tick::default());
-        let (mut now, mut passed) = (0, 0.0);
-        asks.into_iter().all(|(units, pause)| {
+        let (mut now, mut admitted) = (0, 0.0);
+        requests.into_iter().all(|(units, pause)| {
             now += u64::from(pause);
             if bucket.take_whole(f64::from(units), Tick::from_millis(now)).is_ok() {
-                passed += f64::from(units);
+                admitted += f64::from(units);
             }
-            passed <= rate * now as f64 / 1_000.0 + 1e-6
+            admitted <= rate * now as f64 / 1_000.0 + 1e-6
         })
     }
 }
 
-/// A process is killed again and again. If each start owned a full burst, an account would get many times its quota; with
-/// nothing at all, callers within their quota would be refused after every restart.
+/// A process is killed again and again. If each start had a full burst, an account would get many times its quota; with
+/// an empty bucket, callers within their quota would be refused after every restart.
 #[test]
-fn starts_with_less() {
+fn partial_start() {
     let mut bucket = Bucket::new(1_000.0, Tick::default());
     bucket.set(100.0, 1_000.0, Tick::default());
     assert!(bucket.take_whole(500.0, Tick::default()).is_err());
     bucket.take_whole(400.0, Tick::default()).unwrap();
 }
 
-/// A request is larger than the burst. It would never be let in if the whole had to be there; what it takes too much is
-/// paid back before the next.
+/// A request is larger than the burst. It could never be admitted if all of its units had to be available; the
+/// overdraft delays the next request.
 #[test]
 fn larger_than_burst() {
     let mut bucket = Bucket::new(0.0, Tick::default());
@@ -42,6 +43,7 @@
     assert!((over.wait_s - 25.0).abs() < 1e-6, "{over:?}");
 }
 
+/// A quota is lowered. What was saved up under the old burst must not be spent.
 #[test]
 fn lower_burst() {
     let mut bucket = Bucket::new(0.0, Tick::default());
--- a/crates/policy/tests/rollout_lag.rs
+++ b/crates/policy/tests/rollout_lag.rs
@@ -10,15 +10,15 @@
     NodeId::from(name)
 }
 
-/// Guards against a rollout that is called complete while a host still serves an older version.
+/// Guards against reporting a rollout as complete while a host still serves an older version.
 #[test]
-fn late_named() {
+fn late_hosts_named() {
     let mut rollout = Rollout::default();
     rollout.publish(14, Tick::from_millis(0));
     rollout.publish(17, Tick::from_millis(500));
-    rollout.note(&host("a"), 17, Tick::from_millis(1_400));
-    rollout.note(&host("b"), 9, Tick::from_millis(1_400));
-    assert_eq!(rollout.behind(Tick::from_millis(1_500)), 1);
+    rollout.record_version(&host("a"), 17, Tick::from_millis(1_400));
+    rollout.record_version(&host("b"), 9, Tick::from_millis(1_400));
+    assert_eq!(rollout.hosts_behind(Tick::from_millis(1_500)), 1);
     let late = rollout.report(Tick::from_millis(1_500));
     let expected = Progress::Late {
         version: 17,
@@ -33,9 +33,9 @@
     assert_eq!(
         rollout.report(Tick::from_millis(1_600)),
         None,
-        "late hosts are told once a second"
+        "late hosts are reported once a second"
     );
-    rollout.note(&host("b"), 17, Tick::from_millis(1_700));
+    rollout.record_version(&host("b"), 17, Tick::from_millis(1_700));
     let complete = rollout.report(Tick::from_millis(1_700));
     let expected = Progress::Complete {
         version: 17,
@@ -46,31 +46,32 @@
     assert_eq!(rollout.report(Tick::from_millis(1_800)), None);
 }
 
-/// Guards against a stopped host that keeps a rollout from ever being complete.
+/// Guards against a stopped host that keeps a rollout incomplete for ever.
 #[test]
 fn stopped_host() {
     let mut rollout = Rollout::default();
     rollout.publish(1, Tick::from_millis(0));
     rollout.publish(2, Tick::from_millis(0));
-    rollout.note(&host("stopped"), 1, Tick::from_millis(0));
-    rollout.note(&host("a"), 2, Tick::from_millis(3_000));
+    rollout.record_version(&host("stopped"), 1, Tick::from_millis(0));
+    rollout.record_version(&host("a"), 2, Tick::from_millis(3_000));
     assert!(matches!(
         rollout.report(Tick::from_millis(3_000)),
         Some(Progress::Complete { hosts: 1, .. })
     ));
 }
 
-/// Guards against a new leader that tells a rollout as complete in no time, since it was published under the one before.
+/// Guards against a new leader that reports a rollout as complete in no time although it was published under the
+/// previous one.
 #[test]
 fn inherited_version() {
     let mut rollout = Rollout::default();
     rollout.publish(4, Tick::from_millis(0));
-    rollout.note(&host("a"), 4, Tick::from_millis(10));
+    rollout.record_version(&host("a"), 4, Tick::from_millis(10));
     assert_eq!(rollout.report(Tick::from_millis(10)), None);
     rollout.publish(5, Tick::from_millis(20));
-    rollout.note(&host("a"), 5, Tick::from_millis(60));
+    rollout.record_version(&host("a"), 5, Tick::from_millis(60));
     let took = Duration::from_millis(40);
     assert!(
-        matches!(rollout.report(Tick::from_millis(60)), Some(Progress::Complete { took: told, .. }) if told == took)
+        matches!(rollout.report(Tick::from_millis(60)), Some(Progress::Complete { took: time, .. }) if time == took)
     );
 }
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -1,20 +1,22 @@
-//! Every entry host sends the turns of a conversation to the same upstream unless waiting there costs more.
+//! Every entry host sends the turns of a conversation to the same upstream unless the wait there costs more.
 
 use contract::{MachineClass, UpstreamId};
-use policy::load::Predicted;
-use policy::route::{Candidate, Choice, Group, Need, Place, Rates, Reason, Rules, Without, choose};
+use policy::load::PredictedLoad;
+use policy::route::{
+    Ablation, Candidate, Choice, GroupMember, Reason, RequestNeed, RoutingRules, ServiceRates, UpstreamGroup, choose,
+};
 use quickcheck::{Gen, QuickCheck};
 
-fn group(numbers: &[u32], near: u32) -> Group {
-    let place = |number: &u32| Place {
+fn group(numbers: &[u32], near: u32) -> UpstreamGroup {
+    let member = |number: &u32| GroupMember {
         number: *number,
         id: format!("engine-{number}").into(),
         near: number % 4 == near,
     };
-    Group::new(numbers.iter().map(place).collect())
+    UpstreamGroup::new(numbers.iter().map(member).collect())
 }
 
-fn pick(loads: &[f64], home: usize, rules: &Rules) -> Choice {
+fn pick(loads: &[f64], home: usize, rules: &RoutingRules) -> Choice {
     let ids: Vec<UpstreamId> = (0..loads.len()).map(|at| format!("engine-{at}").into()).collect();
     let candidate = |at: usize| Candidate {
         id: &ids[at],
@@ -23,33 +25,33 @@
         price: 0,
         slots: 4,
         near: true,
-        reclaims: 0.0,
-        load: Predicted {
+        reclaims_per_hour: 0.0,
+        load: PredictedLoad {
             reported: Some(loads[at]),
-            ..Predicted::default()
+            ..PredictedLoad::default()
         },
         cached: if at == home { 900 } else { 0 },
         home: at == home,
-        barred: None,
+        exclusion: None,
     };
     let candidates: Vec<Candidate<'_>> = (0..loads.len()).map(candidate).collect();
-    let need = Need {
+    let need = RequestNeed {
         prompt_tokens: 1_000,
         answer_tokens: 50,
         turn: 1,
     };
-    choose(rules, &candidates, &need, &Rates::default()).unwrap()
+    choose(rules, &candidates, &need, &ServiceRates::default()).unwrap()
 }
 
-/// Entry hosts in different data centres number their upstreams in another order and hold others for near. If they
-/// disagreed on the home, each turn that comes through another of them would be computed again from its start.
+/// Entry hosts in different data centres number their upstreams in a different order and have different local ones. If
+/// they disagreed on the home, each turn that arrives at another host would be prefilled from its start.
 #[test]
 fn hosts_agree() {
     fn holds(count: u16, key: u64) -> bool {
         let numbers: Vec<u32> = (0..2 + u32::from(count % 400)).collect();
-        let turned: Vec<u32> = numbers.iter().rev().copied().collect();
-        let (one, other) = (group(&numbers, 0), group(&turned, 3));
-        let names = |group: &Group| group.homes(key).map(|at| group.places()[at].id.clone());
+        let reversed: Vec<u32> = numbers.iter().rev().copied().collect();
+        let (one, other) = (group(&numbers, 0), group(&reversed, 3));
+        let names = |group: &UpstreamGroup| group.homes(key).map(|at| group.members()[at].id.clone());
         let homes = names(&one);
         homes == names(&other) && homes[0] != homes[1]
     }
@@ -60,6 +62,7 @@
         .quickcheck(holds as fn(u16, u64) -> bool);
 }
 
+/// Homes that are spread unevenly would overload some upstreams.
 #[test]
 fn homes_spread() {
     let group = group(&(0..10).collect::<Vec<_>>(), 0);
@@ -72,17 +75,17 @@
 
 #[test]
 fn home_wins() {
-    let rules = Rules::default();
+    let rules = RoutingRules::default();
     assert_eq!(pick(&[0.0, 3.0, 0.0], 1, &rules).chosen.as_str(), "engine-1");
 }
 
 #[test]
 fn full_home() {
-    let rules = Rules::default();
+    let rules = RoutingRules::default();
     assert_ne!(pick(&[0.0, 30.0, 0.0], 1, &rules).chosen.as_str(), "engine-1");
 }
 
 #[test]
 fn ablation_name() {
-    assert_eq!("home".parse::<Without>().unwrap(), Without::Home);
+    assert_eq!("home".parse::<Ablation>().unwrap(), Ablation::Home);
 }
--- a/crates/state/src/admin/mod.rs
+++ b/crates/state/src/admin/mod.rs
@@ -14,11 +14,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 use tokio::sync::oneshot;
 use wire::state::Propose;
 
-use crate::applied::{Applied, Command, Operator, PutOperator, Reply};
+use crate::applied::{AppliedState, Command, Operator, PutOperator, Reply};
 use crate::core::Ask;
 use access::{Caller, Right};
 use answer::{problem, proposed, unavailable};
@@ -31,13 +31,13 @@
 pub struct Admin {
     ring: Sender<Ask>,
     key: KeyHash,
-    scrape: Scrape,
+    scrape: MetricsExporter,
 }
 
 impl Admin {
     /// Makes the API for a ring; whoever shows the key as a bearer token may do everything.
     #[must_use]
-    pub const fn new(ring: Sender<Ask>, key: KeyHash, scrape: Scrape) -> Self {
+    pub const fn new(ring: Sender<Ask>, key: KeyHash, scrape: MetricsExporter) -> Self {
         Self { ring, key, scrape }
     }
 
@@ -119,9 +119,9 @@
 
     fn read<T: Serialize + Send + 'static>(
         &self,
-        part: impl FnOnce(&Applied) -> Option<T> + Send + 'static,
+        part: impl FnOnce(&AppliedState) -> Option<T> + Send + 'static,
     ) -> Response {
-        let read = |applied: &Applied, age_ms| (applied.config.revision, part(applied), age_ms);
+        let read = |applied: &AppliedState, age_ms| (applied.config.revision, part(applied), age_ms);
         match self.ask(read) {
             Some((revision, Some(item), age_ms)) => {
                 Response::json(&json!({"revision": revision, "age_ms": age_ms, "item": item}))
@@ -131,9 +131,9 @@
         }
     }
 
-    fn ask<T: Send + 'static>(&self, read: impl FnOnce(&Applied, u64) -> T + Send + 'static) -> Option<T> {
+    fn ask<T: Send + 'static>(&self, read: impl FnOnce(&AppliedState, u64) -> T + Send + 'static) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        let read = Box::new(move |applied: &Applied, age: std::time::Duration| {
+        let read = Box::new(move |applied: &AppliedState, age: std::time::Duration| {
             // An asker that has gone away needs no answer.
             let _ = reply.send(read(applied, age.as_millis() as u64));
         });
--- a/crates/state/src/core/watchers.rs
+++ b/crates/state/src/core/watchers.rs
@@ -7,8 +7,8 @@
 use wire::catalog::{Follow, Followed};
 use wire::state::{Watch, Watched};
 
-use crate::applied::Applied;
-use crate::feed::Feed;
+use crate::applied::AppliedState;
+use crate::feed::CatalogFeed;
 
 /// Longest that a question is held.
 const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -38,8 +38,8 @@
     /// Answers who has news of the catalog or has waited long enough; `told` holds what all of them are told.
     pub(super) fn answer_followers(
         &mut self,
-        applied: &Applied,
-        feed: &mut Feed,
+        applied: &AppliedState,
+        feed: &mut CatalogFeed,
         told: impl Fn() -> Followed,
         now: Tick,
     ) {
@@ -47,7 +47,7 @@
         let version = applied.catalog().map(|catalog| catalog.version);
         let ready = |(until, follow, _): &mut (Tick, Follow, _)| follow.after < version || *until <= now;
         for (_, follow, reply) in self.following.extract_if(.., ready) {
-            let parts = applied.catalog().map(|newest| feed.answer(&follow, newest));
+            let parts = applied.catalog().map(|newest| feed.next_parts(&follow, newest));
             let answer = Followed {
                 parts: parts.unwrap_or_default(),
                 ..told()
@@ -58,7 +58,7 @@
     }
 
     /// Answers who has news or has waited long enough.
-    pub(super) fn answer(&mut self, applied: &Applied, age: Duration, now: Tick) {
+    pub(super) fn answer(&mut self, applied: &AppliedState, age: Duration, now: Tick) {
         let revision = applied.config.revision;
         let ready = |(until, watch, _): &mut (Tick, Watch, _)| watch.after < revision || *until <= now;
         let age_ms = age.as_millis() as u64;
--- a/crates/state/src/duties/orders.rs
+++ b/crates/state/src/duties/orders.rs
@@ -5,11 +5,11 @@
 
 use contract::{Listed, Scaling, ServiceName, Zone};
 use policy::Tick;
-use policy::fleet::{Present, needed, plan};
+use policy::fleet::{ZoneSupply, plan, upstreams_needed};
 use slog::info;
 use tokio::sync::oneshot;
 
-use super::{Duties, OfficeError, Order, Seat};
+use super::{CapacityOrder, DutyHolder, LeaderDuties, PlatformError};
 use crate::core::Ask;
 
 /// Pause between two looks at the list for the plan of capacity.
@@ -86,7 +86,7 @@
     at: Tick,
 }
 
-impl Duties {
+impl LeaderDuties {
     /// Orders what the plan of each service wants.
     pub(super) fn keep_capacity(&mut self) {
         let now = self.clock.now();
@@ -106,7 +106,7 @@
         for (service, scaling, slots) in scaled {
             let load = loads.get(service.as_str()).copied().unwrap_or_default();
             let present = self.present(&service, &scaling, &list, now);
-            let told = needed(load.running, load.reading, slots);
+            let told = upstreams_needed(load.running, load.reading, slots);
             let Some(needed) = self.peak(&service, told, &list, now) else {
                 continue;
             };
@@ -168,9 +168,15 @@
         Some(peak.needed)
     }
 
-    fn present(&self, service: &ServiceName, scaling: &Scaling, list: &[Listed], now: Tick) -> BTreeMap<Zone, Present> {
+    fn present(
+        &self,
+        service: &ServiceName,
+        scaling: &Scaling,
+        list: &[Listed],
+        now: Tick,
+    ) -> BTreeMap<Zone, ZoneSupply> {
         let zones = scaling.prices.keys().cloned();
-        let mut present: BTreeMap<Zone, Present> = zones.map(|zone| (zone, Present::default())).collect();
+        let mut present: BTreeMap<Zone, ZoneSupply> = zones.map(|zone| (zone, ZoneSupply::default())).collect();
         for one in list.iter().filter(|one| one.service == *service && !one.leaving) {
             let there = present.entry(one.zone.clone()).or_default();
             if one.reclaimable {
@@ -182,9 +188,9 @@
         let pause = Duration::from_millis(scaling.boot_ms) + UNSEEN;
         for (zone, there) in &mut present {
             let order = |spot| self.orders.given.get(&(service.clone(), zone.clone(), spot)).copied();
-            there.closed = order(true).is_some_and(|given| given.dry && now.since(given.at) < DRY);
+            there.backing_off = order(true).is_some_and(|given| given.dry && now.since(given.at) < DRY);
             let refused = self.orders.refused.get(&(service.clone(), zone.clone()));
-            there.dry = refused.is_some_and(|at| now.since(*at) < WAVE);
+            there.scarce = refused.is_some_and(|at| now.since(*at) < WAVE);
             let reclaimed = self.orders.reclaimed.get(&(service.clone(), zone.clone()));
             let starts = Duration::from_millis(scaling.boot_ms) + SEEN;
             there.reclaimed = reclaimed.is_some_and(|at| now.since(*at) < starts);
@@ -212,15 +218,15 @@
             return;
         };
         let (service, zone, spot) = &subject;
-        let order = Order {
+        let order = CapacityOrder {
             service: service.to_string(),
             zone: zone.to_string(),
             count: wanted,
-            spot: *spot,
+            reclaimable: *spot,
         };
-        let seat = Seat {
-            holder: self.node.as_str(),
-            fence,
+        let seat = DutyHolder {
+            name: self.node.as_str(),
+            fencing_token: fence,
         };
         self.acted = now;
         let result = self.office.order(&seat, &order);
@@ -229,7 +235,7 @@
             .map_or_else(ToString::to_string, |()| "taken".to_owned());
         info!(self.logger, "capacity ordered"; "service" => &order.service, "zone" => &order.zone, "spot" => spot,
             "count" => wanted, "there" => there, "needed" => needed, "fence" => fence, "outcome" => outcome);
-        let dry = matches!(result, Err(OfficeError::NoneLeft));
+        let dry = matches!(result, Err(PlatformError::NoCapacity));
         if dry && *spot {
             self.orders.refused.insert((service.clone(), zone.clone()), now);
         }
--- a/crates/state/src/main.rs
+++ b/crates/state/src/main.rs
@@ -12,10 +12,10 @@
 use slog::{Logger, info};
 use state::admin::Admin;
 use state::cli::Options;
-use state::core::{Ask, Me, Membership};
-use state::program::Program;
+use state::core::{Ask, MembershipMode, NodeConfig};
+use state::program::StateNode;
 use state::settings::Settings;
-use telemetry::scrape::Scrape;
+use telemetry::scrape::MetricsExporter;
 use telemetry::{ended, log};
 
 /// Threads of the administration API.
@@ -38,15 +38,15 @@
     let stop = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
     signal_hook::flag::register(SIGINT, Arc::clone(&stop))?;
-    let scrape = Scrape::install()?;
-    let me = Me {
+    let scrape = MetricsExporter::install()?;
+    let me = NodeConfig {
         node: settings.node.clone(),
         address: settings.listen,
         peers: settings.peers.clone(),
-        membership: Membership::Operators,
+        membership: MembershipMode::Manual,
     };
-    let program = Program::start(me, &settings.data, Slack::default(), logger, &stop)?;
-    let admin = start_admin(settings, program.ring.clone(), scrape)?;
+    let program = StateNode::start(me, &settings.data, Slack::default(), logger, &stop)?;
+    let admin = start_admin(settings, program.requests.clone(), scrape)?;
     info!(logger, "serving"; "inner" => %settings.listen, "admin" => %admin.server_addr());
     while !stop.load(Ordering::Relaxed) {
         admin.poll_timeout(Duration::from_millis(50));
@@ -60,7 +60,7 @@
 fn start_admin(
     settings: &Settings,
     ring: Sender<Ask>,
-    scrape: Scrape,
+    scrape: MetricsExporter,
 ) -> anyhow::Result<rouille::Server<impl Fn(&rouille::Request) -> rouille::Response + Send + Sync + 'static>> {
     let admin = Admin::new(ring, settings.operator.clone(), scrape);
     let server = rouille::Server::new(settings.admin, move |request| admin.answer(request))
