--- a/crates/state/src/notices.rs
+++ b/crates/state/src/notices.rs
@@ -7,14 +7,14 @@
 use contract::Listed;
 use crossbeam_channel::Sender;
 use metrics::counter;
-use policy::reclaim::{Group, witnesses};
+use policy::reclaim::{ReclaimGroup, engines_to_probe};
 use slog::{Logger, debug, info};
 use telemetry::Clock;
 use tokio::sync::oneshot;
-use upstream::directory::Engines;
+use upstream::directory::EngineProbe;
 
 use crate::core::{Ask, Lead};
-use crate::registry::Registry;
+use crate::registry::EntryRegistry;
 
 /// Pause between two rounds of questions, one to each data centre. The shortest notices leave 1.1 s, of which engines tell after
 /// 0.2 s and entry hosts hear within a beat.
@@ -24,21 +24,21 @@
 
 /// The thread that asks while its process leads.
 #[derive(derive_more::Debug)]
-pub struct Notices {
+pub struct ReclaimPoller {
     /// Questions to the thread that owns the state.
-    pub ring: Sender<Ask>,
+    pub requests: Sender<Ask>,
     /// Where reclaims go.
-    pub registry: Arc<Registry>,
+    pub registry: Arc<EntryRegistry>,
     /// The clock.
     pub clock: Clock,
     /// Who is asked.
     #[debug("engines")]
-    pub engines: Box<dyn Engines>,
+    pub engines: Box<dyn EngineProbe>,
     /// The log.
     pub logger: Logger,
 }
 
-impl Notices {
+impl ReclaimPoller {
     /// Starts the thread.
     ///
     /// # Errors
@@ -59,7 +59,7 @@
 
     fn leads(&self) -> Option<u64> {
         let (reply, answer) = oneshot::channel();
-        self.ring.try_send(Ask::Lead(reply)).ok()?;
+        self.requests.try_send(Ask::Lead(reply)).ok()?;
         let lead: Lead = answer.blocking_recv().ok()?;
         lead.since.map(|_| lead.term)
     }
@@ -68,7 +68,7 @@
         let Some(list) = self.registry.list(self.clock.now(), LIST_FRESH) else {
             return;
         };
-        for (group, asked) in witnesses(&list, turn) {
+        for (group, asked) in engines_to_probe(&list, turn) {
             if let Some(left) = self.left(&asked) {
                 self.tell(term, group, left, asked.len());
             }
@@ -96,10 +96,10 @@
         })
     }
 
-    fn tell(&self, term: u64, group: Group, left: Duration, witnesses: usize) {
+    fn tell(&self, term: u64, group: ReclaimGroup, left: Duration, witnesses: usize) {
         let now = self.clock.now();
         info!(self.logger, "engines tell of a reclaim"; "service" => %group.0, "zone" => %group.1,
             "left_ms" => left.as_millis() as u64, "witnesses" => witnesses);
-        self.registry.note_reclaim(term, group, now + left, now);
+        self.registry.record_reclaim(term, group, now + left, now);
     }
 }
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -10,10 +10,10 @@
 use metrics::gauge;
 use parking_lot::Mutex;
 use policy::Tick;
-use policy::parts::{Sharers, Slack};
-use policy::reclaim::{Group, Reclaims};
+use policy::parts::{QuotaAllocator, Slack};
+use policy::reclaim::{ReclaimGroup, ReportedReclaims};
 use policy::rollout::{Progress, Rollout};
-use wire::registry::{Beat, News, Parts, ServiceLoad};
+use wire::registry::{Heartbeat, LeaderUpdate, QuotaShare, ServiceLoad};
 
 use crate::listing::Listing;
 use crate::signs::Signs;
@@ -23,7 +23,7 @@
 
 /// What the leader of a term knows of the entry hosts.
 #[derive(Debug, Default)]
-pub struct Registry {
+pub struct EntryRegistry {
     inner: Mutex<Inner>,
     /// Units beyond a quota that may pass in a window, over all entry hosts.
     slack: Slack,
@@ -33,31 +33,31 @@
 struct Inner {
     term: u64,
     list: Listing,
-    reclaims: Reclaims,
+    reclaims: ReportedReclaims,
     signs: Signs,
     rollout: Rollout,
     /// Number of sharers that the log holds.
     counted: u32,
-    sharers: Option<Sharers>,
+    sharers: Option<QuotaAllocator>,
     counts: BTreeMap<u64, BTreeMap<(NodeId, u64), Counts>>,
     loads: BTreeMap<NodeId, (Tick, BTreeMap<String, ServiceLoad>)>,
 }
 
 /// What the log says of shared limits.
 #[derive(Clone, Debug, Default)]
-pub struct Sharing {
+pub struct SharedLimits {
     /// Quotas by client account.
     pub quotas: Vec<(String, Quota)>,
     /// Entry hosts that share, as last counted.
-    pub sharers: u32,
+    pub entry_hosts: u32,
     /// Version of the newest catalog.
-    pub version: u64,
+    pub catalog_version: u64,
 }
 
 /// Requests by client account.
 pub type Counts = BTreeMap<String, u64>;
 
-impl Registry {
+impl EntryRegistry {
     /// Makes a registry that may let so many units beyond each quota pass.
     #[must_use]
     pub fn new(slack: Slack) -> Self {
@@ -68,14 +68,20 @@
     }
 
     /// Takes a beat in a term; gives the entry host's parts once they are known.
-    pub fn beat(&self, term: u64, (from, beat): (&NodeId, Beat), shared: &Sharing, now: Tick) -> Option<News> {
+    pub fn heartbeat(
+        &self,
+        term: u64,
+        (from, beat): (&NodeId, Heartbeat),
+        shared: &SharedLimits,
+        now: Tick,
+    ) -> Option<LeaderUpdate> {
         let mut inner = self.inner.lock();
         if inner.term != term {
             // Another led in between, and may have given other parts.
             inner.sharers = None;
             inner.rollout = Rollout::default();
             inner.term = term;
-            inner.counted = shared.sharers;
+            inner.counted = shared.entry_hosts;
         }
         for (window, counts) in beat.began {
             let runs = inner.counts.entry(window).or_default();
@@ -86,29 +92,31 @@
         }
         inner.loads.insert(from.clone(), (now, beat.load));
         inner.signs.note(from, beat.signs, now);
-        let sharers = inner.sharers.get_or_insert_with(|| Sharers::new(shared.sharers, now));
+        let sharers = inner
+            .sharers
+            .get_or_insert_with(|| QuotaAllocator::new(shared.entry_hosts, now));
         sharers.set_quotas(&shared.quotas, &self.slack, now);
-        let portion = sharers.beat(from, now);
-        sharers.take_back(from, beat.run, beat.spare);
+        let portion = sharers.record_heartbeat(from, now);
+        sharers.collect_overflow(from, beat.run, beat.spare);
         let portion = portion?;
-        let parts = Parts {
+        let parts = QuotaShare {
             entries: portion.entries,
-            floor: portion.floor,
+            floor: portion.fraction,
         };
-        Some(News {
+        Some(LeaderUpdate {
             parts,
             list: inner.list.news(&beat.list, beat.max_listed, now),
             signs: inner.signs.others(from, now),
-            version: shared.version,
+            version: shared.catalog_version,
         })
     }
 
     /// Notes the version that an entry host holds; gives what has become worth telling of the rollout.
-    pub fn note_version(&self, from: &NodeId, held: u64, newest: u64, now: Tick) -> Option<Progress> {
+    pub fn record_version(&self, from: &NodeId, held: u64, newest: u64, now: Tick) -> Option<Progress> {
         let mut inner = self.inner.lock();
         inner.rollout.publish(newest, now);
-        inner.rollout.note(from, held, now);
-        gauge!("gentian_state_hosts_behind_count").set(inner.rollout.behind(now) as f64);
+        inner.rollout.record_version(from, held, now);
+        gauge!("gentian_state_hosts_behind_count").set(inner.rollout.hosts_behind(now) as f64);
         inner.rollout.report(now)
     }
 
@@ -120,9 +128,9 @@
     }
 
     /// Notes a reclaim that engines told of in a term; the list names their group as leaving at once.
-    pub fn note_reclaim(&self, term: u64, group: Group, ends: Tick, now: Tick) {
+    pub fn record_reclaim(&self, term: u64, group: ReclaimGroup, ends: Tick, now: Tick) {
         let mut inner = self.inner.lock();
-        inner.reclaims.note(group, ends, now);
+        inner.reclaims.record(group, ends, now);
         if let Some((list, asked)) = inner.list.list() {
             let mut list = list.to_vec();
             inner.reclaims.apply(&mut list, asked);
@@ -140,7 +148,7 @@
     /// Gives the number of those who share if it has changed since it was last asked for.
     pub fn changed_count(&self, now: Tick) -> Option<u32> {
         let mut inner = self.inner.lock();
-        let count = inner.sharers.as_ref()?.count(now);
+        let count = inner.sharers.as_ref()?.entry_count(now);
         let changed = count > 0 && count != inner.counted;
         if changed {
             inner.counted = count;
--- a/crates/state/tests/shared_news.rs
+++ b/crates/state/tests/shared_news.rs
@@ -4,8 +4,8 @@
 
 use contract::{Listed, NodeId, ServiceName, Zone};
 use policy::Tick;
-use state::registry::{Registry, Sharing};
-use wire::registry::{Beat, News, Sign};
+use state::registry::{EntryRegistry, SharedLimits};
+use wire::registry::{Heartbeat, LeaderUpdate, UpstreamObservation};
 
 const TERM: u64 = 3;
 
@@ -24,25 +24,25 @@
     }
 }
 
-fn beat(registry: &Registry, from: &str, beat: Beat, now_ms: u64) -> News {
-    let sharing = Sharing {
-        sharers: 2,
-        ..Sharing::default()
+fn beat(registry: &EntryRegistry, from: &str, beat: Heartbeat, now_ms: u64) -> LeaderUpdate {
+    let sharing = SharedLimits {
+        entry_hosts: 2,
+        ..SharedLimits::default()
     };
     let from = NodeId::from(from);
-    let news = registry.beat(TERM, (&from, beat), &sharing, Tick::from_millis(now_ms));
+    let news = registry.heartbeat(TERM, (&from, beat), &sharing, Tick::from_millis(now_ms));
     news.expect("the number of sharers was left by the leader before")
 }
 
-fn seen(id: &str, load: Option<(u32, u32, u32)>, backlog_ms: u32) -> Beat {
-    Beat {
-        signs: vec![Sign {
+fn seen(id: &str, load: Option<(u32, u32, u32)>, backlog_ms: u32) -> Heartbeat {
+    Heartbeat {
+        signs: vec![UpstreamObservation {
             id: id.to_owned(),
             load,
             backlog_ms,
             overdue_ms: 0,
         }],
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -50,28 +50,28 @@
 /// sees no more than its own requests; it is told what is left of the 800 ms.
 #[test]
 fn others_backlog() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     beat(&registry, "e1", seen("u", None, 800), 1_000);
-    let news = beat(&registry, "e2", Beat::default(), 1_300);
+    let news = beat(&registry, "e2", Heartbeat::default(), 1_300);
     assert_eq!((news.signs[0].id.as_str(), news.signs[0].backlog_ms), ("u", 500));
-    let own = beat(&registry, "e1", Beat::default(), 1_300);
+    let own = beat(&registry, "e1", Heartbeat::default(), 1_300);
     assert!(
         own.signs.is_empty(),
         "its own prompts come back to nobody: {:?}",
         own.signs
     );
-    assert!(beat(&registry, "e2", Beat::default(), 1_900).signs.is_empty());
+    assert!(beat(&registry, "e2", Heartbeat::default(), 1_900).signs.is_empty());
 }
 
-fn overdue(id: &str, overdue_ms: u32) -> Beat {
-    Beat {
-        signs: vec![Sign {
+fn overdue(id: &str, overdue_ms: u32) -> Heartbeat {
+    Heartbeat {
+        signs: vec![UpstreamObservation {
             id: id.to_owned(),
             load: None,
             backlog_ms: 0,
             overdue_ms,
         }],
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -80,54 +80,54 @@
 /// wait, and not the sum, since all of them wait in one queue.
 #[test]
 fn overdue_told() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     beat(&registry, "e1", overdue("u", 700), 1_000);
     beat(&registry, "e2", overdue("u", 900), 1_100);
-    let news = beat(&registry, "e3", Beat::default(), 1_200);
+    let news = beat(&registry, "e3", Heartbeat::default(), 1_200);
     assert_eq!((news.signs[0].backlog_ms, news.signs[0].overdue_ms), (0, 800));
-    assert!(beat(&registry, "e3", Beat::default(), 2_100).signs.is_empty());
+    assert!(beat(&registry, "e3", Heartbeat::default(), 2_100).signs.is_empty());
 }
 
 /// Two entry hosts saw an upstream's load at different times. The newest sight counts, whichever came last.
 #[test]
 fn newest_load() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     beat(&registry, "e1", seen("u", Some((9, 1, 50)), 0), 1_000);
     beat(&registry, "e2", seen("u", Some((2, 0, 400)), 0), 1_010);
-    let news = beat(&registry, "e3", Beat::default(), 1_100);
+    let news = beat(&registry, "e3", Heartbeat::default(), 1_100);
     assert_eq!(news.signs[0].load, Some((9, 1, 150)));
-    assert!(beat(&registry, "e3", Beat::default(), 5_000).signs.is_empty());
+    assert!(beat(&registry, "e3", Heartbeat::default(), 5_000).signs.is_empty());
 }
 
 /// A large deployment has thousands of upstreams. An answer names only the busiest, so that beats stay small.
 #[test]
 fn busiest_first() {
-    let registry = Registry::default();
-    let signs = (0..500).map(|at| Sign {
+    let registry = EntryRegistry::default();
+    let signs = (0..500).map(|at| UpstreamObservation {
         id: format!("u{at}"),
         load: Some((at, 0, 10)),
         backlog_ms: 0,
         overdue_ms: 0,
     });
-    let all = Beat {
+    let all = Heartbeat {
         signs: signs.collect(),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
     beat(&registry, "e1", all, 1_000);
-    let told = beat(&registry, "e2", Beat::default(), 1_100).signs;
+    let told = beat(&registry, "e2", Heartbeat::default(), 1_100).signs;
     assert_eq!((told.len(), told[0].id.as_str()), (64, "u499"));
 }
 
 /// The list is read every second, and how long upstreams are cold changes each time. Only what matters is sent again.
 #[test]
 fn list_when_changed() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     registry.set_list(TERM, vec![listed("u", false, 900)], Tick::from_millis(1_000));
-    let first = beat(&registry, "e1", Beat::default(), 1_100).list;
+    let first = beat(&registry, "e1", Heartbeat::default(), 1_100).list;
     assert_eq!((first.age_ms, first.whole, first.put.len()), (Some(100), true, 1));
-    let known = || Beat {
+    let known = || Heartbeat {
         list: first.mark.clone(),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
     registry.set_list(TERM, vec![listed("u", false, 0)], Tick::from_millis(2_000));
     let same = beat(&registry, "e1", known(), 2_100).list;
@@ -141,10 +141,10 @@
 /// entry hosts would keep the old list as if it were this one.
 #[test]
 fn numbers_of_leaders() {
-    let (old, new) = (Registry::default(), Registry::default());
+    let (old, new) = (EntryRegistry::default(), EntryRegistry::default());
     old.set_list(TERM, vec![listed("u", false, 0)], Tick::from_millis(1_000));
     new.set_list(TERM + 1, vec![listed("v", false, 0)], Tick::from_millis(1_000));
-    let number = |registry: &Registry| beat(registry, "e1", Beat::default(), 1_100).list.mark;
+    let number = |registry: &EntryRegistry| beat(registry, "e1", Heartbeat::default(), 1_100).list.mark;
     assert!(number(&new) > number(&old));
 }
 
@@ -152,7 +152,7 @@
 /// can no longer be moved. Entry hosts hear of it with the next beat, and the lagging list does not take it back.
 #[test]
 fn engines_tell_first() {
-    let registry = Registry::default();
+    let registry = EntryRegistry::default();
     let spot = |id: &str, zone: &str, leaving| Listed {
         zone: Zone::from(zone),
         reclaimable: true,
@@ -160,13 +160,13 @@
     };
     let ready = || vec![spot("u", "z", false), spot("v", "y", false), listed("w", false, 0)];
     let leaving = |now_ms| -> Vec<String> {
-        let list = beat(&registry, "e1", Beat::default(), now_ms).list.put;
+        let list = beat(&registry, "e1", Heartbeat::default(), now_ms).list.put;
         let leaving = list.into_iter().filter(|one| one.leaving && one.left.is_some());
         leaving.map(|one| one.id).collect()
     };
     registry.set_list(TERM, ready(), Tick::from_millis(1_000));
     let group = (ServiceName::from("m"), Zone::from("z"));
-    registry.note_reclaim(TERM, group, Tick::from_millis(2_100), Tick::from_millis(1_300));
+    registry.record_reclaim(TERM, group, Tick::from_millis(2_100), Tick::from_millis(1_300));
     assert_eq!(leaving(1_310), ["u"]);
     registry.set_list(TERM, ready(), Tick::from_millis(1_500));
     assert_eq!(leaving(1_510), ["u"]);
--- a/crates/telemetry/src/scrape.rs
+++ b/crates/telemetry/src/scrape.rs
@@ -1,27 +1,27 @@
-//! Metrics in the text format that scrapers read.
+//! Metrics in the Prometheus text format.
 
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 
-/// The metrics of the process.
+/// Handle to the metrics of the process.
 #[derive(Clone)]
-pub struct Scrape(PrometheusHandle);
+pub struct MetricsExporter(PrometheusHandle);
 
-impl std::fmt::Debug for Scrape {
+impl std::fmt::Debug for MetricsExporter {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Scrape")
     }
 }
 
-impl Scrape {
-    /// Installs the recorder of the process.
+impl MetricsExporter {
+    /// Installs the global metrics recorder of the process.
     ///
     /// # Errors
-    /// Fails when the process has a recorder already.
+    /// Fails if the process has a recorder already.
     pub fn install() -> Result<Self, BuildError> {
         PrometheusBuilder::new().install_recorder().map(Self)
     }
 
-    /// Renders every metric.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         self.0.run_upkeep();
--- a/crates/wire/tests/digest_codec.rs
+++ b/crates/wire/tests/digest_codec.rs
@@ -1,9 +1,9 @@
-//! Datagrams survive encoding, long digests are split without loss, and foreign bytes are refused without a panic.
+//! Encoding of digests: round trips, splitting without loss, and invalid datagrams, which must not cause a panic.
 
 use quickcheck::{Gen, QuickCheck};
-use wire::digest::{Amounts, Demand, Digest, DigestError, LoadDigest, MAX_DATAGRAM};
+use wire::digest::{Amounts, Demand, DigestError, GossipDigest, LoadDigest, MAX_DATAGRAM};
 
-fn sample() -> Digest {
+fn sample() -> GossipDigest {
     let wanted = Amounts {
         requests: 350,
         tokens: 80,
@@ -15,30 +15,30 @@
         running: 2,
         lent: Amounts::default(),
     };
-    Digest {
+    GossipDigest {
         from: "entry-1".into(),
         sequence: 7,
         demand: vec![demand],
-        ..Digest::default()
+        ..GossipDigest::default()
     }
 }
 
 #[test]
 fn round_trip() {
     let bytes = sample().encode().unwrap();
-    assert_eq!(Digest::decode(&bytes).unwrap(), sample());
+    assert_eq!(GossipDigest::decode(&bytes).unwrap(), sample());
 }
 
 #[test]
-fn foreign_bytes() {
-    fn holds(bytes: Vec<u8>) -> bool {
-        let _ = Digest::decode(&bytes);
+fn invalid_bytes() {
+    fn decodes(bytes: Vec<u8>) -> bool {
+        let _ = GossipDigest::decode(&bytes);
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(2_000, 11))
         .tests(2_000)
-        .quickcheck(holds as fn(Vec<u8>) -> bool);
+        .quickcheck(decodes as fn(Vec<u8>) -> bool);
 }
 
 #[test]
@@ -48,11 +48,11 @@
     assert!(matches!(digest.encode(), Err(DigestError::TooLong(_))));
 }
 
-/// A data centre with many upstreams polled by one entry host has more reports than one frame takes. If the rest were
-/// cut off, the same upstreams would look idle for ever and draw all requests.
+/// Guards against load reports that are cut off. An entry host that polls many upstreams has more reports than fit one
+/// datagram; the upstreams left out would look idle for ever and attract all requests.
 #[test]
-fn nothing_lost() {
-    fn holds(demands: u8, loads: u16) -> bool {
+fn lossless_split() {
+    fn lossless(demands: u8, loads: u16) -> bool {
         let mut digest = sample();
         let demand = |customer| Demand {
             customer,
@@ -65,7 +65,7 @@
         };
         digest.loads = (0..u32::from(loads % 2_000)).map(load).collect();
         let parts = digest.clone().split().unwrap();
-        let parts: Vec<Digest> = parts.iter().map(|bytes| Digest::decode(bytes).unwrap()).collect();
+        let parts: Vec<GossipDigest> = parts.iter().map(|bytes| GossipDigest::decode(bytes).unwrap()).collect();
         let demand: Vec<Demand> = parts.iter().flat_map(|part| part.demand.clone()).collect();
         let loads: Vec<LoadDigest> = parts.iter().flat_map(|part| part.loads.clone()).collect();
         let same = parts
@@ -76,5 +76,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(2_000, 12))
         .tests(200)
-        .quickcheck(holds as fn(u8, u16) -> bool);
+        .quickcheck(lossless as fn(u8, u16) -> bool);
 }
