--- a/crates/entry/src/admission/limits.rs
+++ b/crates/entry/src/admission/limits.rs
@@ -1,76 +1,77 @@
-//! Customers' limits: what they ask for here, and the part of their limits that this host may admit.
+//! Customers' rate and concurrency limits: measures the demand at this host and admits requests up to this host's part
+//! of each limit, plus what peers lend it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use contract::{Config, Contract, CustomerId, Limits};
+use contract::{Config, Contract, CustomerId, CustomerLimits};
 use policy::Tick;
 use policy::limits::{Bucket, CustomerShare, DemandMeter, LimitAmounts, PeerDemand, owned_part};
 use wire::digest::{self, Demand};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Shortest time after which a caller over the limit of running requests is asked to come back.
-const SHORTEST: Duration = Duration::from_millis(100);
-/// Hundredths of requests, in which digests count them.
-const HUNDREDTHS: f64 = 100.0;
+/// Shortest retry-after for a caller that is over its concurrency limit.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Digests carry request rates in hundredths of a request per second.
+const REQUEST_SCALE: f64 = 100.0;
 
-/// All customers' limits at this host.
+/// The limits of all customers at this host.
 #[derive(Debug)]
-pub(super) struct Customers {
-    hosts: u32,
-    rank: u32,
-    meters: HashMap<CustomerId, Meter>,
-    keys: HashMap<u32, CustomerId>,
+pub(super) struct LimitTable {
+    host_count: u32,
+    host_rank: u32,
+    meters: HashMap<CustomerId, CustomerMeter>,
+    by_key: HashMap<u32, CustomerId>,
 }
 
-/// One customer's limits at this host.
+/// One customer's limits, demand and running requests at this host.
 #[derive(Debug)]
-struct Meter {
-    limits: Limits,
+struct CustomerMeter {
+    limits: CustomerLimits,
     share: CustomerShare,
     requests: Bucket,
     tokens: Bucket,
-    asked: DemandMeter,
-    work: DemandMeter,
-    /// Requests a second that found the limit of running ones used up.
-    turned: DemandMeter,
+    request_demand: DemandMeter,
+    token_demand: DemandMeter,
+    /// Requests a second that were rejected because the concurrency limit was used up.
+    rejections: DemandMeter,
     running: u32,
 }
 
-impl Default for Customers {
+impl Default for LimitTable {
     fn default() -> Self {
         Self {
-            hosts: 1,
-            rank: 0,
+            host_count: 1,
+            host_rank: 0,
             meters: HashMap::new(),
-            keys: HashMap::new(),
+            by_key: HashMap::new(),
         }
     }
 }
 
-impl Customers {
-    /// Takes a request from a customer's limits, or gives the time after which it is worth asking again.
-    pub(super) fn take(
+impl LimitTable {
+    /// Charges a request to a customer's limits.
+    ///
+    /// # Errors
+    /// Returns the time after which a retry is worthwhile if a limit is used up.
+    pub(super) fn charge(
         &mut self,
         contract: &Contract,
         tokens: f64,
-        next_place: Duration,
+        slot_wait: Duration,
         now: Tick,
     ) -> Result<(), Duration> {
-        let (hosts, rank) = (self.hosts, self.rank);
+        let (hosts, rank) = (self.host_count, self.host_rank);
         if !self.meters.contains_key(&contract.customer) {
-            self.add(contract, now);
+            self.add_customer(contract, now);
         }
-        let meter = self
-            .meters
-            .get_mut(&contract.customer)
-            .expect("it was added just before");
+        let meter = self.meters.get_mut(&contract.customer).expect("inserted above");
         meter.limits = contract.limits;
-        meter.take(owned_part(&contract.limits, hosts, rank), tokens, next_place, now)
+        meter.charge(owned_part(&contract.limits, hosts, rank), tokens, slot_wait, now)
     }
 
-    /// Gives back what a request took that was not run.
-    pub(super) fn give_back(&mut self, customer: &CustomerId, tokens: f64) {
+    /// Refunds the charge of a request that was not run.
+    pub(super) fn refund(&mut self, customer: &CustomerId, tokens: f64) {
         if let Some(meter) = self.meters.get_mut(customer) {
             meter.running = meter.running.saturating_sub(1);
             meter.requests.correct(1.0);
@@ -78,51 +79,52 @@
         }
     }
 
-    /// Gives back tokens that were not used, or takes those that were used beyond.
-    pub(super) fn correct(&mut self, customer: &CustomerId, tokens: f64) {
+    /// Refunds tokens that were charged but not used; a negative amount charges tokens that were used beyond the
+    /// estimate.
+    pub(super) fn adjust_tokens(&mut self, customer: &CustomerId, tokens: f64) {
         if let Some(meter) = self.meters.get_mut(customer) {
             meter.tokens.correct(tokens);
         }
     }
 
-    /// Notes that a request ended.
-    pub(super) fn ended(&mut self, customer: &CustomerId) {
+    /// Releases the concurrency slot of a request that ended.
+    pub(super) fn release(&mut self, customer: &CustomerId) {
         if let Some(meter) = self.meters.get_mut(customer) {
             meter.running = meter.running.saturating_sub(1);
         }
     }
 
-    /// Takes over contracts and the place of this host among all.
+    /// Applies the contracts of a configuration and the position of this host among all entry hosts.
     ///
-    /// Customers that have no callers here are known too: their part can be lent.
-    pub(super) fn refresh(&mut self, config: &Config, hosts: u32, rank: u32, now: Tick) {
-        (self.hosts, self.rank) = (hosts, rank);
+    /// Customers without callers at this host are tracked too, because their part of the limits can be lent to peers.
+    pub(super) fn apply_config(&mut self, config: &Config, hosts: u32, rank: u32, now: Tick) {
+        (self.host_count, self.host_rank) = (hosts, rank);
         for contract in config.contracts.values() {
             match self.meters.get_mut(&contract.customer) {
                 Some(meter) => meter.limits = contract.limits,
-                None => self.add(contract, now),
+                None => self.add_customer(contract, now),
             }
         }
         self.meters
             .retain(|customer, meter| meter.running > 0 || config.contracts.contains_key(customer));
         let meters = &self.meters;
-        self.keys.retain(|_, customer| meters.contains_key(customer));
+        self.by_key.retain(|_, customer| meters.contains_key(customer));
     }
 
-    /// Gives what a peer is told, and lends it what it lacks and this host doesn't need.
-    pub(super) fn tell(&mut self, peer: u32, now: Tick) -> Vec<Demand> {
-        let (hosts, rank) = (self.hosts, self.rank);
-        let rows = self.keys.iter().filter_map(|(key, customer)| {
+    /// Returns the demand rows for a peer and lends the peer what it lacks and this host does not need.
+    pub(super) fn demand_for(&mut self, peer: u32, now: Tick) -> Vec<Demand> {
+        let (hosts, rank) = (self.host_count, self.host_rank);
+        let rows = self.by_key.iter().filter_map(|(key, customer)| {
             let meter = self.meters.get_mut(customer)?;
-            let own = meter.wanted(now);
+            let own_demand = meter.demand(now);
             let lent = meter
                 .share
-                .grant(peer, owned_part(&meter.limits, hosts, rank), own, now);
+                .grant(peer, owned_part(&meter.limits, hosts, rank), own_demand, now);
             let row = Demand {
                 customer: *key,
-                wanted: rounded_up(own),
+                wanted: to_wire(own_demand),
                 running: meter.running,
-                lent: rounded_down(lent),
+                lent: to_wire_floor(lent),
             };
             let idle = Demand {
                 customer: *key,
@@ -133,103 +135,107 @@
         rows.collect()
     }
 
-    /// Takes in what a peer tells; returns whether it lacks something that this host could lend.
-    pub(super) fn hear(&mut self, peer: u32, rows: &[Demand], asked: Option<Tick>, now: Tick) -> bool {
-        let mut lacks = false;
+    /// Records a peer's demand and its loans to this host. `asked` is the time at which this host sent the demand that
+    /// the loans answer; without it the loans don't count.
+    ///
+    /// Returns whether the peer lacks something that this host could lend.
+    pub(super) fn record_demand(&mut self, peer: u32, rows: &[Demand], demand_sent: Option<Tick>, now: Tick) -> bool {
+        let mut needs_loan = false;
         for row in rows {
-            let customer = self.keys.get(&row.customer);
+            let customer = self.by_key.get(&row.customer);
             let Some(meter) = customer.and_then(|customer| self.meters.get_mut(customer)) else {
                 continue;
             };
-            let told = PeerDemand {
-                wanted: read(&row.wanted),
+            let peer_demand = PeerDemand {
+                demand: from_wire(&row.wanted),
                 running: f64::from(row.running),
             };
-            meter.share.record_demand(peer, told, now);
-            if let Some(asked) = asked {
-                meter.share.borrow(peer, read(&row.lent), asked);
+            meter.share.record_demand(peer, peer_demand, now);
+            if let Some(demand_sent) = demand_sent {
+                meter.share.borrow(peer, from_wire(&row.lent), demand_sent);
             }
-            let part = owned_part(&meter.limits, self.hosts, self.rank).to_array();
-            let (own, its) = (meter.wanted(now).to_array(), told.wanted.to_array());
-            lacks |= (0..part.len()).any(|at| its[at] > part[at] && own[at] < part[at]);
+            let part = owned_part(&meter.limits, self.host_count, self.host_rank).to_array();
+            let (own_demand, peer_wanted) = (meter.demand(now).to_array(), peer_demand.demand.to_array());
+            needs_loan |=
+                (0..part.len()).any(|index| peer_wanted[index] > part[index] && own_demand[index] < part[index]);
         }
-        lacks
+        needs_loan
     }
 
-    fn add(&mut self, contract: &Contract, now: Tick) {
-        let part = owned_part(&contract.limits, self.hosts, self.rank);
-        let meter = Meter {
+    fn add_customer(&mut self, contract: &Contract, now: Tick) {
+        let part = owned_part(&contract.limits, self.host_count, self.host_rank);
+        let meter = CustomerMeter {
             limits: contract.limits,
-            share: CustomerShare::new(self.hosts <= 1, now),
+            share: CustomerShare::new(self.host_count <= 1, now),
             requests: Bucket::new(part.requests, now),
             tokens: Bucket::new(part.tokens, now),
-            asked: DemandMeter::default(),
-            work: DemandMeter::default(),
-            turned: DemandMeter::default(),
+            request_demand: DemandMeter::default(),
+            token_demand: DemandMeter::default(),
+            rejections: DemandMeter::default(),
             running: 0,
         };
-        self.keys
-            .insert(customer_key(&contract.customer), contract.customer.clone());
+        self.by_key
+            .insert(digest_key(&contract.customer), contract.customer.clone());
         self.meters.insert(contract.customer.clone(), meter);
     }
 }
 
-impl Meter {
-    fn take(&mut self, part: LimitAmounts, tokens: f64, next_place: Duration, now: Tick) -> Result<(), Duration> {
-        self.asked.add(1.0, now);
-        self.work.add(tokens, now);
+impl CustomerMeter {
+    fn charge(&mut self, part: LimitAmounts, tokens: f64, slot_wait: Duration, now: Tick) -> Result<(), Duration> {
+        self.request_demand.add(1.0, now);
+        self.token_demand.add(tokens, now);
         let usable = self.share.usable(part, now);
         self.requests.set_rate(usable.requests, now);
         self.tokens.set_rate(usable.tokens, now);
-        // Waiting requests count as running: they will be soon.
+        // Requests that wait for a slot count as running, because they will run soon.
         if f64::from(self.running) + 1.0 > usable.running {
-            self.turned.add(1.0, now);
-            return Err(next_place.max(SHORTEST));
+            self.rejections.add(1.0, now);
+            return Err(slot_wait.max(MIN_RETRY_AFTER));
         }
         self.requests.take(1.0, now)?;
-        if let Err(after) = self.tokens.take(tokens, now) {
+        if let Err(wait) = self.tokens.take(tokens, now) {
             self.requests.correct(1.0);
-            return Err(after);
+            return Err(wait);
         }
         self.running += 1;
         Ok(())
     }
 
-    fn wanted(&self, now: Tick) -> LimitAmounts {
+    fn demand(&self, now: Tick) -> LimitAmounts {
         LimitAmounts {
-            requests: self.asked.rate(now),
-            tokens: self.work.rate(now),
-            running: (f64::from(self.running) + self.turned.rate(now)).round(),
+            requests: self.request_demand.rate(now),
+            tokens: self.token_demand.rate(now),
+            running: (f64::from(self.running) + self.rejections.rate(now)).round(),
         }
     }
 }
 
-/// Gives the key by which digests name a customer.
-fn customer_key(customer: &CustomerId) -> u32 {
+/// Returns the 32-bit hash by which digests identify a customer.
+fn digest_key(customer: &CustomerId) -> u32 {
     xxh3_64(customer.as_str().as_bytes()) as u32
 }
 
-fn rounded_up(amounts: LimitAmounts) -> digest::Amounts {
+fn to_wire(amounts: LimitAmounts) -> digest::Amounts {
     digest::Amounts {
-        requests: (amounts.requests * HUNDREDTHS).round() as u32,
+        requests: (amounts.requests * REQUEST_SCALE).round() as u32,
         tokens: amounts.tokens.round() as u32,
         running: amounts.running.ceil() as u32,
     }
 }
 
-/// Rounds what is lent down, so that the borrower never uses more than the lender counts.
-fn rounded_down(amounts: LimitAmounts) -> digest::Amounts {
+/// Rounds loans down, so that the borrower never uses more than the lender deducts.
+fn to_wire_floor(amounts: LimitAmounts) -> digest::Amounts {
     digest::Amounts {
-        requests: (amounts.requests * HUNDREDTHS).floor() as u32,
+        requests: (amounts.requests * REQUEST_SCALE).floor() as u32,
         tokens: amounts.tokens.floor() as u32,
         running: amounts.running.floor() as u32,
     }
 }
 
-/// Reads amounts of a digest.
-fn read(amounts: &digest::Amounts) -> LimitAmounts {
+/// Converts amounts from the units of a digest.
+fn from_wire(amounts: &digest::Amounts) -> LimitAmounts {
     LimitAmounts {
-        requests: f64::from(amounts.requests) / HUNDREDTHS,
+        requests: f64::from(amounts.requests) / REQUEST_SCALE,
         tokens: f64::from(amounts.tokens),
         running: f64::from(amounts.running),
     }
--- a/crates/entry/src/callers/http/reply.rs
+++ b/crates/entry/src/callers/http/reply.rs
@@ -1,4 +1,4 @@
-//! What goes back to a caller.
+//! HTTP responses to callers.
 
 use std::borrow::Cow;
 use std::fmt::Write as _;
@@ -7,7 +7,7 @@
 
 use super::Head;
 
-/// A whole answer.
+/// A response that is sent at once.
 #[derive(Clone, Debug)]
 pub(in crate::callers) struct Reply {
     status: u16,
@@ -15,27 +15,31 @@
     body: Vec<u8>,
 }
 
-/// An answer that is sent piece by piece.
+/// A response whose body is sent in pieces.
 #[derive(Debug)]
-pub(in crate::callers) struct Chunks<'a> {
+pub(in crate::callers) struct ChunkedReply<'a> {
     stream: &'a TcpStream,
-    framed: bool,
-    frame: Vec<u8>,
+    is_chunked: bool,
+    chunk_buffer: Vec<u8>,
 }
 
 impl Reply {
-    /// Makes an answer.
-    pub(in crate::callers) fn new(status: u16, media: &str, body: Vec<u8>) -> Self {
+    /// Creates a response with a body of media type `media_type`.
+    pub(in crate::callers) fn new(status: u16, media_type: &str, body: Vec<u8>) -> Self {
         let reply = Self {
             status,
             headers: Vec::new(),
             body,
         };
-        reply.with("Content-Type", media)
+        reply.with_header("Content-Type", media_type)
     }
 
-    /// Adds a header; one that could break the framing is left out.
-    pub(in crate::callers) fn with(mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) -> Self {
+    /// Adds a header; a value with control characters is left out, because it could break the framing.
+    pub(in crate::callers) fn with_header(
+        mut self,
+        name: impl Into<Cow<'static, str>>,
+        value: impl Into<String>,
+    ) -> Self {
         let value = value.into();
         if !value.bytes().any(|byte| byte.is_ascii_control()) {
             self.headers.push((name.into(), value));
@@ -43,37 +47,42 @@
         self
     }
 
-    /// Sends the answer with one write.
+    /// Sends the response with a single write.
     ///
     /// # Errors
-    /// Fails when the caller has gone away or doesn't take it.
-    pub(in crate::callers) fn send(&self, mut stream: &TcpStream, head: Option<&Head>, keep: bool) -> io::Result<()> {
-        let mut bytes = start(self.status, &self.headers, keep);
-        let empty = matches!(self.status, 100..200 | 204 | 304);
-        if !empty {
+    /// Fails if the connection is closed or the write times out.
+    pub(in crate::callers) fn send(
+        &self,
+        mut stream: &TcpStream,
+        head: Option<&Head>,
+        keep_alive: bool,
+    ) -> io::Result<()> {
+        let mut bytes = head_bytes(self.status, &self.headers, keep_alive);
+        let no_body = matches!(self.status, 100..200 | 204 | 304);
+        if !no_body {
             write!(bytes, "Content-Length: {}\r\n", self.body.len())?;
         }
         bytes.extend_from_slice(b"\r\n");
-        if !empty && head.is_none_or(|head| head.method != "HEAD") {
+        if !no_body && head.is_none_or(|head| head.method != "HEAD") {
             bytes.extend_from_slice(&self.body);
         }
         stream.write_all(&bytes)
     }
 }
 
-impl<'a> Chunks<'a> {
-    /// Sends the head of an answer whose pieces follow.
+impl<'a> ChunkedReply<'a> {
+    /// Sends the head; the pieces of the body follow.
     ///
     /// # Errors
-    /// Fails when the caller has gone away.
+    /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn begin(
         mut stream: &'a TcpStream,
         head: &Head,
         headers: &[(Cow<'static, str>, String)],
-        keep: bool,
+        keep_alive: bool,
     ) -> io::Result<Self> {
-        let mut bytes = start(200, headers, keep && head.chunks);
-        let framing: &[u8] = if head.chunks {
+        let mut bytes = head_bytes(200, headers, keep_alive && head.accepts_chunks);
+        let framing: &[u8] = if head.accepts_chunks {
             b"Transfer-Encoding: chunked\r\n\r\n"
         } else {
             b"\r\n"
@@ -82,32 +91,32 @@
         stream.write_all(&bytes)?;
         Ok(Self {
             stream,
-            framed: head.chunks,
-            frame: Vec::new(),
+            is_chunked: head.accepts_chunks,
+            chunk_buffer: Vec::new(),
         })
     }
 
-    /// Sends a piece at once, with one write.
+    /// Sends a piece with a single write, as one chunk if the caller supports it.
     ///
     /// # Errors
-    /// Fails when the caller has gone away or doesn't take it.
-    pub(in crate::callers) fn piece(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if !self.framed {
+    /// Fails if the connection is closed or the write times out.
+    pub(in crate::callers) fn send_piece(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if !self.is_chunked {
             return self.stream.write_all(bytes);
         }
-        self.frame.clear();
-        write!(self.frame, "{:x}\r\n", bytes.len())?;
-        self.frame.extend_from_slice(bytes);
-        self.frame.extend_from_slice(b"\r\n");
-        self.stream.write_all(&self.frame)
+        self.chunk_buffer.clear();
+        write!(self.chunk_buffer, "{:x}\r\n", bytes.len())?;
+        self.chunk_buffer.extend_from_slice(bytes);
+        self.chunk_buffer.extend_from_slice(b"\r\n");
+        self.stream.write_all(&self.chunk_buffer)
     }
 
-    /// Ends the answer.
+    /// Ends the body.
     ///
     /// # Errors
-    /// Fails when the caller has gone away.
+    /// Fails if the connection is closed or the write times out.
     pub(in crate::callers) fn end(mut self) -> io::Result<()> {
-        if self.framed {
+        if self.is_chunked {
             self.stream.write_all(b"0\r\n\r\n")
         } else {
             Ok(())
@@ -115,19 +124,19 @@
     }
 }
 
-fn start(status: u16, headers: &[(Cow<'static, str>, String)], keep: bool) -> Vec<u8> {
-    let mut text = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+fn head_bytes(status: u16, headers: &[(Cow<'static, str>, String)], keep_alive: bool) -> Vec<u8> {
+    let mut text = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
-        // Writing to a string cannot fail.
+        // Writing to a string never fails.
         let _ = write!(text, "{name}: {value}\r\n");
     }
-    if !keep {
+    if !keep_alive {
         text.push_str("Connection: close\r\n");
     }
     text.into_bytes()
 }
 
-const fn reason(status: u16) -> &'static str {
+const fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -147,7 +156,7 @@
         502 => "Bad Gateway",
         503 => "Service Unavailable",
         504 => "Gateway Timeout",
-        // The reason is for people; any text will do.
+        // The reason phrase has no meaning to clients.
         _ => "Status",
     }
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! Everything that the threads of an entry host share.
+//! The state that the threads of an entry host share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,163 +18,164 @@
 use upstream::service::ServiceClient;
 use wire::client::{CallError, RpcRuntime, StateClient};
 
+use crate::active_config::{ActiveConfig, ConfigView};
 use crate::admission::Admission;
-use crate::callers::Shared;
-use crate::current::{Current, View};
-use crate::exchange::Live;
-use crate::fleet::Fleet;
+use crate::callers::RequestCounts;
+use crate::exchange::LiveHosts;
 use crate::journal::Journals;
-use crate::peers::Peers;
-use crate::rescue::Rescue;
+use crate::peers::PeerClients;
+use crate::rescue::StreamRescue;
 use crate::settings::Settings;
+use crate::upstreams::Upstreams;
 
-/// Longest wait for a connection to an upstream.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Retries that each first attempt which succeeds pays for.
-const RETRY_SHARE: f64 = 0.2;
+/// Timeout of connecting to an upstream.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Retries that each successful first attempt adds to the budget.
+const RETRIES_PER_SUCCESS: f64 = 0.2;
 
 /// The shared state of an entry host.
 #[derive(Debug)]
-pub struct Entry {
-    /// Checked settings.
+pub struct EntryHost {
+    /// Validated settings.
     pub settings: Settings,
-    /// The clock of the process.
+    /// Monotonic clock that all ticks come from.
     pub clock: Clock,
-    /// The root logger.
+    /// Root logger.
     pub logger: Logger,
-    /// The configuration in force.
-    pub current: Arc<Current>,
-    /// Admission of requests.
+    /// The active configuration.
+    pub config: Arc<ActiveConfig>,
+    /// Admission control of requests.
     pub admission: Admission,
-    /// What is known of the upstreams.
-    pub fleet: Fleet,
-    /// The entry hosts that were heard lately.
-    pub live: ArcSwap<Live>,
-    /// Streamed answers.
+    /// Runtime state of the upstreams.
+    pub upstreams: Upstreams,
+    /// The entry hosts that are live, set by the digest exchange.
+    pub live_hosts: ArcSwap<LiveHosts>,
+    /// Answers by request id, open and recently ended.
     pub journals: Journals,
-    /// What the burn report counts.
-    pub burn: RequestCounters,
-    /// The state group.
-    pub state: StateClient,
-    /// Engines.
-    pub engines: EngineClient,
-    /// The other entry hosts.
-    pub peers: Peers,
-    /// What the connections of all callers share.
-    pub callers: Shared,
-    /// Streams that may have to move.
-    pub rescue: Rescue,
-    /// The budget for retries.
-    pub retries: Mutex<RetryBudget>,
-    /// Services.
-    pub services: ServiceClient,
-    /// Whether the host is leaving; the balancer is told, and new work is still taken until it has noticed.
+    /// Counts for the burn report.
+    pub burn_counts: RequestCounters,
+    /// Client of the state group.
+    pub state_client: StateClient,
+    /// Client for the KV cache transfer of engines.
+    pub engine_client: EngineClient,
+    /// Clients of the other entry hosts.
+    pub peers: PeerClients,
+    /// Counters of callers' connections and requests.
+    pub request_counts: RequestCounts,
+    /// Running attempts that may have to move off a leaving host.
+    pub rescue: StreamRescue,
+    /// Retry budget of all requests.
+    pub retry_budget: Mutex<RetryBudget>,
+    /// Client of plain services.
+    pub service_client: ServiceClient,
+    /// Whether this host is leaving. Readiness is then false, but requests are served until the load balancer has
+    /// noticed.
     pub leaving: AtomicBool,
-    /// Whether new work is refused.
+    /// Whether new requests are refused.
     pub refusing: AtomicBool,
-    going: Mutex<Option<Going>>,
-    /// Whether the process was told to leave.
-    pub told: AtomicBool,
-    /// Whether the threads are to end.
+    announced_end: Mutex<Option<AnnouncedEnd>>,
+    /// Whether a signal about this host asks the process to leave.
+    pub leave_requested: AtomicBool,
+    /// Whether all threads must exit.
     pub stop: AtomicBool,
     started_ms: u64,
-    requests: AtomicU64,
+    next_request: AtomicU64,
 }
 
 /// The announced end of this host.
 #[derive(Clone, Copy, Debug)]
-struct Going {
-    noticed: Tick,
-    gone: Tick,
+struct AnnouncedEnd {
+    noticed_at: Tick,
+    gone_at: Tick,
 }
 
-impl Entry {
-    /// Makes the shared state.
+impl EntryHost {
+    /// Creates the shared state.
     ///
     /// # Errors
-    /// Fails when an address of the state group can't be used.
+    /// Fails if no client can be created for an address of the state group or of a peer.
     pub fn new(settings: Settings, logger: Logger, calls: &RpcRuntime) -> Result<Self, CallError> {
         let clock = Clock::start();
-        let state = StateClient::new(calls, &settings.node, &settings.state)?;
+        let state_client = StateClient::new(calls, &settings.node, &settings.state)?;
         let rules = RoutingRules {
             routing: settings.routing,
             without: settings.without.clone(),
         };
-        let fleet = Fleet::new(clock.clone(), rules, settings.data_center.clone());
+        let upstreams = Upstreams::new(clock.clone(), rules, settings.data_center.clone());
         let admission = Admission::new(clock.clone(), settings.running, settings.waiting);
         let others = settings.peers.iter().filter(|peer| **peer != settings.inner);
-        admission.refresh(&View::default(), others.count() as u32 + 1, 0);
-        let live = Live::new(&settings.data_center, &settings.node);
+        admission.apply_config(&ConfigView::default(), others.count() as u32 + 1, 0);
+        let live = LiveHosts::new(&settings.data_center, &settings.node);
         Ok(Self {
             admission,
-            live: ArcSwap::from_pointee(live),
+            live_hosts: ArcSwap::from_pointee(live),
             clock,
             logger,
-            current: Arc::default(),
-            fleet,
+            config: Arc::default(),
+            upstreams,
             journals: Journals::default(),
-            burn: RequestCounters::default(),
-            state,
-            engines: EngineClient::new(CONNECT),
-            peers: Peers::new(calls, &settings.node, &settings.peers)?,
-            callers: Shared::default(),
-            rescue: Rescue::default(),
-            retries: Mutex::new(RetryBudget::new(RETRY_SHARE)),
-            services: ServiceClient::new(CONNECT),
+            burn_counts: RequestCounters::default(),
+            state_client,
+            engine_client: EngineClient::new(CONNECT_TIMEOUT),
+            peers: PeerClients::new(calls, &settings.node, &settings.peers)?,
+            request_counts: RequestCounts::default(),
+            rescue: StreamRescue::default(),
+            retry_budget: Mutex::new(RetryBudget::new(RETRIES_PER_SUCCESS)),
+            service_client: ServiceClient::new(CONNECT_TIMEOUT),
             leaving: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
-            going: Mutex::new(None),
+            announced_end: Mutex::new(None),
             settings,
-            told: AtomicBool::new(false),
+            leave_requested: AtomicBool::new(false),
             stop: AtomicBool::new(false),
             started_ms: wall_ms(),
-            requests: AtomicU64::new(0),
+            next_request: AtomicU64::new(0),
         })
     }
 
-    /// Notes that this host will be taken away; an earlier end replaces a later one.
-    pub fn will_go(&self, left: Duration) {
-        let noticed = self.clock.now();
-        let gone = noticed + left;
-        let mut going = self.going.lock();
-        if going.is_none_or(|known| gone < known.gone) {
-            *going = Some(Going { noticed, gone });
+    /// Records that this host will be gone after `left`; an earlier end replaces a later one.
+    pub fn announce_end(&self, left: Duration) {
+        let noticed_at = self.clock.now();
+        let gone_at = noticed_at + left;
+        let mut announced = self.announced_end.lock();
+        if announced.is_none_or(|known| gone_at < known.gone_at) {
+            *announced = Some(AnnouncedEnd { noticed_at, gone_at });
         }
     }
 
-    /// Gives the time at which this host will be gone, if that was announced.
+    /// Returns the announced end of this host, if there is one.
     pub fn gone_at(&self) -> Option<Tick> {
-        self.going.lock().map(|going| going.gone)
+        self.announced_end.lock().map(|announced| announced.gone_at)
     }
 
-    /// Gives the time at which the end of this host was announced.
+    /// Returns when the end of this host was announced; without an announcement, the current time.
     pub fn noticed_at(&self) -> Tick {
-        self.going
+        self.announced_end
             .lock()
-            .map_or_else(|| self.clock.now(), |going| going.noticed)
+            .map_or_else(|| self.clock.now(), |announced| announced.noticed_at)
     }
 
-    /// Tells whether the threads are to end.
+    /// Returns whether all threads must exit.
     #[must_use]
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Tells whether the process takes no new work.
+    /// Returns whether this host is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Gives a number by which this process is told from earlier ones of the same name.
+    /// Returns a number that distinguishes this process from earlier ones of the same name; it only grows.
     #[must_use]
     pub const fn incarnation(&self) -> u64 {
         self.started_ms
     }
 
-    /// Makes a request id that no other entry host and no earlier process of this one has used.
-    pub fn request_id(&self) -> RequestId {
-        let count = self.requests.fetch_add(1, Ordering::Relaxed);
+    /// Creates a request id that no other entry host and no earlier process of this one has used.
+    pub fn new_request_id(&self) -> RequestId {
+        let count = self.next_request.fetch_add(1, Ordering::Relaxed);
         RequestId::from(format!("{}-{:x}-{count}", self.settings.node, self.started_ms))
     }
 }
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -1,86 +1,86 @@
-//! What was already made of each answer, so that a caller can resume by request id.
+//! The tokens generated so far for each request, so that a caller can resume by request id.
 
-mod kept;
+mod table;
 
 use contract::{AccountName, CustomerId};
 use parking_lot::{Condvar, Mutex};
 use policy::route::Choice;
 use upstream::engine::ChatRequest;
 
-pub use kept::Journals;
+pub use table::Journals;
 
-/// Stands between customer and account; names can't contain it, so that no two accounts look the same.
+/// Separates customer and account. Names can't contain it, so that two different accounts never give the same text.
 const SEPARATOR: char = ' ';
 
-/// Gives the account that owns a request as one text.
+/// Returns the owner of a request, customer and account, as one string.
 #[must_use]
 pub fn owner(customer: &CustomerId, account: &AccountName) -> String {
     format!("{customer}{SEPARATOR}{account}")
 }
 
-/// The answer to one request as far as it was made.
+/// The answer to one request so far.
 #[derive(Debug)]
 pub struct Journal {
-    /// Customer and account that asked.
+    /// The customer and account that made the request, joined by [`owner`].
     pub owner: String,
-    part: Mutex<Made>,
+    answer: Mutex<AnswerText>,
     choices: Mutex<Vec<Choice>>,
-    place: Mutex<Place>,
-    moved: Condvar,
+    location: Mutex<Location>,
+    handover_done: Condvar,
 }
 
-/// Where the answer is made.
+/// Where the answer is generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    /// By this process.
+enum Location {
+    /// In this process.
     Here,
-    /// A peer is being asked to go on with it.
+    /// In transfer: a peer is being asked to continue it.
     Moving,
-    /// By a peer.
+    /// In a peer.
     Elsewhere,
 }
 
-/// Tokens as one text, with the end of each; a text for each token would cost five times the memory.
+/// All tokens as one string with the end offset of each; a string for each token would take five times the memory.
 #[derive(Debug, Default)]
-struct Made {
+struct AnswerText {
     text: String,
     ends: Vec<u32>,
-    ask: Option<ChatRequest>,
-    whole: bool,
+    request: Option<ChatRequest>,
+    complete: bool,
     failed: bool,
 }
 
-/// A part of an answer.
+/// The part of an answer from some token on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Part {
-    /// Tokens in order.
+pub struct AnswerPart {
+    /// The tokens in order.
     pub tokens: Vec<String>,
-    /// Whether the answer is whole.
-    pub whole: bool,
-    /// Whether it ended without being whole.
+    /// Whether the answer is complete.
+    pub complete: bool,
+    /// Whether the answer ended incomplete.
     pub failed: bool,
 }
 
-/// An answer that a peer makes now.
+/// The error of an operation on an answer that a peer has taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moved;
+pub struct TakenOver;
 
 impl Journal {
-    fn new(owner: String, ask: &ChatRequest) -> Self {
-        let made = Made {
-            ask: Some(ask.clone()),
-            ..Made::default()
+    fn new(owner: String, request: &ChatRequest) -> Self {
+        let answer = AnswerText {
+            request: Some(request.clone()),
+            ..AnswerText::default()
         };
         Self {
             owner,
-            part: Mutex::new(made),
+            answer: Mutex::new(answer),
             choices: Mutex::default(),
-            place: Mutex::new(Place::Here),
-            moved: Condvar::new(),
+            location: Mutex::new(Location::Here),
+            handover_done: Condvar::new(),
         }
     }
 
-    /// Gives the customer that asked.
+    /// Returns the customer that made the request.
     #[must_use]
     pub fn customer(&self) -> CustomerId {
         self.owner.split(SEPARATOR).next().unwrap_or_default().into()
@@ -88,123 +88,124 @@
 
     /// Appends a token.
     ///
-    /// While a peer is being asked to go on with the answer, this waits for the peer's word: a token that was sent to
-    /// the caller after the peer had its copy would be made a second time, and the caller would see two answers mixed.
+    /// While a peer is being asked to continue the answer, this waits for the peer's reply. If a token went to the
+    /// caller after the peer got its copy, the peer would generate that position again, and the caller would see two
+    /// answers mixed.
     ///
     /// # Errors
-    /// Fails when a peer goes on with the answer.
-    pub fn push(&self, token: &str) -> Result<(), Moved> {
-        let _place = self.settled()?;
-        let mut made = self.part.lock();
-        made.text.push_str(token);
-        let end = made.text.len() as u32;
-        made.ends.push(end);
+    /// Fails if a peer has taken over the answer.
+    pub fn push(&self, token: &str) -> Result<(), TakenOver> {
+        let _location = self.lock_here()?;
+        let mut answer = self.answer.lock();
+        answer.text.push_str(token);
+        let end = answer.text.len() as u32;
+        answer.ends.push(end);
         Ok(())
     }
 
-    /// Notes how the answer ended.
+    /// Records whether the answer ended complete.
     ///
     /// # Errors
-    /// Fails when a peer goes on with the answer.
-    pub fn end(&self, whole: bool) -> Result<(), Moved> {
-        let _place = self.settled()?;
-        let mut made = self.part.lock();
-        made.whole = whole;
-        made.failed = !whole;
-        made.ask = None;
+    /// Fails if a peer has taken over the answer.
+    pub fn end(&self, complete: bool) -> Result<(), TakenOver> {
+        let _location = self.lock_here()?;
+        let mut answer = self.answer.lock();
+        answer.complete = complete;
+        answer.failed = !complete;
+        answer.request = None;
         Ok(())
     }
 
-    /// Hands the answer over, if it is still being made here.
+    /// Hands the answer over to a peer if it is still generated here.
     ///
-    /// The function gets the request and the tokens so far, and tells whether a peer took them. Returns whether the
-    /// answer is made elsewhere now.
+    /// `to_peer` gets the request and the tokens so far, and returns whether a peer accepted them. Returns whether the
+    /// answer is now generated elsewhere.
     pub fn hand_over(&self, to_peer: impl FnOnce(&ChatRequest, Vec<String>) -> bool) -> bool {
         {
-            let mut place = self.place.lock();
-            if *place != Place::Here {
-                return *place == Place::Elsewhere;
+            let mut location = self.location.lock();
+            if *location != Location::Here {
+                return *location == Location::Elsewhere;
             }
-            *place = Place::Moving;
+            *location = Location::Moving;
         }
-        let ask = self.part.lock().ask.clone();
-        let taken = ask.is_some_and(|ask| to_peer(&ask, self.from(0).tokens));
-        *self.place.lock() = if taken { Place::Elsewhere } else { Place::Here };
-        self.moved.notify_all();
-        taken
+        let request = self.answer.lock().request.clone();
+        let accepted = request.is_some_and(|request| to_peer(&request, self.part_from(0).tokens));
+        *self.location.lock() = if accepted { Location::Elsewhere } else { Location::Here };
+        self.handover_done.notify_all();
+        accepted
     }
 
-    /// Tells whether a peer makes the answer.
+    /// Returns whether a peer has taken over the answer.
     #[must_use]
-    pub fn is_moved(&self) -> bool {
-        *self.place.lock() == Place::Elsewhere
+    pub fn is_elsewhere(&self) -> bool {
+        *self.location.lock() == Location::Elsewhere
     }
 
-    /// Tells whether the answer is still being made.
+    /// Returns whether the answer has not ended yet.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.part.lock().ask.is_some()
+        self.answer.lock().request.is_some()
     }
 
-    /// Notes why an upstream was chosen for an attempt.
-    pub fn chose(&self, choice: Choice) {
+    /// Records the routing decision of an attempt.
+    pub fn record_choice(&self, choice: Choice) {
         self.choices.lock().push(choice);
     }
 
-    /// Gives the record of each attempt's choice.
+    /// Returns the routing decision of each attempt, in order.
     #[must_use]
     pub fn choices(&self) -> Vec<Choice> {
         self.choices.lock().clone()
     }
 
-    /// Gives the answer from a position on.
+    /// Returns the answer from a token position on.
     #[must_use]
-    pub fn from(&self, position: usize) -> Part {
-        let made = self.part.lock();
-        let starts = std::iter::once(0).chain(made.ends.iter().copied());
-        let spans = starts.zip(made.ends.iter().copied()).skip(position);
-        let tokens = spans.map(|(start, end)| made.text[start as usize..end as usize].to_owned());
-        Part {
+    pub fn part_from(&self, position: usize) -> AnswerPart {
+        let answer = self.answer.lock();
+        let starts = std::iter::once(0).chain(answer.ends.iter().copied());
+        let spans = starts.zip(answer.ends.iter().copied()).skip(position);
+        let tokens = spans.map(|(start, end)| answer.text[start as usize..end as usize].to_owned());
+        AnswerPart {
             tokens: tokens.collect(),
-            whole: made.whole,
-            failed: made.failed,
+            complete: answer.complete,
+            failed: answer.failed,
         }
     }
 
-    /// Gives the answer so far as one text.
+    /// Returns the answer so far as one string.
     #[must_use]
     pub fn text(&self) -> String {
-        self.part.lock().text.clone()
+        self.answer.lock().text.clone()
     }
 
-    /// Gives the number of tokens so far.
+    /// Returns the number of tokens so far.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.part.lock().ends.len()
+        self.answer.lock().ends.len()
     }
 
-    /// Tells whether no token was made yet.
+    /// Returns whether no token was generated yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Gives the memory that it takes once it has ended, in bytes.
-    fn size(&self) -> usize {
-        let made = self.part.lock();
-        let weighed: usize = self.choices.lock().iter().map(|choice| choice.weighed.len() + 1).sum();
-        size_of::<Self>() + made.text.capacity() + made.ends.capacity() * 4 + weighed * 96
+    /// Returns the memory that the journal takes after the answer has ended, in bytes.
+    fn memory_bytes(&self) -> usize {
+        let answer = self.answer.lock();
+        let candidates: usize = self.choices.lock().iter().map(|choice| choice.weighed.len() + 1).sum();
+        size_of::<Self>() + answer.text.capacity() + answer.ends.capacity() * 4 + candidates * 96
     }
 
-    fn settled(&self) -> Result<parking_lot::MutexGuard<'_, Place>, Moved> {
-        let mut place = self.place.lock();
-        while *place == Place::Moving {
-            self.moved.wait(&mut place);
+    fn lock_here(&self) -> Result<parking_lot::MutexGuard<'_, Location>, TakenOver> {
+        let mut location = self.location.lock();
+        while *location == Location::Moving {
+            self.handover_done.wait(&mut location);
         }
-        if *place == Place::Elsewhere {
-            Err(Moved)
+        if *location == Location::Elsewhere {
+            Err(TakenOver)
         } else {
-            Ok(place)
+            Ok(location)
         }
     }
 }
--- a/crates/entry/tests/digest_exchange.rs
+++ b/crates/entry/tests/digest_exchange.rs
@@ -1,4 +1,4 @@
-//! Entry hosts hear each other by datagrams: heartbeats, loans of limits, and what is dropped.
+//! The digest exchange of entry hosts: heartbeats, loans of limits, and dropped datagrams.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -6,22 +6,22 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
-use contract::settings::Sheet;
-use contract::{Account, Class, Config, Contract, KeyHash, Limits, Matcher, Repeat, Revision, Targets};
+use contract::settings::SettingsReader;
+use contract::{Account, Class, Config, Contract, CustomerLimits, KeyHash, Matcher, RetrySafety, Revision, Targets};
 use entry::cli::Options;
 use entry::settings::Settings;
-use entry::{Entry, exchange};
+use entry::{EntryHost, exchange};
 use wire::client::RpcRuntime;
 use wire::digest::{Amounts, Demand, DigestAck, GossipDigest, MAX_DATAGRAM, UDP_OVERHEAD_BYTES};
 use wire::state::Watched;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest wait for something that must happen; it only keeps a broken test from hanging.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every wait; it only keeps a failing test from hanging.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An entry host whose only peers are the test.
+/// An entry host whose only peers are simulated by the test.
 struct Host {
-    entry: Arc<Entry>,
+    entry: Arc<EntryHost>,
     thread: Option<JoinHandle<()>>,
     address: SocketAddr,
     _calls: RpcRuntime,
@@ -40,10 +40,10 @@
             peers: Some(format!("{},{address}", peers.join(","))),
             ..Options::default()
         };
-        let settings = Settings::read(&options, &mut Sheet::default()).unwrap();
+        let settings = Settings::read(&options, &mut SettingsReader::default()).unwrap();
         let calls = RpcRuntime::start(1, Duration::from_secs(1)).unwrap();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let entry = Arc::new(Entry::new(settings, logger, &calls).unwrap());
+        let entry = Arc::new(EntryHost::new(settings, logger, &calls).unwrap());
         let shared = Arc::clone(&entry);
         let thread = spawn(move || exchange::run(&shared, &socket, address));
         Self {
@@ -65,7 +65,7 @@
             records: Vec::new(),
             age_ms: 0,
         };
-        self.entry.current.take(news, self.entry.clock.now());
+        self.entry.config.apply_news(news, self.entry.clock.now());
     }
 }
 
@@ -88,7 +88,7 @@
         name: "all".into(),
         matches: Matcher::default(),
         targets,
-        repeat: Repeat::Idempotent,
+        repeat: RetrySafety::Idempotent,
         shed: 0,
     };
     let account = Account {
@@ -98,7 +98,7 @@
     Contract {
         customer: "mwangaza".into(),
         accounts: vec![account],
-        limits: Limits {
+        limits: CustomerLimits {
             requests_per_s: 100.0,
             tokens_per_s: 1_000.0,
             concurrency: 10,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The test as a peer.
+/// A peer simulated by the test.
 struct Peer {
     socket: UdpSocket,
     digest: GossipDigest,
@@ -138,15 +138,15 @@
         self.socket.send_to(&self.digest.encode().unwrap(), to).unwrap();
     }
 
-    /// Sends digests until one that comes back satisfies a condition.
-    fn until(&mut self, to: SocketAddr, good: impl Fn(&GossipDigest) -> bool) -> GossipDigest {
-        let begun = Instant::now();
+    /// Sends digests until a received one satisfies a condition.
+    fn until(&mut self, to: SocketAddr, condition: impl Fn(&GossipDigest) -> bool) -> GossipDigest {
+        let started = Instant::now();
         let mut buffer = [0; MAX_DATAGRAM];
-        while begun.elapsed() < PATIENCE {
+        while started.elapsed() < TIMEOUT {
             self.send(to);
             if let Ok(length) = self.socket.recv(&mut buffer) {
                 let digest = GossipDigest::decode(&buffer[..length]).unwrap();
-                if good(&digest) {
+                if condition(&digest) {
                     return digest;
                 }
             }
@@ -155,30 +155,32 @@
     }
 }
 
-fn wait(what: &str, good: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !good() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+fn wait(what: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < TIMEOUT, "{what}");
         sleep(Duration::from_millis(20));
     }
 }
 
-/// A peer dies and its heartbeats end. If it stayed in the division of polling, the upstreams that were its part would
-/// have no load reports for ever.
+/// A peer dies and its heartbeats stop. If it kept its part of the polling, those upstreams would never have load
+/// reports again.
 #[test]
 fn silent_peer() {
     let mut peer = Peer::new();
     let host = Host::start(&[peer.address()]);
     let answer = peer.until(host.address, |digest| digest.heard.is_some());
     assert_eq!(answer.heard.unwrap().incarnation, 5);
-    wait("the peer is live", || host.entry.live.load().count() == 2);
-    wait("the silent peer is dropped", || host.entry.live.load().count() == 1);
+    wait("the peer is live", || host.entry.live_hosts.load().count() == 2);
+    wait("the silent peer is dropped", || {
+        host.entry.live_hosts.load().count() == 1
+    });
 }
 
-/// Datagrams of a stranger, of a process before the last restart and out of order change nothing. If an old one
-/// counted, a peer that was restarted would seem to lend what it no longer knows of.
+/// Datagrams from an unknown address, from before a restart and out of order must be ignored. Otherwise a restarted
+/// peer would seem to lend what it no longer accounts for.
 #[test]
-fn old_dropped() {
+fn stale_digests_dropped() {
     let mut peer = Peer::new();
     let host = Host::start(&[peer.address()]);
     let mut stranger = Peer::new();
@@ -196,13 +198,13 @@
     let heard = |digest: &GossipDigest| digest.heard.is_some_and(|heard| heard.sequence > 10_000);
     let newest: DigestAck = peer.until(host.address, heard).heard.unwrap();
     assert_eq!(newest.incarnation, 5);
-    assert_eq!(host.entry.live.load().count(), 2);
+    assert_eq!(host.entry.live_hosts.load().count(), 2);
 }
 
-/// All callers of a customer come through the peer. This host has none, and lends it most of its part; a host that was
-/// just started lends nothing until all that an earlier process of its name may have lent has ended.
+/// All callers of a customer use the peer, so this host must lend it most of its part. After its start a host must lend
+/// nothing until all loans of an earlier process of its name have expired.
 #[test]
-fn idle_lends() {
+fn idle_host_lends() {
     let mut peer = Peer::new();
     let host = Host::start(&[peer.address()]);
     host.configure(contract());
@@ -216,28 +218,28 @@
         },
         ..Demand::default()
     }];
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = peer.until(host.address, |digest| {
         digest
             .demand
             .iter()
             .any(|row| row.customer == customer && row.lent.requests > 0)
     });
-    assert!(begun.elapsed() >= Duration::from_secs(3), "lent too early");
+    assert!(started.elapsed() >= Duration::from_secs(3), "lent too early");
     let lent = answer.demand[0].lent;
-    // A half of the limit is its part, of which nine tenths can be lent.
+    // Its part is half of the limit, of which nine tenths can be lent.
     assert!((4_400..=4_500).contains(&lent.requests), "{lent:?}");
     assert_eq!((lent.tokens, lent.running), (450, 4));
 }
 
-/// Hundreds of entry hosts and customers make more to tell than the network of a small host is given for control. What
-/// is sent stays below the bound, and every peer still gets its turn.
+/// With many entry hosts there is more to send than the network budget of a small host allows. The bytes sent must stay
+/// within the budget, and every peer must still get digests.
 #[test]
-fn bytes_bounded() {
+fn bandwidth_bounded() {
     const BYTES: f64 = 2_200.0;
     let peers: Vec<Peer> = (0..60).map(|_| Peer::new()).collect();
     let addresses: Vec<SocketAddr> = peers.iter().map(Peer::address).collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     let host = Host::start(&addresses);
     let mut heard = vec![false; peers.len()];
     let mut bytes = 0;
@@ -246,14 +248,14 @@
         peer.socket.set_nonblocking(true).unwrap();
     }
     while heard.contains(&false) {
-        assert!(begun.elapsed() < PATIENCE, "some peer is never told anything");
+        assert!(started.elapsed() < TIMEOUT, "some peer is never told anything");
         for (peer, heard) in peers.iter().zip(&mut heard) {
             while let Ok(length) = peer.socket.recv(&mut buffer) {
                 *heard = true;
                 bytes += length + UDP_OVERHEAD_BYTES;
             }
         }
-        let allowed = BYTES * (begun.elapsed().as_secs_f64() + 1.0) + MAX_DATAGRAM as f64;
+        let allowed = BYTES * (started.elapsed().as_secs_f64() + 1.0) + MAX_DATAGRAM as f64;
         assert!((bytes as f64) < allowed, "{bytes} sent, {allowed} allowed");
         sleep(Duration::from_millis(20));
     }
--- a/crates/entry/tests/host_signs.rs
+++ b/crates/entry/tests/host_signs.rs
@@ -1,35 +1,35 @@
-//! Signs about hosts reach an entry host on several ways, and each way is enough.
+//! Signals about hosts reach an entry host from several sources, and each source is enough.
 
 mod common;
 
 use std::time::Duration;
 
-use common::ask::{self, expected};
+use common::client::{self, expected};
 use common::{Host, Standin, config, engine};
 use contract::{Change, ChangeRecord, HostSpec, Revision};
 use entry::cli::Options;
 use entry::hosts;
 use wire::Envelope;
 use wire::client::RpcRuntime;
-use wire::entry::{EntryRpcClient, HostSignal, Sign};
+use wire::entry::{EntryRpcClient, HostSignal, HostSignalKind};
 use wire::state::Watched;
 
-/// Waits until no new work goes to a host.
+/// Waits until no new work is sent to a host.
 fn wait_barred(host: &Host, spec: &HostSpec) {
-    while host.entry.fleet.hosts.takes_work(spec) {
+    while host.entry.upstreams.hosts.takes_work(spec) {
         std::thread::yield_now();
     }
 }
 
-fn watch(host: &Host) {
+fn start_watch(host: &Host) {
     let entry = std::sync::Arc::clone(&host.entry);
-    std::thread::spawn(move || hosts::watch(&entry));
+    std::thread::spawn(move || hosts::watch_hosts(&entry));
 }
 
-/// Every process of capacity is cut off when a zone is reclaimed. The entry host reads the notice from the cloud API
-/// itself; otherwise it would send callers to hosts that are about to be gone.
+/// All capacity processes are unreachable when a host is reclaimed. The entry host must read the notice from the cloud
+/// API itself, or it would send requests to a host that will soon be gone.
 #[test]
-fn capacity_cut() {
+fn capacity_unreachable() {
     let cloud = Standin::start("cloud", &[]);
     let (a, b) = (Standin::engine(&[]), Standin::engine(&[]));
     let (spec, other) = (engine("a", a.address), engine("b", b.address));
@@ -38,11 +38,11 @@
         ..Options::default()
     };
     let host = Host::with(config([spec.clone(), other]), options);
-    watch(&host);
+    start_watch(&host);
     let json: &[(&str, &str)] = &[];
     let listed = br#"{"id":"host-a","zone":"zone-a","class":"reclaimable"}"#;
-    ask::call(cloud.address, "POST", "/v1/hosts", json, listed);
-    ask::call(
+    client::call(cloud.address, "POST", "/v1/hosts", json, listed);
+    client::call(
         cloud.address,
         "POST",
         "/_standin/reclaim",
@@ -50,20 +50,20 @@
         br#"{"host":"host-a","notice_ms":60000}"#,
     );
     wait_barred(&host, &spec.host);
-    for turn in 0..4 {
-        let prompt = format!("question {turn}");
+    for number in 0..4 {
+        let prompt = format!("question {number}");
         assert_eq!(
-            ask::stream(host.address, &prompt, 4).rest(),
+            client::stream(host.address, &prompt, 4).rest(),
             (expected(&prompt, 4), true)
         );
     }
-    let seen = ask::call(a.address, "GET", "/_standin/seen", json, &[]);
+    let seen = client::call(a.address, "GET", "/_standin/seen", json, &[]);
     assert_eq!(seen.text(), "[]");
 }
 
-/// The cloud API can't be reached from the entry host. Capacity tells it of the notice.
+/// The entry host can't reach the cloud API. The signal from a capacity process must be enough.
 #[test]
-fn cloud_cut() {
+fn cloud_unreachable() {
     let a = Standin::engine(&[]);
     let spec = engine("a", a.address);
     let options = Options {
@@ -71,21 +71,21 @@
         ..Options::default()
     };
     let host = Host::with(config([spec.clone()]), options);
-    watch(&host);
+    start_watch(&host);
     let calls = RpcRuntime::start(1, Duration::from_secs(10)).unwrap();
     let client = calls.client(host.inner, Duration::ZERO).unwrap();
     let sign = HostSignal {
         host: "host-a".into(),
         incarnation: 0,
-        sign: Sign::Notice { left_ms: 60_000 },
+        sign: HostSignalKind::Notice { left_ms: 60_000 },
     };
     let message = Envelope::new(&"capacity-1".into(), Revision(0), vec![sign]);
     calls.wait(client.hosts(message)).unwrap();
-    assert!(!host.entry.fleet.hosts.takes_work(&spec.host));
+    assert!(!host.entry.upstreams.hosts.takes_work(&spec.host));
 }
 
-/// Neither a notice nor capacity nor the list tells of a host that is gone, as when another data centre is cut off. A
-/// refused connection bars it, and an answer frees it again.
+/// No source reports that a host is gone, as when its data centre is partitioned off. A refused connection must bar the
+/// host, and a later response must make it available again.
 #[test]
 fn refused_connection() {
     let mut a = Standin::engine(&[]);
@@ -95,18 +95,18 @@
     wait_barred(&host, &spec.host);
     let address = a.address.to_string();
     let _again = Standin::engine(&["--listen", &address]);
-    while !host.entry.fleet.hosts.takes_work(&spec.host) {
+    while !host.entry.upstreams.hosts.takes_work(&spec.host) {
         std::thread::yield_now();
     }
 }
 
-/// An operator drains a host. The drain comes with the configuration and holds on every entry host that has it.
+/// An operator drains a host. The drain comes with the configuration and must hold on every entry host that has it.
 #[test]
 fn operator_drain() {
     let a = Standin::engine(&[]);
     let spec = engine("a", a.address);
     let host = Host::start(config([spec.clone()]));
-    watch(&host);
+    start_watch(&host);
     let change = Change::DrainHost {
         host: spec.host.id.clone(),
         incarnation: 0,
@@ -122,6 +122,6 @@
         records: vec![record],
         age_ms: 0,
     };
-    host.entry.current.take(news, host.entry.clock.now());
+    host.entry.config.apply_news(news, host.entry.clock.now());
     wait_barred(&host, &spec.host);
 }
--- a/crates/entry/tests/services_pass.rs
+++ b/crates/entry/tests/services_pass.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services pass through unchanged, and failures are answered by what is known of them.
+//! Calls to plain services are forwarded unchanged, and failures are reported with what is known of the outcome.
 
 mod common;
 
@@ -8,15 +8,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
 
-use common::ask::{call, read, send};
+use common::client::{call, read_response, send};
 use common::{Host, config, fake, free_address, service};
-use fake::Got;
+use fake::ReceivedRequest;
 
 #[test]
-fn passed_both_ways() {
-    let (tell, told) = channel();
-    let address = fake::serve(move |got, stream| {
-        tell.send(got).unwrap();
+fn fields_forwarded() {
+    let (sender, receiver) = channel();
+    let address = fake::serve(move |request, stream| {
+        sender.send(request).unwrap();
         let headers =
             "Content-Type: text/csv\r\nETag: \"7\"\r\nLocation: /search/9\r\nSet-Cookie: a=b\r\nServer: till\r\n";
         fake::reply(&stream, "201 Created", headers, "a,b");
@@ -35,13 +35,13 @@
         &headers,
         b"ring",
     );
-    let got: Got = told.recv().unwrap();
+    let request: ReceivedRequest = receiver.recv().unwrap();
     assert!(
-        got.head.starts_with("POST /search/a%20b?size=2&x=%2F HTTP/1.1\r\n"),
+        request.head.starts_with("POST /search/a%20b?size=2&x=%2F HTTP/1.1\r\n"),
         "{}",
-        got.head
+        request.head
     );
-    let head = got.head.to_ascii_lowercase();
+    let head = request.head.to_ascii_lowercase();
     assert!(
         head.contains("content-type: text/plain") && head.contains("accept-language: sw"),
         "{head}"
@@ -50,7 +50,7 @@
         !head.contains("x-priority") && !head.contains("cookie") && !head.contains("authorization"),
         "{head}"
     );
-    assert_eq!(got.body, b"ring");
+    assert_eq!(request.body, b"ring");
     assert_eq!((answer.status, answer.text().as_str()), (201, "a,b"));
     assert_eq!(answer.header("Content-Type"), Some("text/csv"));
     assert_eq!(answer.header("ETag"), Some("\"7\""));
@@ -60,8 +60,8 @@
 
 #[test]
 fn other_methods() {
-    let address = fake::serve(|got, stream| {
-        let method = got.head.split(' ').next().unwrap().to_owned();
+    let address = fake::serve(|request, stream| {
+        let method = request.head.split(' ').next().unwrap().to_owned();
         let body = if method == "HEAD" { "" } else { method.as_str() };
         fake::reply(&stream, "200 OK", "", body);
     });
@@ -75,10 +75,10 @@
     assert_eq!(call(host.address, "GET", "/services/till?size=2", &[], b"").status, 200);
 }
 
-/// A service breaks its connections after it took the request, as a process does that dies. A stock lookup may simply
-/// be asked again elsewhere, and so may a search by POST whose class says so; the caller must not see the failure.
+/// A service breaks each connection after it received the request. Idempotent calls, by GET or by a POST whose class
+/// says so, must be retried at the other service without the caller seeing the failure.
 #[test]
-fn lookup_elsewhere() {
+fn failure_retried() {
     let count = Arc::new(AtomicUsize::new(0));
     let broken = Arc::clone(&count);
     let dying = fake::serve(move |_, stream| {
@@ -87,8 +87,8 @@
     });
     let good = fake::serve(|_, stream| fake::reply(&stream, "200 OK", "", "7"));
     let host = Host::start(config([service("a", "till", dying), service("b", "till", good)]));
-    for turn in 0..40 {
-        let (method, path) = if turn % 2 == 0 {
+    for number in 0..40 {
+        let (method, path) = if number % 2 == 0 {
             ("GET", "stock/7")
         } else {
             ("POST", "search")
@@ -96,14 +96,14 @@
         let answer = call(host.address, method, &format!("/services/till/{path}"), &[], b"x");
         assert_eq!((answer.status, answer.text().as_str()), (200, "7"));
     }
-    // The breaker of the broken one opens after three failures and lets single probes through, so that later calls
-    // don't lose time there.
+    // The breaker of the broken service opens after three failures and then admits single probes only, so that later
+    // calls lose no time there.
     let tried = count.load(Ordering::SeqCst);
     assert!((1..=10).contains(&tried), "{tried} of 40 calls went to the broken one");
 }
 
 #[test]
-fn busy_elsewhere() {
+fn busy_retried() {
     let busy = fake::serve(|_, stream| fake::reply(&stream, "503 Service Unavailable", "", "busy"));
     let good = fake::serve(|_, stream| fake::reply(&stream, "200 OK", "", "7"));
     let host = Host::start(config([service("a", "till", busy), service("b", "till", good)]));
@@ -112,8 +112,8 @@
     }
 }
 
-/// Every service fails every call. Each lookup alone could be tried many times; together they would hit services that
-/// are already down with a multiple of the load. The budget lets only a few retries through.
+/// Every service fails every call. Guards against retries that multiply the load on services that are already down: the
+/// budget allows only a few.
 #[test]
 fn retries_bounded() {
     let count = Arc::new(AtomicUsize::new(0));
@@ -135,8 +135,8 @@
     assert_eq!(count.load(Ordering::SeqCst), 20 + 10);
 }
 
-/// No service can be reached, so that no byte of the call can have left. The caller must be told that it was not run,
-/// or the volunteer would not dare to ask again.
+/// No service is reachable, so the call was not sent anywhere. The caller must be told that it was not run, so that it
+/// can safely retry.
 #[test]
 fn none_reachable() {
     let host = Host::start(config([
@@ -149,14 +149,14 @@
     assert!(answer.header("Retry-After").is_some());
 }
 
-/// No majority of the state group answers, so a deposit can't be claimed. It must not be sent then, and the caller is
-/// told that it was not run; lookups go on meanwhile.
+/// The state group has no quorum, so a non-idempotent call can't be claimed. It must not be sent, and the caller must
+/// be told that it was not run; idempotent calls still work.
 #[test]
 fn unclaimed_never_sent() {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = Arc::clone(&count);
-    let address = fake::serve(move |got, stream| {
-        if got.head.starts_with("POST") {
+    let address = fake::serve(move |request, stream| {
+        if request.head.starts_with("POST") {
             seen.fetch_add(1, Ordering::SeqCst);
         }
         fake::reply(&stream, "200 OK", "", "7");
@@ -180,16 +180,16 @@
     assert_eq!(count.load(Ordering::SeqCst), 0);
 }
 
-/// A service sends only half of the body that it announced. Half an answer must not pass for a whole one.
+/// A service sends only half of the announced body. It must not be passed on as a complete response.
 #[test]
-fn half_answer() {
+fn truncated_response() {
     let address = fake::serve(|_, mut stream: TcpStream| {
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
             .unwrap();
     });
     let host = Host::start(config([service("t", "till", address)]));
-    let answer = read(send(host.address, "GET", "/services/till/stock", &[], b""));
+    let answer = read_response(send(host.address, "GET", "/services/till/stock", &[], b""));
     assert_eq!(answer.status, 502);
     assert_eq!(answer.header("Gentian-Outcome"), Some("unknown"));
 }
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use contract::{Listed, ServiceName, Zone};
+use contract::{ListedUpstream, ServiceName, Zone};
 use policy::Tick;
 use policy::homes::{PartUsage, assume_home_cached};
 use policy::pace::{EngineRates, PrefillWork, SpeedEstimate};
@@ -116,7 +116,7 @@
 impl Upstreams {
     /// Applies a list, keeping the state of upstreams that stay. Returns the upstreams that started to leave or are
     /// gone.
-    pub fn update(&mut self, list: Vec<Listed>, list_time: Tick) -> Vec<String> {
+    pub fn update(&mut self, list: Vec<ListedUpstream>, list_time: Tick) -> Vec<String> {
         let mut ended: Vec<String> = Vec::new();
         let mut previous = std::mem::take(&mut self.all);
         for listed in list {
@@ -161,7 +161,7 @@
         let other_entries = need.entry_hosts.saturating_sub(1);
         assume_home_cached(&mut candidates, need.shared_tokens(), |home| {
             let listed_for = now
-                .since(usable[home.at].listed_since)
+                .since(usable[home.index].listed_since)
                 .min(self.part_usage.observed_span(now));
             self.part_usage
                 .cached_by_others(shared_key, other_entries, listed_for, now)
@@ -173,8 +173,8 @@
             EQUAL_WITHIN_MS
         };
         let prediction = choose(&candidates, need.prompt_need(), equal_within_ms).ok_or(NoUpstream::AllFull)?;
-        let chosen = usable[prediction.at];
-        let candidate = candidates.iter().find(|candidate| candidate.at == prediction.at);
+        let chosen = usable[prediction.index];
+        let candidate = candidates.iter().find(|candidate| candidate.index == prediction.index);
         Ok(ChosenUpstream {
             id: chosen.listed.id.clone(),
             address: chosen.listed.address,
--- a/crates/policy/tests/session_home.rs
+++ b/crates/policy/tests/session_home.rs
@@ -1,6 +1,6 @@
 //! Every entry host sends the turns of a conversation to the same upstream unless the wait there costs more.
 
-use contract::{MachineClass, UpstreamId};
+use contract::{HostClass, UpstreamId};
 use policy::load::PredictedLoad;
 use policy::route::{
     Ablation, Candidate, Choice, GroupMember, Reason, RequestNeed, RoutingRules, ServiceRates, UpstreamGroup, choose,
@@ -11,7 +11,7 @@
     let member = |number: &u32| GroupMember {
         number: *number,
         id: format!("engine-{number}").into(),
-        near: number % 4 == near,
+        local: number % 4 == near,
     };
     UpstreamGroup::new(numbers.iter().map(member).collect())
 }
@@ -21,10 +21,10 @@
     let candidate = |at: usize| Candidate {
         id: &ids[at],
         reason: Reason::All,
-        class: MachineClass::OnDemand,
+        class: HostClass::OnDemand,
         price: 0,
         slots: 4,
-        near: true,
+        local: true,
         reclaims_per_hour: 0.0,
         load: PredictedLoad {
             reported: Some(loads[at]),
