--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud API: prices, hosts that start and stop, a list that lags, and reclaim notices.
+//! The cloud API: prices, starting and stopping hosts, a host list that lags, and reclaim notices.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,46 +20,50 @@
 
 pub use pool::Pool;
 
-/// Threads that answer.
-const THREADS: usize = 16;
-/// How long a notice is shown after the host is gone.
-const NOTICE_STAYS: Duration = Duration::from_secs(5);
+/// Size of the thread pool of the server.
+const SERVER_THREADS: usize = 16;
+/// Time for which a reclaim notice is still listed after its deadline.
+const NOTICE_RETENTION: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Host {
     #[serde(default)]
     id: String,
+    /// Distinguishes successive hosts with the same id.
     #[serde(default)]
     incarnation: u64,
     zone: String,
     class: String,
+    /// `starting`, `serving` or `leaving`.
     #[serde(default = "serving")]
     stage: String,
     #[serde(default)]
     price: u64,
+    /// Address of the engine on the host, if it runs one.
     address: Option<SocketAddr>,
-    /// Whatever the one who started it wants to find again.
+    /// Label set by whoever starts the host, returned unchanged.
     #[serde(default)]
     tag: String,
-    /// The same token again gives the same host, so that a start whose answer was lost can be asked for again.
+    /// Idempotency token: a start with the token of a known host returns that host, so that a start whose answer was
+    /// lost can be retried.
     #[serde(default, skip_serializing)]
     token: Option<String>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Reclaim {
+struct ReclaimRequest {
     zone: Option<String>,
     host: Option<String>,
     notice_ms: u64,
 }
 
-/// What goes wrong at the cloud until it's told otherwise.
+/// Faults injected into the cloud API until others are set.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct CloudFaults {
-    /// Every call fails.
+    /// Every call fails with status 500.
     cut: bool,
-    /// Zones and classes in which every start is refused, as ZONE:CLASS.
+    /// Pools in which every start is refused, as ZONE:CLASS.
     refuse: Vec<String>,
 }
 
@@ -67,38 +71,44 @@
 struct Cloud {
     options: CloudOptions,
     hosts: BTreeMap<String, Host>,
+    /// When each starting host is ready.
     ready_at: BTreeMap<String, Instant>,
     #[debug(skip)]
     engines: BTreeMap<String, engine::Running>,
+    /// Incarnation and deadline of each reclaimed host.
     notices: BTreeMap<String, (u64, Instant)>,
+    /// Newest incarnation of each host, gone ones included.
     incarnations: BTreeMap<String, u64>,
-    shown: Vec<Host>,
-    shown_at: Option<Instant>,
+    /// Host list as of `listed_at`, answered until it is `lag_ms` old.
+    listed: Vec<Host>,
+    listed_at: Option<Instant>,
     faults: CloudFaults,
+    /// Number of starts refused for lack of capacity.
     refused: u64,
+    /// Number of hosts started in a pool.
     started: u64,
 }
 
-/// Starts a cloud.
+/// Starts a cloud API on its own threads.
 ///
 /// # Errors
-/// Fails when the address can't be listened on.
+/// Fails when the server can't listen on the address.
 pub fn start(options: &CloudOptions) -> anyhow::Result<Running> {
     let cloud = Arc::new(Mutex::new(Cloud::new(options.clone())));
-    Running::start(options.listen, THREADS, move |request| answer(&cloud, request))
+    Running::start(options.listen, SERVER_THREADS, move |request| answer(&cloud, request))
 }
 
-/// Serves until the process is told to stop.
+/// Serves until the process gets a stop signal.
 ///
 /// # Errors
-/// Fails when the address can't be listened on.
+/// Fails when the server can't listen on the address.
 pub fn serve(options: &CloudOptions) -> anyhow::Result<()> {
-    http::until_stopped(&start(options)?)
+    http::run_until_stopped(&start(options)?)
 }
 
 fn answer(cloud: &Mutex<Cloud>, request: &Request) -> Response {
     let mut cloud = cloud.lock();
-    cloud.turn();
+    cloud.apply_due();
     let url = request.url();
     if cloud.faults.cut && !url.starts_with("/_standin/") {
         return Response::text("cut off").with_status_code(500);
@@ -107,12 +117,12 @@
         ("GET", "/v1/hosts") => Response::json(&cloud.list()),
         ("GET", "/v1/prices") => Response::json(&cloud.options.pool),
         ("GET", "/v1/notices") => Response::json(&cloud.open_notices()),
-        ("POST", "/v1/hosts") => http::body(request).map_or_else(|refusal| refusal, |host| cloud.start(host)),
+        ("POST", "/v1/hosts") => http::json_body(request).map_or_else(|refusal| refusal, |host| cloud.start(host)),
         ("DELETE", path) if path.starts_with("/v1/hosts/") => cloud.stop(path.trim_start_matches("/v1/hosts/")),
         ("POST", "/_standin/reclaim") => {
-            http::body(request).map_or_else(|refusal| refusal, |reclaim| cloud.reclaim(&reclaim))
+            http::json_body(request).map_or_else(|refusal| refusal, |reclaim| cloud.reclaim(&reclaim))
         }
-        ("POST", "/_standin/faults") => http::body(request).map_or_else(
+        ("POST", "/_standin/faults") => http::json_body(request).map_or_else(
             |refusal| refusal,
             |faults| {
                 cloud.faults = faults;
@@ -135,41 +145,42 @@
             engines: BTreeMap::new(),
             notices: BTreeMap::new(),
             incarnations: BTreeMap::new(),
-            shown: Vec::new(),
-            shown_at: None,
+            listed: Vec::new(),
+            listed_at: None,
             faults: CloudFaults::default(),
             refused: 0,
             started: 0,
         }
     }
 
-    /// Carries out what time has brought: hosts that are ready and hosts that are gone.
-    fn turn(&mut self) {
+    /// Applies everything that is due: hosts that have started, reclaimed hosts whose deadline has passed, and notices
+    /// that expire.
+    fn apply_due(&mut self) {
         let now = Instant::now();
-        let ready = |at: &Instant| *at <= now;
-        let due: Vec<String> = self
+        let is_due = |at: &Instant| *at <= now;
+        let started: Vec<String> = self
             .ready_at
             .iter()
-            .filter(|(_, at)| ready(at))
+            .filter(|(_, at)| is_due(at))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in due {
+        for id in started {
             self.ready_at.remove(&id);
-            self.make_ready(&id);
+            self.finish_start(&id);
         }
-        let gone: Vec<String> = self
+        let expired: Vec<String> = self
             .notices
             .iter()
-            .filter(|(_, (_, at))| ready(at))
+            .filter(|(_, (_, at))| is_due(at))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
+        for id in expired {
             self.remove(&id);
         }
-        self.notices.retain(|_, (_, at)| now < *at + NOTICE_STAYS);
+        self.notices.retain(|_, (_, at)| now < *at + NOTICE_RETENTION);
     }
 
-    fn make_ready(&mut self, id: &str) {
+    fn finish_start(&mut self, id: &str) {
         let engine = self.options.engine.as_deref().and_then(start_engine);
         if let Some(host) = self.hosts.get_mut(id) {
             if host.stage == "starting" {
@@ -192,21 +203,21 @@
 
     fn list(&mut self) -> Vec<Host> {
         let lag = Duration::from_millis(self.options.lag_ms);
-        if self.shown_at.is_none_or(|at| at.elapsed() >= lag) {
-            self.shown = self.hosts.values().cloned().collect();
-            self.shown_at = Some(Instant::now());
+        if self.listed_at.is_none_or(|at| at.elapsed() >= lag) {
+            self.listed = self.hosts.values().cloned().collect();
+            self.listed_at = Some(Instant::now());
         }
-        self.shown.clone()
+        self.listed.clone()
     }
 
-    /// Starts a host in a pool, or notes one that a test has given a name.
+    /// Starts a host in a pool, or registers one that comes with an id, as tests do.
     fn start(&mut self, mut host: Host) -> Response {
-        let same = |known: &&Host| host.token.is_some() && known.token == host.token;
-        if let Some(known) = self.hosts.values().find(same) {
+        let same_token = |known: &&Host| host.token.is_some() && known.token == host.token;
+        if let Some(known) = self.hosts.values().find(same_token) {
             return Response::json(known).with_status_code(200);
         }
         if host.id.is_empty() {
-            let Some(price) = self.room(&host) else {
+            let Some(price) = self.available_price(&host) else {
                 self.refused += 1;
                 return Response::json(&json!({"error": "no capacity"})).with_status_code(503);
             };
@@ -228,14 +239,14 @@
         Response::json(&host).with_status_code(201)
     }
 
-    /// Gives the price in a pool that has room.
-    fn room(&self, host: &Host) -> Option<u64> {
+    /// Returns the price of the pool of a host; `None` when the pool is unknown, full or set to refuse.
+    fn available_price(&self, host: &Host) -> Option<u64> {
         let refused = format!("{}:{}", host.zone, host.class);
         if self.faults.refuse.contains(&refused) {
             return None;
         }
-        let held = |known: &&Host| known.zone == host.zone && known.class == host.class;
-        let count = self.hosts.values().filter(held).count() as u64;
+        let in_pool = |known: &&Host| known.zone == host.zone && known.class == host.class;
+        let count = self.hosts.values().filter(in_pool).count() as u64;
         let pool = self
             .options
             .pool
@@ -250,16 +261,17 @@
         Response::json(&json!({"stopped": known}))
     }
 
-    fn reclaim(&mut self, reclaim: &Reclaim) -> Response {
-        let left = Duration::from_millis(reclaim.notice_ms);
-        let hit = |host: &Host| Some(&host.zone) == reclaim.zone.as_ref() || Some(&host.id) == reclaim.host.as_ref();
+    fn reclaim(&mut self, reclaim: &ReclaimRequest) -> Response {
+        let remaining = Duration::from_millis(reclaim.notice_ms);
+        let is_target =
+            |host: &Host| Some(&host.zone) == reclaim.zone.as_ref() || Some(&host.id) == reclaim.host.as_ref();
         let mut count = 0;
-        for host in self.hosts.values_mut().filter(|host| hit(host)) {
+        for host in self.hosts.values_mut().filter(|host| is_target(host)) {
             "leaving".clone_into(&mut host.stage);
             self.notices
-                .insert(host.id.clone(), (host.incarnation, Instant::now() + left));
+                .insert(host.id.clone(), (host.incarnation, Instant::now() + remaining));
             if let Some(engine) = self.engines.get(&host.id) {
-                engine.leave(left);
+                engine.leave(remaining);
             }
             count += 1;
         }
@@ -267,9 +279,9 @@
     }
 
     fn open_notices(&self) -> Vec<serde_json::Value> {
-        let open = self.notices.iter().map(|(id, (incarnation, gone_at))| {
-            let left = gone_at.saturating_duration_since(Instant::now());
-            json!({"host": id, "incarnation": incarnation, "left_ms": left.as_millis() as u64})
+        let open = self.notices.iter().map(|(id, (incarnation, deadline))| {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            json!({"host": id, "incarnation": incarnation, "left_ms": remaining.as_millis() as u64})
         });
         open.collect()
     }
--- a/crates/standin/src/cloud/pool.rs
+++ b/crates/standin/src/cloud/pool.rs
@@ -1,4 +1,4 @@
-//! What can be started where, and at which price.
+//! Pools of hosts that can be started, with their prices.
 
 use std::str::FromStr;
 
@@ -7,19 +7,19 @@
 /// Hosts of one class in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Pool {
-    /// The zone.
+    /// Zone by which prices and reclaims go.
     pub zone: String,
-    /// Reclaimable or on-demand.
+    /// Kind of host, such as reclaimable or on-demand.
     pub class: String,
     /// Price in micro-dollars an hour.
     pub price: u64,
-    /// Hosts that can run there at once.
+    /// Most hosts that can run in the pool at once.
     #[serde(skip)]
     pub most: u64,
 }
 
 impl Pool {
-    /// Tells whether a host of this zone and class belongs to it.
+    /// Returns whether a host of this zone and class belongs to the pool.
     pub(crate) fn covers(&self, zone: &str, class: &str) -> bool {
         self.zone == zone && self.class == class
     }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch: who runs, who waits and how long each step takes.
+//! Continuous batching: which requests run, which wait, and how long each step takes.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,78 +11,80 @@
 use super::answer::{Chat, token};
 use super::cache::{CacheEvent, PrefixCache};
 use super::faults::Faults;
-use super::orders::Orders;
+use super::orders::OrderState;
 use crate::cli::EngineOptions;
 use crate::record::{Line, Record, now_us};
 
-/// Longest time without a look at whether the caller is still there.
-const BEAT: Duration = Duration::from_millis(20);
+/// Longest time between two checks whether the caller is still connected.
+const LIVENESS_POLL: Duration = Duration::from_millis(20);
 /// Tokens of a prompt that are prefilled between two decoding steps of the batch.
-const CHUNK: u64 = 32;
-/// Requests whose KV cache can be named by request id.
-const KEPT: usize = 1_024;
+const PREFILL_CHUNK_TOKENS: u64 = 32;
+/// Requests whose KV cache can be exported by request id; the oldest is forgotten first.
+const MAX_EXPORTABLE_REQUESTS: usize = 1_024;
 
-/// One engine.
+/// State of one stand-in engine, shared by its connection threads.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) options: EngineOptions,
     pub(crate) record: Record,
     pub(crate) faults: Mutex<Faults>,
-    pub(crate) orders: Mutex<Orders>,
-    /// The link over which KV cache comes and goes; one transfer at a time has it.
+    pub(crate) orders: Mutex<OrderState>,
+    /// Network link for KV cache transfers; held during one, so that transfers run one at a time.
     pub(crate) link: Mutex<()>,
-    inner: Mutex<Inner>,
-    changed: Condvar,
+    state: Mutex<BatchState>,
+    state_changed: Condvar,
     dead: AtomicBool,
 }
 
 #[derive(Debug)]
-struct Inner {
+struct BatchState {
     running: u32,
-    arrivals: u64,
-    waiting: BTreeSet<Place>,
-    prefills: BTreeSet<Place>,
+    arrival_count: u64,
+    waiting: BTreeSet<QueuePosition>,
+    prefills: BTreeSet<QueuePosition>,
     cache: PrefixCache,
-    known: HashMap<String, Known>,
-    order: VecDeque<String>,
-    seen: Vec<Seen>,
-    report: Report,
-    reported: Instant,
-    gone_at: Option<Instant>,
+    requests: HashMap<String, RequestTokens>,
+    request_order: VecDeque<String>,
+    finished: Vec<Seen>,
+    report: LoadReport,
+    reported_at: Instant,
+    shutdown_at: Option<Instant>,
 }
 
-/// A place in a queue: priority, then order of arrival.
-type Place = (i32, u64);
+/// Sort key of a waiting request: priority, then order of arrival.
+type QueuePosition = (i32, u64);
 
-/// What the engine knows of a request's tokens.
+/// Tokens of a request, from which the blocks that it has in the cache are computed.
 #[derive(Clone, Debug)]
-struct Known {
+struct RequestTokens {
     words: Arc<[String]>,
+    /// Hash of the prompt, which determines the text of the answer.
     prompt: u64,
-    begun: u64,
-    made: u64,
+    /// Position of the first generated token: the number of tokens in the partial answer to continue.
+    start: u64,
+    generated: u64,
 }
 
-/// A request that ran, as the engine saw it.
+/// Token counts of a request that held a batch slot.
 #[derive(Clone, Debug, Serialize)]
 pub struct Seen {
-    /// The request id that it came with.
+    /// The `X-Request-Id` header of the request; empty without one.
     pub request: String,
-    /// Tokens that were prefilled or found in the cache.
+    /// Tokens of the prompt, prefilled or found in the cache.
     pub prompt_tokens: u64,
-    /// Tokens of these that were found in the cache.
+    /// Prompt tokens that were found in the prefix cache.
     pub cached_tokens: u64,
-    /// Tokens of a begun answer among them.
+    /// Prompt tokens that belong to a partial answer, which the request continues.
     pub begun_tokens: u64,
-    /// Tokens that were made.
+    /// Tokens that were generated.
     pub made_tokens: u64,
-    /// Whether the caller got the answer to its end.
+    /// Whether the answer was generated to its end and, when streamed, the caller was still connected.
     pub whole: bool,
 }
 
-/// A load report.
+/// Load report of the engine, answered at `/load`.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(crate) struct Report {
+pub(crate) struct LoadReport {
     at_ms: u64,
     age_ms: u64,
     running: u32,
@@ -90,180 +92,193 @@
     kv_used: f32,
 }
 
-/// A place in the batch; it is given up when dropped, whatever ended the request.
+/// A slot of the batch; dropping it frees the slot, however the request ended.
 #[derive(Debug)]
 pub(crate) struct Slot<'a> {
     engine: &'a Engine,
-    place: Place,
+    position: QueuePosition,
     pinned: Vec<u64>,
     conversation: u64,
-    /// What the engine notes of the request.
-    pub(crate) seen: Seen,
+    /// Token counts of the request so far.
+    pub(crate) counts: Seen,
 }
 
 impl Engine {
     pub(crate) fn new(options: EngineOptions, record: Record) -> Self {
-        let inner = Inner {
+        let state = BatchState {
             running: 0,
-            arrivals: 0,
+            arrival_count: 0,
             waiting: BTreeSet::new(),
             prefills: BTreeSet::new(),
             cache: PrefixCache::new(options.cache_tokens),
-            known: HashMap::new(),
-            order: VecDeque::new(),
-            seen: Vec::new(),
-            report: Report {
-                at_ms: wall_ms(),
-                ..Report::default()
+            requests: HashMap::new(),
+            request_order: VecDeque::new(),
+            finished: Vec::new(),
+            report: LoadReport {
+                at_ms: unix_ms(),
+                ..LoadReport::default()
             },
-            reported: Instant::now(),
-            gone_at: None,
+            reported_at: Instant::now(),
+            shutdown_at: None,
         };
         Self {
             faults: Mutex::new(options.faults),
-            orders: Mutex::new(Orders::new(&options.model)),
+            orders: Mutex::new(OrderState::new(&options.model)),
             link: Mutex::new(()),
             options,
             record,
-            inner: Mutex::new(inner),
-            changed: Condvar::new(),
+            state: Mutex::new(state),
+            state_changed: Condvar::new(),
             dead: AtomicBool::new(false),
         }
     }
 
-    /// Waits for a place in the batch; lower priorities go first.
+    /// Waits for a slot of the batch; lower priority numbers go first.
     ///
-    /// Returns `None` when the caller has gone away or the engine died.
-    pub(crate) fn enter(&self, priority: i32, seen: Seen, alive: &mut dyn FnMut() -> bool) -> Option<Slot<'_>> {
-        let place = self.arrive(priority);
+    /// Returns `None` when the caller has disconnected or the engine was killed.
+    pub(crate) fn acquire_slot(
+        &self,
+        priority: i32,
+        counts: Seen,
+        is_connected: &mut dyn FnMut() -> bool,
+    ) -> Option<Slot<'_>> {
+        let position = self.enqueue(priority);
         loop {
-            let mut inner = self.inner.lock();
-            if inner.running < self.options.slots && inner.waiting.first() == Some(&place) {
-                inner.waiting.remove(&place);
-                inner.running += 1;
-                self.changed.notify_all();
+            let mut state = self.state.lock();
+            if state.running < self.options.slots && state.waiting.first() == Some(&position) {
+                state.waiting.remove(&position);
+                state.running += 1;
+                self.state_changed.notify_all();
                 return Some(Slot {
                     engine: self,
-                    place,
+                    position,
                     pinned: Vec::new(),
                     conversation: 0,
-                    seen,
+                    counts,
                 });
             }
-            self.changed.wait_for(&mut inner, BEAT);
-            drop(inner);
-            if !alive() || self.is_dead() {
-                self.inner.lock().waiting.remove(&place);
-                self.changed.notify_all();
+            self.state_changed.wait_for(&mut state, LIVENESS_POLL);
+            drop(state);
+            if !is_connected() || self.is_dead() {
+                self.state.lock().waiting.remove(&position);
+                self.state_changed.notify_all();
                 return None;
             }
         }
     }
 
-    fn arrive(&self, priority: i32) -> Place {
-        let mut inner = self.inner.lock();
-        inner.arrivals += 1;
-        let place = (priority, inner.arrivals);
-        inner.waiting.insert(place);
-        place
+    fn enqueue(&self, priority: i32) -> QueuePosition {
+        let mut state = self.state.lock();
+        state.arrival_count += 1;
+        let position = (priority, state.arrival_count);
+        state.waiting.insert(position);
+        position
     }
 
-    /// Lets time pass at the engine's speed, as long as the caller is there.
-    fn work(&self, time: Duration, alive: &mut dyn FnMut() -> bool) -> bool {
-        let mut left = time.mul_f64(self.faults.lock().factor());
+    /// Sleeps for the duration of a step, scaled by the slowdown fault and extended while the engine is frozen.
+    ///
+    /// Returns false when the caller disconnected or the engine was killed meanwhile.
+    fn sleep_scaled(&self, time: Duration, is_connected: &mut dyn FnMut() -> bool) -> bool {
+        let mut remaining = time.mul_f64(self.faults.lock().slowdown());
         loop {
-            let part = left.min(BEAT);
-            std::thread::sleep(part);
-            left -= part;
-            if self.is_dead() || (part == BEAT && !alive()) {
+            let slice = remaining.min(LIVENESS_POLL);
+            std::thread::sleep(slice);
+            remaining -= slice;
+            if self.is_dead() || (slice == LIVENESS_POLL && !is_connected()) {
                 return false;
             }
             if self.faults.lock().frozen {
-                left = left.max(BEAT);
-            } else if left.is_zero() {
+                remaining = remaining.max(LIVENESS_POLL);
+            } else if remaining.is_zero() {
                 return true;
             }
         }
     }
 
-    /// Takes the time of one decoding step; a prefill in the batch makes it longer.
-    pub(crate) fn decode(&self, alive: &mut dyn FnMut() -> bool) -> bool {
-        let inner = self.inner.lock();
-        let others = u64::from(inner.running.saturating_sub(1));
-        let chunk = if inner.prefills.is_empty() { 0 } else { CHUNK };
-        drop(inner);
-        let step = self.options.decode_us + others * self.options.batch_us + chunk * self.options.prefill_us;
-        self.work(Duration::from_micros(step), alive)
+    /// Sleeps for one decoding step, which a prefill in the batch makes longer.
+    ///
+    /// Returns false when the caller disconnected or the engine was killed meanwhile.
+    pub(crate) fn decode(&self, is_connected: &mut dyn FnMut() -> bool) -> bool {
+        let state = self.state.lock();
+        let others = u64::from(state.running.saturating_sub(1));
+        let prefill_chunk = if state.prefills.is_empty() {
+            0
+        } else {
+            PREFILL_CHUNK_TOKENS
+        };
+        drop(state);
+        let step = self.options.decode_us + others * self.options.batch_us + prefill_chunk * self.options.prefill_us;
+        self.sleep_scaled(Duration::from_micros(step), is_connected)
     }
 
-    /// Gives the load report, which lags.
-    pub(crate) fn report(&self) -> Report {
-        let mut inner = self.inner.lock();
-        let age = inner.reported.elapsed();
+    /// Returns the load report, which is up to `lag_ms` old.
+    pub(crate) fn report(&self) -> LoadReport {
+        let mut state = self.state.lock();
+        let age = state.reported_at.elapsed();
         if age >= Duration::from_millis(self.options.lag_ms) {
-            inner.report = Report {
-                at_ms: wall_ms(),
+            state.report = LoadReport {
+                at_ms: unix_ms(),
                 age_ms: 0,
-                running: inner.running,
-                waiting: inner.waiting.len() as u32,
-                kv_used: inner.cache.fill(),
+                running: state.running,
+                waiting: state.waiting.len() as u32,
+                kv_used: state.cache.used_share(),
             };
-            inner.reported = Instant::now();
+            state.reported_at = Instant::now();
         }
-        Report {
-            age_ms: inner.reported.elapsed().as_millis() as u64,
-            ..inner.report
+        LoadReport {
+            age_ms: state.reported_at.elapsed().as_millis() as u64,
+            ..state.report
         }
     }
 
-    /// Gives the cache events after a position.
+    /// Returns the cache events with a sequence number above `after`.
     pub(crate) fn events(&self, after: u64) -> Vec<CacheEvent> {
-        self.inner.lock().cache.events(after)
+        self.state.lock().cache.events(after)
     }
 
-    /// Gives what ran.
+    /// Returns the requests that have left the batch, in that order.
     pub(crate) fn seen(&self) -> Vec<Seen> {
-        self.inner.lock().seen.clone()
+        self.state.lock().finished.clone()
     }
 
-    /// Gives the whole blocks of a request's tokens so far, as far as they are in the cache.
-    pub(crate) fn blocks_of(&self, request: &str) -> Option<Vec<u64>> {
-        let mut inner = self.inner.lock();
-        let known = inner.known.get(request)?.clone();
-        let made: Vec<String> = known.made().collect();
-        let words = known.words.iter().chain(&made).map(|word| word.trim());
+    /// Returns the cached blocks of a request's tokens so far, full blocks only; `None` for an unknown request.
+    pub(crate) fn request_blocks(&self, request: &str) -> Option<Vec<u64>> {
+        let mut state = self.state.lock();
+        let tokens = state.requests.get(request)?.clone();
+        let generated: Vec<String> = tokens.generated_words().collect();
+        let words = tokens.words.iter().chain(&generated).map(|word| word.trim());
         let prefixes = PrefixCache::prefixes(&words.collect::<Vec<_>>());
-        // Tokens that are being made are in the cache as well; their blocks are noted only now.
-        inner.cache.store(&prefixes);
-        Some(inner.cache.held(&prefixes))
+        // Blocks of tokens generated by a running request are otherwise stored only when it ends.
+        state.cache.store(&prefixes);
+        Some(state.cache.cached_prefixes(&prefixes))
     }
 
-    /// Gives the blocks of a prefix that are in the cache.
-    pub(crate) fn blocks_in(&self, words: &[&str]) -> Vec<u64> {
-        self.inner.lock().cache.held(&PrefixCache::prefixes(words))
+    /// Returns the cached blocks of a prompt prefix.
+    pub(crate) fn prefix_blocks(&self, words: &[&str]) -> Vec<u64> {
+        self.state.lock().cache.cached_prefixes(&PrefixCache::prefixes(words))
     }
 
-    /// Keeps blocks that were imported.
+    /// Stores imported blocks in the cache.
     pub(crate) fn store(&self, blocks: &[u64]) {
-        self.inner.lock().cache.store(blocks);
+        self.state.lock().cache.store(blocks);
     }
 
-    /// Begins to leave: after the time that is left the engine refuses new work and dies.
-    pub(crate) fn leave(&self, left: Duration) {
-        let at = Instant::now() + left;
-        let mut inner = self.inner.lock();
-        inner.gone_at = Some(inner.gone_at.map_or(at, |known| known.min(at)));
+    /// Sets the shutdown deadline, unless an earlier one is set; past it the engine refuses new work and is killed.
+    pub(crate) fn shut_down_after(&self, remaining: Duration) {
+        let at = Instant::now() + remaining;
+        let mut state = self.state.lock();
+        state.shutdown_at = Some(state.shutdown_at.map_or(at, |earlier| earlier.min(at)));
     }
 
-    /// Tells whether the deadline has passed; an engine past it dies a moment later.
-    pub(crate) fn is_past(&self) -> bool {
-        self.inner.lock().gone_at.is_some_and(|at| at <= Instant::now())
+    /// Returns whether the shutdown deadline has passed; the engine is killed shortly after it.
+    pub(crate) fn is_past_deadline(&self) -> bool {
+        self.state.lock().shutdown_at.is_some_and(|at| at <= Instant::now())
     }
 
-    /// Ends everything at once, as when the power goes.
-    pub(crate) fn die(&self) {
+    /// Ends all work at once, like a power loss.
+    pub(crate) fn kill(&self) {
         self.dead.store(true, Ordering::Relaxed);
-        self.changed.notify_all();
+        self.state_changed.notify_all();
     }
 
     pub(crate) fn is_dead(&self) -> bool {
@@ -271,66 +286,69 @@
     }
 
     /// Waits while the engine is frozen.
-    pub(crate) fn thaw(&self) {
+    pub(crate) fn wait_while_frozen(&self) {
         while self.faults.lock().frozen && !self.is_dead() {
-            std::thread::sleep(BEAT);
+            std::thread::sleep(LIVENESS_POLL);
         }
     }
 }
 
 impl Slot<'_> {
-    /// Prefills the prompt; prefills queue for the engine's one prefill resource.
+    /// Prefills the prompt; the prefills of an engine run one at a time.
     ///
-    /// Returns whether the caller is still there.
-    pub(crate) fn prefill(&mut self, chat: &Chat, alive: &mut dyn FnMut() -> bool) -> bool {
+    /// Returns false when the caller disconnected or the engine was killed meanwhile.
+    pub(crate) fn prefill(&mut self, chat: &Chat, is_connected: &mut dyn FnMut() -> bool) -> bool {
         let engine = self.engine;
         let words = chat.words();
         let prompt = chat.continuation().0;
         let from_us = now_us();
         self.conversation = chat.conversation();
         let prefixes = PrefixCache::prefixes(&words);
-        engine.inner.lock().prefills.insert(self.place);
+        engine.state.lock().prefills.insert(self.position);
         loop {
-            let mut inner = engine.inner.lock();
-            if inner.prefills.first() == Some(&self.place) {
-                self.seen.cached_tokens = inner.cache.cached(&prefixes) as u64;
+            let mut state = engine.state.lock();
+            if state.prefills.first() == Some(&self.position) {
+                self.counts.cached_tokens = state.cache.cached_tokens(&prefixes) as u64;
                 break;
             }
-            engine.changed.wait_for(&mut inner, BEAT);
-            drop(inner);
-            if !alive() || engine.is_dead() {
+            engine.state_changed.wait_for(&mut state, LIVENESS_POLL);
+            drop(state);
+            if !is_connected() || engine.is_dead() {
                 return false;
             }
         }
-        let fresh = (words.len() as u64).saturating_sub(self.seen.cached_tokens);
-        let done = engine.work(Duration::from_micros(fresh * engine.options.prefill_us), alive);
-        let mut inner = engine.inner.lock();
-        inner.prefills.remove(&self.place);
-        engine.changed.notify_all();
+        let uncached = (words.len() as u64).saturating_sub(self.counts.cached_tokens);
+        let done = engine.sleep_scaled(
+            Duration::from_micros(uncached * engine.options.prefill_us),
+            is_connected,
+        );
+        let mut state = engine.state.lock();
+        state.prefills.remove(&self.position);
+        engine.state_changed.notify_all();
         if done {
-            inner.cache.pin(&prefixes);
+            state.cache.pin(&prefixes);
             self.pinned = prefixes;
-            inner.learn(&self.seen, &words, prompt);
-            drop(inner);
+            state.remember_request(&self.counts, &words, prompt);
+            drop(state);
             engine.record.write(&Line::Begun {
                 from_us,
                 at_us: now_us(),
-                request: self.seen.request.clone(),
+                request: self.counts.request.clone(),
                 conversation: self.conversation,
                 prompt,
-                prompt_tokens: self.seen.prompt_tokens,
-                cached_tokens: self.seen.cached_tokens,
-                begun_tokens: self.seen.begun_tokens,
+                prompt_tokens: self.counts.prompt_tokens,
+                cached_tokens: self.counts.cached_tokens,
+                begun_tokens: self.counts.begun_tokens,
             });
         }
         done
     }
 
-    /// Notes a token that was made.
-    pub(crate) fn made(&mut self) {
-        self.seen.made_tokens += 1;
-        if let Some(known) = self.engine.inner.lock().known.get_mut(&self.seen.request) {
-            known.made += 1;
+    /// Counts a generated token.
+    pub(crate) fn count_token(&mut self) {
+        self.counts.made_tokens += 1;
+        if let Some(tokens) = self.engine.state.lock().requests.get_mut(&self.counts.request) {
+            tokens.generated += 1;
         }
     }
 }
@@ -339,52 +357,52 @@
     fn drop(&mut self) {
         self.engine.record.write(&Line::Ended {
             at_us: now_us(),
-            request: self.seen.request.clone(),
+            request: self.counts.request.clone(),
             conversation: self.conversation,
-            prompt_tokens: self.seen.prompt_tokens,
-            made_tokens: self.seen.made_tokens,
+            prompt_tokens: self.counts.prompt_tokens,
+            made_tokens: self.counts.made_tokens,
         });
-        let mut inner = self.engine.inner.lock();
-        inner.running -= 1;
-        inner.prefills.remove(&self.place);
-        inner.cache.unpin(&self.pinned);
-        inner.seen.push(self.seen.clone());
-        if let Some(known) = inner.known.get(&self.seen.request).cloned() {
-            let made: Vec<String> = known.made().collect();
-            let words: Vec<&str> = known.words.iter().chain(&made).map(|word| word.trim()).collect();
-            inner.cache.store(&PrefixCache::prefixes(&words));
+        let mut state = self.engine.state.lock();
+        state.running -= 1;
+        state.prefills.remove(&self.position);
+        state.cache.unpin(&self.pinned);
+        state.finished.push(self.counts.clone());
+        if let Some(tokens) = state.requests.get(&self.counts.request).cloned() {
+            let generated: Vec<String> = tokens.generated_words().collect();
+            let words: Vec<&str> = tokens.words.iter().chain(&generated).map(|word| word.trim()).collect();
+            state.cache.store(&PrefixCache::prefixes(&words));
         }
-        self.engine.changed.notify_all();
+        self.engine.state_changed.notify_all();
     }
 }
 
-impl Inner {
-    fn learn(&mut self, seen: &Seen, words: &[&str], prompt: u64) {
-        let known = Known {
+impl BatchState {
+    fn remember_request(&mut self, counts: &Seen, words: &[&str], prompt: u64) {
+        let tokens = RequestTokens {
             words: words.iter().map(|word| (*word).to_owned()).collect(),
             prompt,
-            begun: seen.begun_tokens,
-            made: 0,
+            start: counts.begun_tokens,
+            generated: 0,
         };
-        if self.known.insert(seen.request.clone(), known).is_none() {
-            self.order.push_back(seen.request.clone());
+        if self.requests.insert(counts.request.clone(), tokens).is_none() {
+            self.request_order.push_back(counts.request.clone());
         }
-        if self.order.len() > KEPT
-            && let Some(oldest) = self.order.pop_front()
+        if self.request_order.len() > MAX_EXPORTABLE_REQUESTS
+            && let Some(oldest) = self.request_order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.requests.remove(&oldest);
         }
     }
 }
 
-impl Known {
-    fn made(&self) -> impl Iterator<Item = String> + use<> {
+impl RequestTokens {
+    fn generated_words(&self) -> impl Iterator<Item = String> + use<> {
         let prompt = self.prompt;
-        (self.begun..self.begun + self.made).map(move |position| token(prompt, position))
+        (self.start..self.start + self.generated).map(move |position| token(prompt, position))
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: blocks of tokens, each known by the hash of everything up to its end.
+//! The prefix cache: blocks of tokens, each identified by the hash of all tokens up to its end.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,14 +6,14 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Tokens in one block.
-pub const BLOCK: usize = 16;
-/// Events that are kept for readers; older ones become a gap.
+pub const BLOCK_TOKENS: usize = 16;
+/// Events kept for readers; readers see a gap in the sequence numbers where older ones were dropped.
 const MAX_EVENTS: usize = 4_096;
 
-/// Something that happened to a block.
+/// A block that was stored or evicted.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct CacheEvent {
-    /// Position among all events.
+    /// Sequence number, from 1 without gaps over all events of the cache.
     pub(crate) sequence: u64,
     /// Hash of the prefix that ends with the block.
     pub(crate) block: u64,
@@ -21,20 +21,22 @@
     pub(crate) stored: bool,
 }
 
-/// A block that is held.
+/// Use of a cached block.
 #[derive(Debug)]
-struct Held {
-    used: u64,
+struct CachedBlock {
+    last_used: u64,
     pins: u32,
 }
 
-/// Blocks in order of their last use; those in use are pinned and can't be evicted.
+/// LRU cache of blocks; blocks of running requests are pinned and can't be evicted.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
-    blocks: usize,
+    capacity_blocks: usize,
+    /// Logical time, advanced by every use of a block.
     clock: u64,
-    held: HashMap<u64, Held>,
-    order: BTreeMap<u64, u64>,
+    cached: HashMap<u64, CachedBlock>,
+    /// Unpinned blocks by their last use.
+    lru: BTreeMap<u64, u64>,
     events: Vec<CacheEvent>,
     sequence: u64,
 }
@@ -42,37 +44,41 @@
 impl PrefixCache {
     pub(crate) fn new(tokens: usize) -> Self {
         Self {
-            blocks: (tokens / BLOCK).max(1),
+            capacity_blocks: (tokens / BLOCK_TOKENS).max(1),
             clock: 0,
-            held: HashMap::new(),
-            order: BTreeMap::new(),
+            cached: HashMap::new(),
+            lru: BTreeMap::new(),
             events: Vec::new(),
             sequence: 0,
         }
     }
 
-    /// Gives the hash of each prefix that ends with a whole block.
+    /// Returns the hashes of all prefixes that end with a full block, shortest first.
     pub(crate) fn prefixes(words: &[&str]) -> Vec<u64> {
         let mut hash = 0;
-        let chain = words.chunks_exact(BLOCK).map(|block| {
+        let chain = words.chunks_exact(BLOCK_TOKENS).map(|block| {
             hash = xxh3_64_with_seed(block.join(" ").as_bytes(), hash);
             hash
         });
         chain.collect()
     }
 
-    /// Gives the number of tokens at the start that are cached.
-    pub(crate) fn cached(&self, prefixes: &[u64]) -> usize {
-        prefixes.iter().take_while(|hash| self.held.contains_key(hash)).count() * BLOCK
+    /// Returns the length of the longest cached prefix, in tokens.
+    pub(crate) fn cached_tokens(&self, prefixes: &[u64]) -> usize {
+        prefixes
+            .iter()
+            .take_while(|hash| self.cached.contains_key(hash))
+            .count()
+            * BLOCK_TOKENS
     }
 
-    /// Gives the prefixes from the start that are cached.
-    pub(crate) fn held(&self, prefixes: &[u64]) -> Vec<u64> {
-        let held = prefixes.iter().take_while(|hash| self.held.contains_key(hash));
-        held.copied().collect()
+    /// Returns the prefixes up to the first that is not cached.
+    pub(crate) fn cached_prefixes(&self, prefixes: &[u64]) -> Vec<u64> {
+        let cached = prefixes.iter().take_while(|hash| self.cached.contains_key(hash));
+        cached.copied().collect()
     }
 
-    /// Stores the blocks of a prompt, evicting the least recently used.
+    /// Stores the blocks of a prompt and evicts the least recently used.
     pub(crate) fn store(&mut self, prefixes: &[u64]) {
         for hash in prefixes {
             self.touch(*hash, 0);
@@ -80,7 +86,7 @@
         self.evict();
     }
 
-    /// Stores the blocks of a prompt that is in use.
+    /// Stores the blocks of a prompt and pins them.
     pub(crate) fn pin(&mut self, prefixes: &[u64]) {
         for hash in prefixes {
             self.touch(*hash, 1);
@@ -88,23 +94,23 @@
         self.evict();
     }
 
-    /// Ends the use of blocks.
+    /// Releases one pin of each block.
     pub(crate) fn unpin(&mut self, prefixes: &[u64]) {
         for hash in prefixes {
-            if let Some(held) = self.held.get_mut(hash) {
-                held.pins = held.pins.saturating_sub(1);
+            if let Some(cached) = self.cached.get_mut(hash) {
+                cached.pins = cached.pins.saturating_sub(1);
             }
             self.touch(*hash, 0);
         }
         self.evict();
     }
 
-    /// Gives the used share.
-    pub(crate) fn fill(&self) -> f32 {
-        (self.held.len() as f32 / self.blocks as f32).min(1.0)
+    /// Returns the used share of the capacity, from 0 to 1.
+    pub(crate) fn used_share(&self) -> f32 {
+        (self.cached.len() as f32 / self.capacity_blocks as f32).min(1.0)
     }
 
-    /// Gives the events from a position on, as far as they are kept.
+    /// Returns the events with a sequence number above `after` that are still kept.
     pub(crate) fn events(&self, after: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -114,30 +120,33 @@
     }
 
     fn evict(&mut self) {
-        while self.held.len() > self.blocks {
-            let Some((_, hash)) = self.order.pop_first() else { break };
-            self.held.remove(&hash);
-            self.note(hash, false);
+        while self.cached.len() > self.capacity_blocks {
+            let Some((_, hash)) = self.lru.pop_first() else { break };
+            self.cached.remove(&hash);
+            self.log_event(hash, false);
         }
     }
 
     fn touch(&mut self, hash: u64, pins: u32) {
         self.clock += 1;
         let clock = self.clock;
-        let fresh = !self.held.contains_key(&hash);
-        let held = self.held.entry(hash).or_insert(Held { used: clock, pins: 0 });
-        self.order.remove(&held.used);
-        held.used = clock;
-        held.pins += pins;
-        if held.pins == 0 {
-            self.order.insert(clock, hash);
+        let is_new = !self.cached.contains_key(&hash);
+        let cached = self.cached.entry(hash).or_insert(CachedBlock {
+            last_used: clock,
+            pins: 0,
+        });
+        self.lru.remove(&cached.last_used);
+        cached.last_used = clock;
+        cached.pins += pins;
+        if cached.pins == 0 {
+            self.lru.insert(clock, hash);
         }
-        if fresh {
-            self.note(hash, true);
+        if is_new {
+            self.log_event(hash, true);
         }
     }
 
-    fn note(&mut self, block: u64, stored: bool) {
+    fn log_event(&mut self, block: u64, stored: bool) {
         self.sequence += 1;
         self.events.push(CacheEvent {
             sequence: self.sequence,
--- a/crates/standin/src/engine/faults.rs
+++ b/crates/standin/src/engine/faults.rs
@@ -1,36 +1,36 @@
-//! Faults that a flag or a call sets.
+//! Injected faults, set by `--faults` or `POST /_standin/faults`.
 
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong at an engine until it's told otherwise.
+/// Faults injected into an engine until others are set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing moves and nothing is answered.
+    /// Running requests make no progress and requests get no answer, except those under `/_standin/`.
     pub frozen: bool,
     /// Factor on the time of every step; 0 counts as 1.
     pub slow: f64,
-    /// New work is refused with 503.
+    /// New completions are refused with status 503.
     pub refuse: bool,
-    /// Streams break off after this many tokens.
+    /// Streams are cut after this many tokens; absent, they run to their end.
     pub break_after: Option<u64>,
-    /// KV imports break off.
+    /// KV imports fail after the transfer.
     pub break_import: bool,
-    /// Milliseconds that the answer to an order is held back.
+    /// Delay of the answer to an order, in milliseconds.
     pub order_delay_ms: u64,
-    /// Orders whose answer is lost after they were carried out.
+    /// Number of next orders whose connection is closed without an answer after they were processed.
     pub orders_lost: u32,
-    /// Orders that arrive a second time.
+    /// Number of next orders that are processed a second time, as if duplicated on the network.
     pub orders_doubled: u32,
-    /// Milliseconds after which the second arrival comes.
+    /// Delay of the duplicate, in milliseconds.
     pub double_ms: u64,
 }
 
 impl Faults {
-    /// Gives the factor on the time of every step.
-    pub(crate) fn factor(&self) -> f64 {
+    /// Returns the slowdown factor of every step.
+    pub(crate) fn slowdown(&self) -> f64 {
         if self.slow > 0.0 { self.slow } else { 1.0 }
     }
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine: continuous batching, a prefix cache and streams in the `OpenAI` convention.
+//! A model engine: continuous batching, a prefix cache and answers in the format of the `OpenAI` API.
 
 mod answer;
 mod batch;
@@ -21,15 +21,15 @@
 pub use faults::Faults;
 
 use crate::cli::EngineOptions;
-use crate::http::{announce, stop_flag};
+use crate::http::{print_address, stop_flag};
 use crate::record::Record;
 
-/// Pause between two looks at whether to stop.
-const STEP: Duration = Duration::from_millis(20);
-/// How long an engine past its deadline still refuses new work before it dies.
-const REFUSALS: Duration = Duration::from_millis(100);
+/// Interval between two checks whether to stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which an engine past its shutdown deadline still refuses new work before it is killed.
+const REFUSAL_PERIOD: Duration = Duration::from_millis(100);
 
-/// An engine that serves on threads of its own; it dies when dropped.
+/// An engine that serves on its own threads; dropping it kills it.
 #[derive(Debug)]
 pub struct Running {
     address: SocketAddr,
@@ -40,7 +40,7 @@
 /// Starts an engine.
 ///
 /// # Errors
-/// Fails when the address can't be listened on or a thread can't be started.
+/// Fails when the server can't listen on the address or a thread can't be started.
 pub fn start(options: &EngineOptions) -> anyhow::Result<Running> {
     let listen = options.listen;
     let record = Record::open(options.record.as_deref())?;
@@ -61,30 +61,30 @@
     })
 }
 
-/// Serves until the process is told to stop or the host is taken away.
+/// Serves until the process gets a stop signal or the shutdown deadline of the engine has passed.
 ///
 /// # Errors
-/// Fails when the address can't be listened on.
+/// Fails when the server can't listen on the address.
 pub fn serve(options: &EngineOptions) -> anyhow::Result<()> {
     let stop = stop_flag()?;
     let running = start(options)?;
-    announce(running.address())?;
+    print_address(running.address())?;
     while !stop.load(Ordering::Relaxed) && !running.engine.is_dead() {
-        std::thread::sleep(STEP);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
 fn accept(server: &Server, engine: &Arc<batch::Engine>) {
     while !engine.is_dead() {
-        if engine.is_past() {
+        if engine.is_past_deadline() {
             let engine = Arc::clone(engine);
             std::thread::spawn(move || {
-                std::thread::sleep(REFUSALS);
-                engine.die();
+                std::thread::sleep(REFUSAL_PERIOD);
+                engine.kill();
             });
         }
-        let Ok(Some(request)) = server.recv_timeout(STEP) else {
+        let Ok(Some(request)) = server.recv_timeout(POLL_INTERVAL) else {
             continue;
         };
         let engine = Arc::clone(engine);
@@ -93,34 +93,35 @@
 }
 
 impl Running {
-    /// Gives the address that it listens on.
+    /// Returns the address that the engine listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives what ran.
+    /// Returns the requests that have left the batch, in that order.
     #[must_use]
     pub fn seen(&self) -> Vec<Seen> {
         self.engine.seen()
     }
 
-    /// Sets what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.engine.faults.lock() = faults;
     }
 
-    /// Takes the host away after some time.
-    pub fn leave(&self, left: Duration) {
-        self.engine.leave(left);
+    /// Sets a shutdown deadline, as the reclaim of its host with notice does; past it the engine refuses new work and
+    /// is killed.
+    pub fn leave(&self, remaining: Duration) {
+        self.engine.shut_down_after(remaining);
     }
 
-    /// Takes the host away at once.
+    /// Kills the engine at once, as the loss of its host does.
     pub fn die(&self) {
-        self.engine.die();
+        self.engine.kill();
     }
 
-    /// Tells whether the host is gone.
+    /// Returns whether the engine was killed.
     #[must_use]
     pub fn is_dead(&self) -> bool {
         self.engine.is_dead()
@@ -129,9 +130,9 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.engine.die();
+        self.engine.kill();
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has stopped as well.
+            // An error means that the thread panicked, and so has stopped too.
             let _ = thread.join();
         }
     }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: load a model or an adapter, drop an adapter, change role.
+//! Orders of the control plane: load a model or an adapter, drop an adapter, change the role.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,19 +9,18 @@
 
 use super::batch::Engine;
 
-/// Longest wait for the weight store.
+/// Longest wait for one load from the weight store.
 const LOAD_TIMEOUT: Duration = Duration::from_mins(10);
-/// Pause before a refused load is asked for again.
-const LOAD_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a refused load is retried.
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// An order as it comes.
+/// Body of `POST /orders`.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Order {
-    /// Tells this order from others.
+    /// Unique id; `/state` shows that of the last finished order.
     id: String,
-    /// Fencing token of who gives it.
+    /// Fencing token of the sender, checked with `--checks-fencing`.
     token: u64,
-    /// What to do.
     action: Action,
 }
 
@@ -34,29 +33,33 @@
     SetRole { role: String },
 }
 
-/// What orders have made of the engine.
+/// What the engine serves as a result of its orders; answered at `/state`.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Orders {
+pub(crate) struct OrderState {
+    /// Highest fencing token seen.
     token: u64,
     model: String,
     version: String,
+    /// Version of each loaded adapter, by name.
     adapters: BTreeMap<String, String>,
     role: String,
     loading: Option<Action>,
+    /// Id of the last finished order.
     last: Option<String>,
+    /// Number of finished orders.
     count: u64,
 }
 
 /// Why an order was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Refused {
-    /// A newer token was seen.
-    Old,
-    /// Something is being loaded.
-    Busy,
+pub(crate) enum OrderError {
+    /// An order with a higher fencing token was accepted before.
+    StaleToken,
+    /// A model or an adapter is being loaded.
+    Loading,
 }
 
-impl Orders {
+impl OrderState {
     pub(crate) fn new(model: &str) -> Self {
         Self {
             token: 0,
@@ -70,35 +73,35 @@
         }
     }
 
-    /// Gives the model that is loaded.
+    /// Returns the name of the loaded model; the previous one while another is being loaded.
     pub(crate) fn model(&self) -> &str {
         &self.model
     }
 
-    /// Tells whether requests for a model or adapter are served; not while a model is being loaded.
+    /// Returns whether requests for a model or adapter are served; not while a model is being loaded.
     pub(crate) fn serves(&self, name: &str) -> bool {
         let loads_model = matches!(self.loading, Some(Action::LoadModel { .. }));
         !loads_model && (self.model == name || self.adapters.contains_key(name))
     }
 
-    /// Tells whether a model is being loaded, so that requests are refused as not run.
+    /// Returns whether a model is being loaded; requests are then refused with 503, which says that they did not run.
     pub(crate) const fn is_loading(&self) -> bool {
         matches!(self.loading, Some(Action::LoadModel { .. }))
     }
 
-    fn begin(&mut self, order: &Order, checks: bool) -> Result<(), Refused> {
-        if checks && order.token < self.token {
-            return Err(Refused::Old);
+    fn start(&mut self, order: &Order, checks_fencing: bool) -> Result<(), OrderError> {
+        if checks_fencing && order.token < self.token {
+            return Err(OrderError::StaleToken);
         }
         if self.loading.is_some() {
-            return Err(Refused::Busy);
+            return Err(OrderError::Loading);
         }
         self.token = self.token.max(order.token);
         self.loading = Some(order.action.clone());
         Ok(())
     }
 
-    fn end(&mut self, order: &Order) {
+    fn finish(&mut self, order: &Order) {
         match order.action.clone() {
             Action::LoadModel { model, version } => {
                 self.model = model;
@@ -119,27 +122,27 @@
     }
 }
 
-/// Takes an order; loading goes on after the answer.
-pub(crate) fn take(engine: &Arc<Engine>, order: &Order) -> Result<(), Refused> {
+/// Accepts an order; weights are loaded in the background.
+pub(crate) fn accept(engine: &Arc<Engine>, order: &Order) -> Result<(), OrderError> {
     let mut orders = engine.orders.lock();
-    orders.begin(order, engine.options.checks_fencing)?;
-    let Some(path) = weights_of(&order.action) else {
-        orders.end(order);
+    orders.start(order, engine.options.checks_fencing)?;
+    let Some(path) = weights_path(&order.action) else {
+        orders.finish(order);
         return Ok(());
     };
     drop(orders);
     let (engine, order) = (Arc::clone(engine), order.clone());
     std::thread::spawn(move || {
         if let Some(weights) = engine.options.weights {
-            load(&engine, weights, &path);
+            load_weights(&engine, weights, &path);
         }
-        engine.thaw();
-        engine.orders.lock().end(&order);
+        engine.wait_while_frozen();
+        engine.orders.lock().finish(&order);
     });
     Ok(())
 }
 
-fn weights_of(action: &Action) -> Option<String> {
+fn weights_path(action: &Action) -> Option<String> {
     match action {
         Action::LoadModel { model, version } => Some(format!("/weights/models/{model}/{version}")),
         Action::LoadAdapter { adapter, version } => Some(format!("/weights/adapters/{adapter}/{version}")),
@@ -147,14 +150,14 @@
     }
 }
 
-/// Loads from the weight store, which refuses when too many load at once.
-fn load(engine: &Engine, weights: SocketAddr, path: &str) {
+/// Loads from the weight store; retries while it refuses, as it does when too many loads run at once.
+fn load_weights(engine: &Engine, store: SocketAddr, path: &str) {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(LOAD_TIMEOUT))
         .proxy(None)
         .build();
     let agent: ureq::Agent = config.into();
-    while !engine.is_dead() && agent.get(format!("http://{weights}{path}")).call().is_err() {
-        std::thread::sleep(LOAD_PAUSE);
+    while !engine.is_dead() && agent.get(format!("http://{store}{path}")).call().is_err() {
+        std::thread::sleep(LOAD_RETRY_DELAY);
     }
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share of HTTP.
+//! HTTP server and process helpers shared by the stand-ins.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 use serde::de::DeserializeOwned;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// Pause between two looks at whether to stop.
-const STEP: Duration = Duration::from_millis(50);
+/// Longest time between two checks whether to stop.
+const STOP_POLL: Duration = Duration::from_millis(50);
 
-/// A stand-in that serves on threads of its own; it stops when dropped.
+/// A stand-in that serves on its own threads; dropping it stops it.
 #[derive(Debug)]
 pub struct Running {
     address: SocketAddr,
@@ -23,7 +23,7 @@
 }
 
 impl Running {
-    /// Serves with rouille on threads of its own.
+    /// Starts a server with its own thread pool.
     pub(crate) fn start<F>(listen: SocketAddr, threads: usize, handler: F) -> anyhow::Result<Self>
     where
         F: Fn(&Request) -> Response + Send + Sync + 'static,
@@ -33,10 +33,10 @@
         let server = server.pool_size(threads);
         let address = server.server_addr();
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = Arc::clone(&stop);
+        let thread_stop = Arc::clone(&stop);
         let thread = std::thread::Builder::new().name("standin".to_owned()).spawn(move || {
-            while !stopped.load(Ordering::Relaxed) {
-                server.poll_timeout(STEP);
+            while !thread_stop.load(Ordering::Relaxed) {
+                server.poll_timeout(STOP_POLL);
             }
         })?;
         Ok(Self {
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Gives the address that it listens on.
+    /// Returns the address that the stand-in listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
@@ -57,20 +57,20 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has stopped as well.
+            // An error means that the thread panicked, and so has stopped too.
             let _ = thread.join();
         }
     }
 }
 
-/// Tells whoever started the process where it listens.
-pub(crate) fn announce(address: SocketAddr) -> std::io::Result<()> {
+/// Prints the listen address, which the parent process reads from standard output.
+pub(crate) fn print_address(address: SocketAddr) -> std::io::Result<()> {
     let mut out = std::io::stdout();
     writeln!(out, "listening on {address}")?;
     out.flush()
 }
 
-/// Gives a flag that turns true when the process is told to stop.
+/// Returns a flag that SIGTERM and SIGINT set.
 pub(crate) fn stop_flag() -> std::io::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
@@ -78,26 +78,26 @@
     Ok(stop)
 }
 
-/// Announces a stand-in and waits until the process is told to stop.
-pub(crate) fn until_stopped(running: &Running) -> anyhow::Result<()> {
+/// Prints the listen address and waits for a stop signal.
+pub(crate) fn run_until_stopped(running: &Running) -> anyhow::Result<()> {
     let stop = stop_flag()?;
-    announce(running.address())?;
+    print_address(running.address())?;
     while !stop.load(Ordering::Relaxed) {
-        std::thread::sleep(STEP);
+        std::thread::sleep(STOP_POLL);
     }
     Ok(())
 }
 
-/// Reads a JSON body.
-pub(crate) fn body<T: DeserializeOwned>(request: &Request) -> Result<T, Response> {
+/// Parses the JSON body of a request; the error is a response with status 400.
+pub(crate) fn json_body<T: DeserializeOwned>(request: &Request) -> Result<T, Response> {
     let data = request
         .data()
         .ok_or_else(|| Response::text("body was read before").with_status_code(400))?;
     serde_json::from_reader(data).map_err(|error| Response::text(error.to_string()).with_status_code(400))
 }
 
-/// Gives an answer whose body never comes: the connection ends after the head.
-pub(crate) fn broken() -> Response {
+/// Returns a response that announces a body and ends after the headers.
+pub(crate) fn truncated_response() -> Response {
     Response {
         status_code: 200,
         headers: Vec::new(),
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for engines, services, the cloud API and the weight store, each behind its published protocol.
+//! Stand-ins for engines, services, the cloud API and the weight store, each with the protocol of the real one.
 //!
-//! They exist for tests and trials only. What they did is kept and can be read back under `/_standin/`, so that a test
-//! can compare what callers were told with what really ran. Faults are set by a flag or by `POST /_standin/faults`.
+//! They exist for tests and trials only. `/_standin/` endpoints return what a stand-in ran, so that a test can compare
+//! it with what callers were told. Faults are injected with a flag or with `POST /_standin/faults`.
 
 pub mod cli;
 pub mod cloud;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `gentian-standin`: engines, services, a cloud and a weight store for tests and trials.
+//! `gentian-standin`: runs a stand-in engine, service, cloud API or weight store, for tests and trials.
 
 use standin::cli::{Options, Role};
 use standin::{cloud, engine, service, weights};
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,7 +1,7 @@
-//! The record of what a stand-in did, one JSON line each, written before anything is answered.
+//! A log file of what a stand-in ran: one JSON line per event, written before the answer is sent.
 //!
-//! A stand-in that is killed takes its memory with it. Its record stays, so that what ran can still be compared with
-//! what callers were told.
+//! The memory of a killed stand-in is lost; with the file, tests can still compare what ran with what callers were
+//! told.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -11,64 +11,64 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// Something that a stand-in did; times are the machine's wall clock in microseconds.
+/// An event; its times are wall clock in microseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "did", rename_all = "snake_case")]
 pub enum Line {
     /// An engine has prefilled a prompt.
     Begun {
-        /// When prefilling began.
+        /// Start of the prefill.
         from_us: u64,
-        /// When it ended.
+        /// End of the prefill.
         at_us: u64,
-        /// The request id that it came with.
+        /// The `X-Request-Id` header of the request; empty without one.
         request: String,
-        /// Identity of the conversation: its first user message.
+        /// Id of the conversation: the hash of its first user message.
         conversation: u64,
-        /// Identity of the prompt without a begun answer.
+        /// Id of the prompt: the hash of its messages without a partial answer to continue.
         prompt: u64,
-        /// Tokens that were prefilled or found in the cache.
+        /// Tokens of the prompt, prefilled or found in the cache.
         prompt_tokens: u64,
-        /// Tokens of these that were found in the cache.
+        /// Prompt tokens that were found in the prefix cache.
         cached_tokens: u64,
-        /// Tokens of a begun answer among them.
+        /// Prompt tokens that belong to a partial answer, which the request continues.
         begun_tokens: u64,
     },
-    /// An engine has ended an answer or was left by its caller.
+    /// A request has left the batch of an engine: answered, cut off, or its caller has disconnected.
     Ended {
-        /// When.
+        /// Time of the event.
         at_us: u64,
-        /// The request id that it came with.
+        /// The `X-Request-Id` header of the request; empty without one.
         request: String,
-        /// Identity of the conversation.
+        /// Id of the conversation; 0 before the prefill.
         conversation: u64,
-        /// Tokens of the prompt, a begun answer included.
+        /// Tokens of the prompt, a partial answer included.
         prompt_tokens: u64,
-        /// Tokens that were made.
+        /// Tokens that were generated.
         made_tokens: u64,
     },
-    /// A service has run a call with an idempotency key.
+    /// A service has run a booking.
     Ran {
-        /// When.
+        /// Time of the event.
         at_us: u64,
-        /// The key.
+        /// Idempotency key of the call.
         key: String,
     },
-    /// A service has looked something up.
+    /// A service has answered a lookup.
     Read {
-        /// When.
+        /// Time of the event.
         at_us: u64,
-        /// Path below the service.
+        /// Path of the request.
         path: String,
     },
 }
 
-/// Where lines go, if anywhere.
+/// An event log, or a sink that drops events.
 #[derive(Debug, Default)]
 pub struct Record(Option<Mutex<File>>);
 
 impl Record {
-    /// Opens a record; without a file, lines are dropped.
+    /// Opens an event log; without a file, events are dropped.
     ///
     /// # Errors
     /// Fails when the file can't be opened for appending.
@@ -79,23 +79,21 @@
         Ok(Self(Some(Mutex::new(file))))
     }
 
-    /// Writes a line straight to the operating system, so that a killed process loses none.
+    /// Writes an event without buffering in the process, so that a killed process loses none.
     ///
     /// # Panics
-    /// Panics when the file can't be written: a trial with an incomplete record would report false figures.
+    /// Panics when the file can't be written, because a trial with an incomplete log would report wrong figures.
     pub fn write(&self, line: &Line) {
         let Some(file) = &self.0 else { return };
-        let mut text = serde_json::to_string(line).expect("a line is plain data");
+        let mut text = serde_json::to_string(line).expect("an event serializes to JSON");
         text.push('\n');
-        file.lock()
-            .write_all(text.as_bytes())
-            .expect("the record of a trial can be written");
+        file.lock().write_all(text.as_bytes()).expect("append to the event log");
     }
 }
 
-/// Gives the wall clock in microseconds.
+/// Returns the wall clock in microseconds since the Unix epoch.
 #[must_use]
 pub fn now_us() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_micros() as u64
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    elapsed.as_micros() as u64
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: lookups that may be repeated and bookings that may not.
+//! A plain service: lookups, which are safe to repeat, and bookings, which are not.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -14,19 +14,19 @@
 use crate::http::{self, Running};
 use crate::record::{Line, Record, now_us};
 
-/// What goes wrong at a service until it's told otherwise.
+/// Faults injected into a service until others are set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Milliseconds that each call takes longer.
+    /// Added duration of each call, in milliseconds.
     pub delay_ms: u64,
-    /// Calls are refused with 503 before they run.
+    /// Calls are refused with status 503 and do not run.
     pub refuse: bool,
-    /// Connections break off before the call runs.
+    /// Responses are cut after the headers, and the call does not run.
     pub break_before: bool,
-    /// Connections break off after the call ran.
+    /// Responses are cut after the headers, after the call has run.
     pub break_after: bool,
-    /// Faults but the delay hold for this many calls only; 0 is no limit.
+    /// Number of next calls for which the faults, except the delay, apply; 0 is no limit.
     pub calls: u64,
 }
 
@@ -35,7 +35,7 @@
     options: ServiceOptions,
     record: Record,
     faults: Mutex<ServiceFaults>,
-    /// Runs by idempotency key, and how often each ran.
+    /// Number of runs of each booking, by idempotency key.
     runs: Mutex<BTreeMap<String, u64>>,
 }
 
@@ -47,10 +47,10 @@
     }
 }
 
-/// Starts a service.
+/// Starts a service on its own threads.
 ///
 /// # Errors
-/// Fails when the address can't be listened on.
+/// Fails when the server can't listen on the address.
 pub fn start(options: &ServiceOptions) -> anyhow::Result<Running> {
     let service = Arc::new(Service {
         options: options.clone(),
@@ -61,12 +61,12 @@
     Running::start(options.listen, options.slots, move |request| answer(&service, request))
 }
 
-/// Serves until the process is told to stop.
+/// Serves until the process gets a stop signal.
 ///
 /// # Errors
-/// Fails when the address can't be listened on.
+/// Fails when the server can't listen on the address.
 pub fn serve(options: &ServiceOptions) -> anyhow::Result<()> {
-    http::until_stopped(&start(options)?)
+    http::run_until_stopped(&start(options)?)
 }
 
 fn answer(service: &Service, request: &Request) -> Response {
@@ -80,14 +80,14 @@
         _ => {}
     }
     if let Some(key) = url.strip_prefix("/outcomes/") {
-        return service.outcome(key);
+        return service.booking_outcome(key);
     }
-    let faults = service.next_faults();
+    let faults = service.take_faults();
     if faults.refuse {
         return Response::json(&json!({"error": "not run"})).with_status_code(503);
     }
     if faults.break_before {
-        return http::broken();
+        return http::truncated_response();
     }
     std::thread::sleep(Duration::from_millis(service.options.work_ms + faults.delay_ms));
     let reply = if request.method() == "GET" {
@@ -95,14 +95,18 @@
         service.record.write(&Line::Read { at_us, path });
         Response::json(&json!({"path": url, "free": 7}))
     } else {
-        service.run(request)
+        service.run_booking(request)
     };
-    if faults.break_after { http::broken() } else { reply }
+    if faults.break_after {
+        http::truncated_response()
+    } else {
+        reply
+    }
 }
 
 impl Service {
     fn set_faults(&self, request: &Request) -> Response {
-        http::body::<ServiceFaults>(request).map_or_else(
+        http::json_body::<ServiceFaults>(request).map_or_else(
             |refusal| refusal,
             |faults| {
                 *self.faults.lock() = faults;
@@ -111,22 +115,23 @@
         )
     }
 
-    /// Gives the faults of the next call.
-    fn next_faults(&self) -> ServiceFaults {
+    /// Returns the faults that apply to a call, and counts it.
+    fn take_faults(&self) -> ServiceFaults {
         let mut faults = self.faults.lock();
-        let now = *faults;
+        let current = *faults;
         if faults.calls == 1 {
             *faults = ServiceFaults {
-                delay_ms: now.delay_ms,
+                delay_ms: current.delay_ms,
                 ..ServiceFaults::default()
             };
         }
         faults.calls = faults.calls.saturating_sub(1);
-        now
+        current
     }
 
-    /// Runs a booking every time it comes; that a key runs once only is up to the caller.
-    fn run(&self, request: &Request) -> Response {
+    /// Runs a booking each time it is requested. It does not deduplicate by idempotency key, so that a test sees when a
+    /// caller repeats one.
+    fn run_booking(&self, request: &Request) -> Response {
         let Some(key) = request.header("Idempotency-Key") else {
             return Response::json(&json!({"error": "no idempotency key"})).with_status_code(400);
         };
@@ -140,7 +145,7 @@
         Response::json(&json!({"booked": key, "times": *count})).with_status_code(201)
     }
 
-    fn outcome(&self, key: &str) -> Response {
+    fn booking_outcome(&self, key: &str) -> Response {
         match self.runs.lock().get(key) {
             Some(count) if !self.options.keeps_silent => Response::json(&json!({"booked": key, "times": count})),
             _ => Response::json(&json!({"error": "never ran"})).with_status_code(404),
--- a/crates/standin/tests/answer_text.rs
+++ b/crates/standin/tests/answer_text.rs
@@ -1,6 +1,7 @@
-//! The text of answers is a function of the prompt, which is what other tests check whole answers by.
+//! Guards against answers whose text is no longer a function of the prompt, by which other tests verify answers.
 //!
-//! That this package has a test also makes `cargo test --workspace` build its program, which tests of others start.
+//! An integration test in this package also makes `cargo test --workspace` build its binary, which the tests of other
+//! crates start.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,40 +9,42 @@
 
 use standin::engine::{continuation, token};
 
-/// A process that ends with the test.
-struct Engine(Child);
+/// An engine process, killed when dropped.
+struct EngineProcess(Child);
 
-impl Drop for Engine {
+impl Drop for EngineProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn said(role: &str, content: &str) -> (String, String) {
+fn message(role: &str, content: &str) -> (String, String) {
     (role.to_owned(), content.to_owned())
 }
 
+/// A continued answer would repeat or skip tokens if the partial answer changed the id of the prompt.
 #[test]
 fn continued_answer() {
-    let asked = vec![said("user", "a labret in titanium")];
-    let (prompt, begun) = continuation(&asked, false);
-    assert_eq!(begun, 0);
-    let made: String = (0..3).map(|position| token(prompt, position)).collect();
-    let mut resumed = asked;
-    resumed.push(said("assistant", &made));
-    assert_eq!(continuation(&resumed, true), (prompt, 3));
-    let (later_turn, _) = continuation(&resumed, false);
-    assert_ne!(later_turn, prompt);
+    let messages = vec![message("user", "a labret in titanium")];
+    let (prompt_id, start) = continuation(&messages, false);
+    assert_eq!(start, 0);
+    let generated: String = (0..3).map(|position| token(prompt_id, position)).collect();
+    let mut resumed = messages;
+    resumed.push(message("assistant", &generated));
+    assert_eq!(continuation(&resumed, true), (prompt_id, 3));
+    let (next_prompt_id, _) = continuation(&resumed, false);
+    assert_ne!(next_prompt_id, prompt_id);
 }
 
+/// A served answer would differ from the one that callers compute if the engine hashed other text than they do.
 #[test]
 fn served_answer() {
     let program = env!("CARGO_BIN_EXE_gentian-standin");
     let mut command = Command::new(program);
     command.args(["engine", "--model", "m", "--decode-us", "100"]);
-    let mut engine = Engine(command.stdout(Stdio::piped()).spawn().unwrap());
+    let mut engine = EngineProcess(command.stdout(Stdio::piped()).spawn().unwrap());
     let mut line = String::new();
     let out = engine.0.stdout.take().unwrap();
     BufReader::new(out).read_line(&mut line).unwrap();
@@ -57,7 +60,7 @@
     write!(stream, "Content-Length: {length}\r\n\r\n{body}").unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
-    let (prompt, _) = continuation(&[said("user", "hello")], false);
-    let expected: String = (0..4).map(|position| token(prompt, position)).collect();
+    let (prompt_id, _) = continuation(&[message("user", "hello")], false);
+    let expected: String = (0..4).map(|position| token(prompt_id, position)).collect();
     assert!(answer.contains(&expected), "{answer}");
 }
