--- a/crates/load/src/cli.rs
+++ b/crates/load/src/cli.rs
@@ -9,7 +9,7 @@
 use crate::trial::run::Policy;
 use crate::workload::Workload;
 
-/// Seconds in which requests arrive; three runs with start and end stay under a minute.
+/// Default time in which requests arrive, in seconds; a comparison of all three policies stays under a minute.
 const DURATION: f64 = 13.0;
 
 /// Load gentianspring and measure what comes out.
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -13,17 +13,17 @@
 use crate::table;
 use crate::trial::faults::Schedule;
 use crate::trial::figures::Run;
-use crate::trial::run::{Outcome, Policy, run, summary};
-use crate::workload::{Extent, Plan, Workload};
+use crate::trial::run::{Policy, RunOutput, run, summary};
+use crate::workload::{Plan, PlanOptions, Workload};
 
-/// What a comparison found; the names are those of the JSON output.
+/// Result of a comparison; field names are those of the JSON output.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// Whose workload.
+    /// Workload of all runs.
     pub workload: Workload,
-    /// Seed of everything random.
+    /// Seed of arrivals and faults.
     pub seed: u64,
-    /// One entry for each policy.
+    /// Figures of each policy.
     pub runs: Vec<Run>,
 }
 
@@ -32,12 +32,12 @@
 /// # Errors
 /// Fails when a run does.
 pub fn compare(options: &Compare) -> anyhow::Result<()> {
-    let extent = Extent {
+    let plan_options = PlanOptions {
         seed: options.seed,
         duration: Duration::from_secs_f64(options.duration),
         rate: options.rate.unwrap_or_else(|| options.workload.usual_rate()),
     };
-    let bench = Bench::new(options.workload, &extent, options.quiet)?;
+    let comparer = Comparer::new(options.workload, &plan_options, options.quiet)?;
     let mut runs = Vec::new();
     for policy in Policy::ALL {
         let without: &[String] = if policy == Policy::Gentianspring {
@@ -45,7 +45,7 @@
         } else {
             &[]
         };
-        runs.push(bench.run(policy, without, options.keep.as_deref())?.run);
+        runs.push(comparer.run(policy, without, options.keep.as_deref())?.run);
     }
     let comparison = Comparison {
         workload: options.workload,
@@ -64,66 +64,66 @@
 ///
 /// # Errors
 /// Fails when the run does.
-pub fn single(options: &RunOptions) -> anyhow::Result<()> {
-    let extent = Extent {
+pub fn run_single(options: &RunOptions) -> anyhow::Result<()> {
+    let plan_options = PlanOptions {
         seed: options.seed,
         duration: Duration::from_secs_f64(options.duration),
         rate: options.rate.unwrap_or_else(|| options.workload.usual_rate()),
     };
-    let bench = Bench::new(options.workload, &extent, options.quiet)?;
-    let outcome = bench.run(options.policy, &options.without, options.keep.as_deref())?;
+    let comparer = Comparer::new(options.workload, &plan_options, options.quiet)?;
+    let output = comparer.run(options.policy, &options.without, options.keep.as_deref())?;
     if options.json {
-        println!("{}", serde_json::to_string_pretty(&outcome.run)?);
+        println!("{}", serde_json::to_string_pretty(&output.run)?);
     } else {
-        println!("{}", table::render(&[outcome.run]));
+        println!("{}", table::render(&[output.run]));
     }
     Ok(())
 }
 
-/// Arrivals and faults that every policy gets.
-struct Bench {
+/// Runs policies on the same arrivals and faults.
+struct Comparer {
     plan: Plan,
     faults: Schedule,
     interrupted: Arc<AtomicBool>,
 }
 
-impl Bench {
-    fn new(workload: Workload, extent: &Extent, quiet: bool) -> anyhow::Result<Self> {
+impl Comparer {
+    fn new(workload: Workload, plan_options: &PlanOptions, quiet: bool) -> anyhow::Result<Self> {
         let interrupted = Arc::new(AtomicBool::new(false));
         signal_hook::flag::register(SIGINT, Arc::clone(&interrupted))?;
         signal_hook::flag::register(SIGTERM, Arc::clone(&interrupted))?;
         let faults = if quiet {
-            Schedule::quiet(extent)
+            Schedule::without_faults(plan_options)
         } else {
-            Schedule::new(extent)
+            Schedule::new(plan_options)
         };
         Ok(Self {
-            plan: Plan::new(workload, extent),
+            plan: Plan::new(workload, plan_options),
             faults,
             interrupted,
         })
     }
 
-    fn run(&self, policy: Policy, without: &[String], keep: Option<&Path>) -> anyhow::Result<Outcome> {
-        let folder = tempfile::tempdir().context("make a folder for the trial")?;
-        let kept: Option<PathBuf> = keep.map(|keep| keep.join(policy.to_string()));
-        let path = kept.as_deref().unwrap_or(folder.path());
-        // Records of an earlier trial in the same folder would be taken for this one's.
-        let empty = std::fs::read_dir(path).map_or(true, |mut files| files.next().is_none());
-        ensure!(empty, "{} is not empty; name another folder to keep", path.display());
-        std::fs::create_dir_all(path).with_context(|| format!("make {}", path.display()))?;
-        let outcome = run(&self.plan, &self.faults, policy, without, path, &self.interrupted)?;
-        eprintln!("{}", summary(&self.plan.arrivals, &outcome));
-        let found = &outcome.found;
+    fn run(&self, policy: Policy, without: &[String], keep: Option<&Path>) -> anyhow::Result<RunOutput> {
+        let folder = tempfile::tempdir().context("create a temporary folder for the trial")?;
+        let keep_path: Option<PathBuf> = keep.map(|keep| keep.join(policy.to_string()));
+        let path = keep_path.as_deref().unwrap_or(folder.path());
+        // Event logs of an earlier trial in the same folder would be counted as this one's.
+        let is_empty = std::fs::read_dir(path).map_or(true, |mut files| files.next().is_none());
+        ensure!(is_empty, "{} is not empty; name another folder to keep", path.display());
+        std::fs::create_dir_all(path).with_context(|| format!("create {}", path.display()))?;
+        let output = run(&self.plan, &self.faults, policy, without, path, &self.interrupted)?;
+        eprintln!("{}", summary(&self.plan.arrivals, &output));
+        let verdict = &output.verdict;
         for (kind, list) in [
-            ("lost", &found.lost),
-            ("doubled", &found.doubled),
-            ("run after refusal", &found.after_refusal),
+            ("lost", &verdict.lost),
+            ("doubled", &verdict.doubled),
+            ("run after refusal", &verdict.after_refusal),
         ] {
             for line in list {
                 eprintln!("  {kind}: {line}");
             }
         }
-        Ok(outcome)
+        Ok(output)
     }
 }
--- a/crates/load/src/demo.rs
+++ b/crates/load/src/demo.rs
@@ -1,4 +1,4 @@
-//! One request of each kind, each answer checked.
+//! Sends one request of each kind and checks the answers.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,16 +12,16 @@
 
 const COUNTER_KEY: &str = "demo-key-counter";
 const GATE_KEY: &str = "demo-key-gate";
-const TOKENS: u64 = 24;
-const TIMEOUT: Duration = Duration::from_secs(20);
+const ANSWER_TOKENS: u64 = 24;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Sends the requests and prints a line for each answer.
 ///
 /// # Errors
-/// Fails at the first answer that is not right.
+/// Fails at the first wrong answer.
 pub fn run(options: &Demo) -> anyhow::Result<()> {
     let config = Agent::config_builder()
-        .timeout_global(Some(TIMEOUT))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .proxy(None)
         .build();
     let agent: Agent = config.into();
@@ -31,17 +31,17 @@
     let key = format!("deposit-{}", std::process::id());
     let first = deposit(&agent, options.entry, &key)?;
     println!("deposit        {key}: {first}");
-    let again = deposit(&agent, options.second, &key)?;
-    println!("deposit again  {key}: {again}");
-    ensure!(first == again, "the resent deposit got another answer");
+    let retried = deposit(&agent, options.second, &key)?;
+    println!("deposit again  {key}: {retried}");
+    ensure!(first == retried, "the retried deposit got a different answer");
     ensure!(first["times"] == 1, "the deposit did not run exactly once");
     Ok(())
 }
 
 fn consultation(agent: &Agent, entry: SocketAddr, prompt: &str) -> anyhow::Result<()> {
-    let body = json!({"model": "counter-1", "stream": true, "max_tokens": TOKENS,
+    let body = json!({"model": "counter-1", "stream": true, "max_tokens": ANSWER_TOKENS,
         "messages": [{"role": "user", "content": prompt}]});
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = agent
         .post(format!("http://{entry}/v1/chat/completions"))
         .header("Authorization", format!("Bearer {COUNTER_KEY}"))
@@ -61,15 +61,18 @@
         }
         let event: Value = serde_json::from_str(data).context("consultation")?;
         if let Some(token) = event["choices"][0]["delta"]["content"].as_str() {
-            first.get_or_insert_with(|| begun.elapsed());
+            first.get_or_insert_with(|| started.elapsed());
             text.push_str(token);
         }
     }
     let expected = expected_text(prompt);
-    ensure!(done && text == expected, "the consultation is not whole: {text}");
-    let (first, whole) = (first.unwrap_or_default().as_millis(), begun.elapsed().as_millis());
+    ensure!(
+        done && text == expected,
+        "unexpected answer to the consultation: {text}"
+    );
+    let (first, whole) = (first.unwrap_or_default().as_millis(), started.elapsed().as_millis());
     println!(
-        "consultation   {TOKENS} tokens, first after {first} ms, whole after {whole} ms: {}…",
+        "consultation   {ANSWER_TOKENS} tokens, first after {first} ms, whole after {whole} ms: {}…",
         &text[..24]
     );
     Ok(())
@@ -77,14 +80,14 @@
 
 fn expected_text(prompt: &str) -> String {
     let messages = [("user".to_owned(), prompt.to_owned())];
-    let (prompt, begun) = standin::engine::continuation(&messages, false);
-    (begun..TOKENS)
-        .map(|position| standin::engine::token(prompt, position))
+    let (prompt_id, start) = standin::engine::continuation(&messages, false);
+    (start..ANSWER_TOKENS)
+        .map(|position| standin::engine::token(prompt_id, position))
         .collect()
 }
 
 fn lookup(agent: &Agent, entry: SocketAddr) -> anyhow::Result<()> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer: Value = agent
         .get(format!("http://{entry}/services/registration/seats/tent-4"))
         .header("Authorization", format!("Bearer {GATE_KEY}"))
@@ -95,9 +98,9 @@
         .context("seat lookup")?;
     ensure!(
         answer["path"] == "/seats/tent-4",
-        "the lookup got another answer: {answer}"
+        "unexpected answer to the lookup: {answer}"
     );
-    println!("seat lookup    {answer} after {} ms", begun.elapsed().as_millis());
+    println!("seat lookup    {answer} after {} ms", started.elapsed().as_millis());
     Ok(())
 }
 
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load and experiment tool.
+//! Load generator: compares routing policies and measures the costs of the system.
 
 pub mod cli;
 pub mod compare;
--- a/crates/load/src/link.rs
+++ b/crates/load/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two processes: it passes TCP bytes on, counts them, and can be cut.
+//! A TCP proxy between two processes that counts bytes and can drop out silently.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,13 +6,14 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Bytes that are passed on at once.
-const BUFFER: usize = 16 * 1024;
-/// How often a cut is noticed.
-const STEP: Duration = Duration::from_millis(100);
-const CONNECT: Duration = Duration::from_secs(1);
+/// Most bytes that are forwarded at once.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Interval at which a cut link checks whether it is restored or closed.
+const STATE_POLL: Duration = Duration::from_millis(100);
+/// Longest wait for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A link that listens on loopback and leads to one address.
+/// A proxy that listens on loopback and forwards to one address.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
@@ -28,10 +29,10 @@
 }
 
 impl Link {
-    /// Opens a link to an address.
+    /// Starts a proxy to an address.
     ///
     /// # Errors
-    /// Fails when no port or thread is left.
+    /// Fails when no port or thread is available.
     pub fn open(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
@@ -41,26 +42,26 @@
             cut: AtomicBool::new(false),
             closed: AtomicBool::new(false),
         });
-        let served = Arc::clone(&shared);
+        let listener_state = Arc::clone(&shared);
         std::thread::Builder::new()
             .name("link".to_owned())
-            .spawn(move || served.accept(&listener))?;
+            .spawn(move || listener_state.accept(&listener))?;
         Ok(Self { address, shared })
     }
 
-    /// Gives the address to connect to.
+    /// Returns the address to connect to.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives the bytes that have passed, both ways together.
+    /// Returns the number of bytes forwarded, in both directions together.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.shared.bytes.load(Ordering::Relaxed)
     }
 
-    /// Cuts the link or heals it: while it is cut, nothing passes and nobody is told.
+    /// Cuts or restores the link; while it is cut, nothing is forwarded and connections stay open.
     pub fn set_cut(&self, cut: bool) {
         self.shared.cut.store(cut, Ordering::Relaxed);
     }
@@ -69,62 +70,65 @@
 impl Drop for Link {
     fn drop(&mut self) {
         self.shared.closed.store(true, Ordering::Relaxed);
-        // The listener waits for one more connection before it notices.
-        drop(TcpStream::connect_timeout(&self.address, CONNECT));
+        // The listener checks for the end only after a connection, so one is made.
+        drop(TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT));
     }
 }
 
 impl Shared {
     fn accept(self: &Arc<Self>, listener: &TcpListener) {
-        for near in listener.incoming().flatten() {
+        for client in listener.incoming().flatten() {
             if self.closed.load(Ordering::Relaxed) {
                 return;
             }
             let shared = Arc::clone(self);
-            // A connection for which there is no thread is closed, as a full host would do.
+            // Without a thread the connection is closed, as by an overloaded host.
             let _ = std::thread::Builder::new()
                 .name("link".to_owned())
-                .spawn(move || shared.join(&near));
+                .spawn(move || shared.connect(&client));
         }
     }
 
-    fn join(self: &Arc<Self>, near: &TcpStream) {
-        if !self.wait_open() {
+    fn connect(self: &Arc<Self>, client: &TcpStream) {
+        if !self.wait_uncut() {
             return;
         }
-        let Ok(far) = TcpStream::connect_timeout(&self.target, CONNECT) else {
+        let Ok(target) = TcpStream::connect_timeout(&self.target, CONNECT_TIMEOUT) else {
             return;
         };
-        let (Ok(near_copy), Ok(far_copy)) = (near.try_clone(), far.try_clone()) else {
+        let (Ok(client_copy), Ok(target_copy)) = (client.try_clone(), target.try_clone()) else {
             return;
         };
-        let back = Arc::clone(self);
+        let reverse = Arc::clone(self);
         let thread = std::thread::Builder::new().name("link".to_owned());
-        if thread.spawn(move || back.pass(&far_copy, &near_copy)).is_ok() {
-            self.pass(near, &far);
+        if thread
+            .spawn(move || reverse.forward(&target_copy, &client_copy))
+            .is_ok()
+        {
+            self.forward(client, &target);
         }
     }
 
-    fn pass(&self, mut from: &TcpStream, mut to: &TcpStream) {
-        let mut buffer = vec![0; BUFFER];
+    fn forward(&self, mut from: &TcpStream, mut to: &TcpStream) {
+        let mut buffer = vec![0; BUFFER_BYTES];
         while let Ok(count) = from.read(&mut buffer)
             && count > 0
-            && self.wait_open()
+            && self.wait_uncut()
         {
             self.bytes.fetch_add(count as u64, Ordering::Relaxed);
             if to.write_all(&buffer[..count]).is_err() {
                 break;
             }
         }
-        // The other side may have gone first.
+        // Errors mean that the other side has closed the connection already.
         let _ = to.shutdown(Shutdown::Both);
         let _ = from.shutdown(Shutdown::Both);
     }
 
-    /// Waits while the link is cut; gives whether it is still there.
-    fn wait_open(&self) -> bool {
+    /// Waits while the link is cut; returns false when it was closed.
+    fn wait_uncut(&self) -> bool {
         while self.cut.load(Ordering::Relaxed) && !self.closed.load(Ordering::Relaxed) {
-            std::thread::sleep(STEP);
+            std::thread::sleep(STATE_POLL);
         }
         !self.closed.load(Ordering::Relaxed)
     }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `gentian-load`: loads gentianspring and measures what comes out.
+//! `gentian-load`: puts load on gentianspring and measures latency, cost and correctness.
 
 use std::process::ExitCode;
 
@@ -21,7 +21,7 @@
         Command::Overhead(options) => overhead::run(&options),
         Command::Slopes(options) => slopes::run(&options),
         Command::Compare(options) => compare::compare(&options),
-        Command::Run(options) => compare::single(&options),
+        Command::Run(options) => compare::run_single(&options),
         Command::Report(options) => report::write(&options),
     }
 }
--- a/crates/load/src/overhead.rs
+++ b/crates/load/src/overhead.rs
@@ -1,6 +1,6 @@
-//! What the entry adds: the same calls straight to a stand-in and through an entry host, in one run.
+//! Overhead of an entry host: the same calls directly to a stand-in and through an entry host, in one run.
 //!
-//! Both ways are taken in turn in each round, so that whatever else the machine does hits both. The figure to look at is
+//! Each round measures both routes in turn, so that other load on the machine affects both. The meaningful figure is
 //! the ratio.
 
 mod bench;
@@ -11,49 +11,49 @@
 use serde::Serialize;
 
 use crate::cli::OverheadOptions;
-use bench::Bench;
-pub use round::{Figures, Kind};
+use bench::TestSystem;
+pub use round::{CallKind, Figures};
 
-/// One comparison.
+/// Comparison for one kind of call and one number of callers.
 #[derive(Clone, Debug, Serialize)]
-pub struct Compared {
-    /// What was called.
-    pub kind: Kind,
-    /// Callers at the same time.
+pub struct OverheadRow {
+    /// Kind of the calls.
+    pub kind: CallKind,
+    /// Number of concurrent callers.
     pub open: usize,
-    /// Straight to the stand-in.
+    /// Calls directly to the stand-in.
     pub direct: Figures,
-    /// Through the entry host.
+    /// Calls through the entry host.
     pub through: Figures,
-    /// Processor time of the entry host for one call, or for one token of a stream, in microseconds.
+    /// CPU time of the entry host for a call, or for a token of a stream, in microseconds.
     pub entry_us: f64,
     /// Resident memory of the entry host at the end of the last round, in MB.
     pub entry_mb: f64,
 }
 
-/// Measures every comparison and prints it.
+/// Runs all comparisons and prints them.
 ///
 /// # Errors
 /// Fails when a process can't be started or an answer is wrong.
 pub fn run(options: &OverheadOptions) -> anyhow::Result<()> {
-    let bench = Bench::start(options)?;
+    let system = TestSystem::start(options)?;
     let mut rows = Vec::new();
-    for kind in [Kind::Lookup, Kind::Stream] {
+    for kind in [CallKind::Lookup, CallKind::Stream] {
         for open in &options.open.0 {
-            rows.push(bench.compare(kind, *open, options)?);
+            rows.push(system.compare(kind, *open, options)?);
         }
     }
     if options.json {
         println!("{}", serde_json::to_string_pretty(&rows)?);
     } else {
-        print!("{}", table(&rows));
+        print!("{}", render_table(&rows));
     }
     Ok(())
 }
 
 /// Renders the comparisons as a table in Markdown.
 #[must_use]
-pub fn table(rows: &[Compared]) -> String {
+pub fn render_table(rows: &[OverheadRow]) -> String {
     let mut text = String::from(
         "| what | open | direct p50 / p95 ms | through p50 / p95 ms | added p50 ms | direct per s | through per s \
          | ratio per s | entry µs each | entry MB |\n|---|---|---|---|---|---|---|---|---|---|\n",
--- a/crates/load/src/overhead/bench.rs
+++ b/crates/load/src/overhead/bench.rs
@@ -1,4 +1,4 @@
-//! The processes of the comparison: a state node, an entry host, an engine and a service.
+//! Processes of the comparison: a state node, an entry host, an engine and a service.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,27 +10,30 @@
 use tempfile::TempDir;
 use ureq::Agent;
 
-use super::Compared;
-use super::round::{Counts, Kind, Way};
+use super::OverheadRow;
+use super::round::{CallKind, Measurement, Route};
 use crate::cli::OverheadOptions;
 use crate::slopes::Usage;
-use crate::trial::process::{Place, Process, free_address};
+use crate::trial::process::{Launcher, Process, free_address};
 
 const OPERATOR_KEY: &str = "overhead-operator-key-0001";
-const KEY: &str = "overhead-key-0001";
+const ACCOUNT_KEY: &str = "overhead-key-0001";
 const BEARER: &str = "Bearer overhead-key-0001";
 /// Longest wait for a process to become ready.
-const PATIENCE: Duration = Duration::from_secs(20);
-const STEP: Duration = Duration::from_millis(20);
-/// Rounds whose figures don't count: connections, caches and the allocator warm up.
-const WARM_CALLS: usize = 2;
-/// Calls of each caller in a round at least, so that its start and end don't weigh too much.
-const LEAST_LOOKUPS: usize = 16;
-const LEAST_STREAMS: usize = 4;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Calls of each caller in a warm-up round, which is not counted, so that connections, caches and the allocator are
+/// warm.
+const WARMUP_CALLS: usize = 2;
+/// Fewest lookups of each caller in a round; with fewer, its start and end would distort the figures.
+const MIN_LOOKUPS: usize = 16;
+/// Fewest streams of each caller in a round, for the same reason.
+const MIN_STREAMS: usize = 4;
 
-/// Everything that runs.
+/// All processes of the comparison.
 #[derive(Debug)]
-pub(super) struct Bench {
+pub(super) struct TestSystem {
     agent: Agent,
     admin: SocketAddr,
     callers: SocketAddr,
@@ -38,31 +41,31 @@
     entry: Process,
     engine: SocketAddr,
     service: SocketAddr,
-    _others: Vec<Process>,
+    _processes: Vec<Process>,
     _folder: TempDir,
 }
 
-impl Bench {
-    /// Starts everything and waits until the entry host has its configuration.
+impl TestSystem {
+    /// Starts all processes and waits until the entry host has its configuration.
     pub(super) fn start(options: &OverheadOptions) -> anyhow::Result<Self> {
         let folder = tempfile::tempdir()?;
-        let place = Place::new(folder.path())?;
-        let [inner, admin, callers, ops, own] = std::array::from_fn(|_| free_address());
-        let data = place.file("state").display().to_string();
-        let state = place.start(
+        let launcher = Launcher::new(folder.path())?;
+        let [state_internal, admin, callers, ops, entry_internal] = std::array::from_fn(|_| free_address());
+        let data = launcher.file("state").display().to_string();
+        let state = launcher.start(
             "state-1",
             "gentian-state",
             &flags(&[
                 ("--node", "state-1"),
-                ("--peers", &inner.to_string()),
-                ("--listen", &inner.to_string()),
+                ("--peers", &state_internal.to_string()),
+                ("--listen", &state_internal.to_string()),
                 ("--admin", &admin.to_string()),
                 ("--data", &data),
                 ("--operator-key", OPERATOR_KEY),
             ]),
         )?;
-        let (mut engine, mut service) = standins(&place, options)?;
-        let entry = place.start(
+        let (mut engine, mut service) = standins(&launcher, options)?;
+        let entry = launcher.start(
             "entry-1",
             "gentian-entry",
             &flags(&[
@@ -70,8 +73,8 @@
                 ("--data-center", "dc-1"),
                 ("--listen", &callers.to_string()),
                 ("--ops", &ops.to_string()),
-                ("--inner", &own.to_string()),
-                ("--state", &inner.to_string()),
+                ("--inner", &entry_internal.to_string()),
+                ("--state", &state_internal.to_string()),
                 ("--running", "1024"),
                 ("--connections", "2048"),
             ]),
@@ -80,7 +83,7 @@
             .timeout_global(Some(Duration::from_secs(3)))
             .proxy(None)
             .build();
-        let bench = Self {
+        let system = Self {
             agent: config.into(),
             admin,
             callers,
@@ -88,51 +91,56 @@
             entry,
             engine: engine.address()?,
             service: service.address()?,
-            _others: vec![state, engine, service],
+            _processes: vec![state, engine, service],
             _folder: folder,
         };
-        bench.configure()?;
-        Ok(bench)
+        system.configure()?;
+        Ok(system)
     }
 
-    /// Compares both ways, taking them in turn.
-    pub(super) fn compare(&self, kind: Kind, open: usize, options: &OverheadOptions) -> anyhow::Result<Compared> {
-        let (direct, through) = self.ways(kind);
-        let (all, least) = match kind {
-            Kind::Lookup => (options.calls, LEAST_LOOKUPS),
-            Kind::Stream => (options.streams, LEAST_STREAMS),
+    /// Measures both routes in turn and compares them.
+    pub(super) fn compare(
+        &self,
+        kind: CallKind,
+        open: usize,
+        options: &OverheadOptions,
+    ) -> anyhow::Result<OverheadRow> {
+        let (direct, through) = self.routes(kind);
+        let (total, minimum) = match kind {
+            CallKind::Lookup => (options.calls, MIN_LOOKUPS),
+            CallKind::Stream => (options.streams, MIN_STREAMS),
         };
-        let calls = all.div_ceil(open.max(1)).max(least);
-        let (mut straight, mut entry) = (Counts::new()?, Counts::new()?);
-        Counts::new()?.round(kind, &through, open, WARM_CALLS, options.tokens)?;
-        let mut spent = 0.0;
+        let calls = total.div_ceil(open.max(1)).max(minimum);
+        let (mut direct_calls, mut through_calls) = (Measurement::new()?, Measurement::new()?);
+        Measurement::new()?.round(kind, &through, open, WARMUP_CALLS, options.tokens)?;
+        let mut cpu_seconds = 0.0;
         for _ in 0..options.rounds {
-            straight.round(kind, &direct, open, calls, options.tokens)?;
+            direct_calls.round(kind, &direct, open, calls, options.tokens)?;
             let before = Usage::of(self.entry.pid())?;
-            entry.round(kind, &through, open, calls, options.tokens)?;
-            spent += Usage::of(self.entry.pid())?.seconds - before.seconds;
+            through_calls.round(kind, &through, open, calls, options.tokens)?;
+            cpu_seconds += Usage::of(self.entry.pid())?.seconds - before.seconds;
         }
-        Ok(Compared {
+        Ok(OverheadRow {
             kind,
             open,
-            direct: straight.figures(),
-            through: entry.figures(),
-            entry_us: spent * 1e6 / entry.count().max(1) as f64,
+            direct: direct_calls.figures(),
+            through: through_calls.figures(),
+            entry_us: cpu_seconds * 1e6 / through_calls.count().max(1) as f64,
             entry_mb: Usage::of(self.entry.pid())?.memory_mb,
         })
     }
 
-    fn ways(&self, kind: Kind) -> (Way, Way) {
-        let way = |address, path| Way {
+    fn routes(&self, kind: CallKind) -> (Route, Route) {
+        let route = |address, path| Route {
             address,
             path,
             key: BEARER,
         };
         match kind {
-            Kind::Lookup => (way(self.service, ""), way(self.callers, "/services/seats")),
-            Kind::Stream => (
-                way(self.engine, "/v1/chat/completions"),
-                way(self.callers, "/v1/chat/completions"),
+            CallKind::Lookup => (route(self.service, ""), route(self.callers, "/services/seats")),
+            CallKind::Stream => (
+                route(self.engine, "/v1/chat/completions"),
+                route(self.callers, "/v1/chat/completions"),
             ),
         }
     }
@@ -146,14 +154,14 @@
         let service = json!({"id": "seats-1", "address": self.service, "slots": 4_096, "host": host("zone-b"),
             "kind": {"service": {"service": "seats", "tells_outcome": true}}});
         self.put("upstreams/seats-1", &service)?;
-        wait(|| self.revision().is_some_and(|revision| revision >= 3.0))?;
-        // The first load reports come within this time; they size the queue of each upstream.
+        wait_until(|| self.revision().is_some_and(|revision| revision >= 3.0))?;
+        // Waits for the first load reports, from which the queue of each upstream is sized.
         std::thread::sleep(Duration::from_secs(1));
         Ok(())
     }
 
     fn put(&self, path: &str, item: &impl Serialize) -> anyhow::Result<()> {
-        wait(|| {
+        wait_until(|| {
             let call = self.agent.put(format!("http://{}/v1/{path}", self.admin));
             let call = call
                 .header("Authorization", format!("Bearer {OPERATOR_KEY}"))
@@ -165,22 +173,26 @@
 
     fn revision(&self) -> Option<f64> {
         let answer = self.agent.get(format!("http://{}/metrics", self.ops)).call().ok()?;
-        let text = answer.into_body().read_to_string().ok()?;
-        let mut lines = text.lines();
+        let metrics = answer.into_body().read_to_string().ok()?;
+        let mut lines = metrics.lines();
         lines.find_map(|line| line.strip_prefix("gentian_config_revision ")?.parse().ok())
     }
 }
 
-fn wait(done: impl Fn() -> bool) -> anyhow::Result<()> {
-    let until = Instant::now() + PATIENCE;
-    while !done() {
-        ensure!(Instant::now() < until, "it took longer than {} s", PATIENCE.as_secs());
-        std::thread::sleep(STEP);
+fn wait_until(is_ready: impl Fn() -> bool) -> anyhow::Result<()> {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while !is_ready() {
+        ensure!(
+            Instant::now() < deadline,
+            "timed out after {} s",
+            READY_TIMEOUT.as_secs()
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-fn standins(place: &Place, options: &OverheadOptions) -> anyhow::Result<(Process, Process)> {
+fn standins(launcher: &Launcher, options: &OverheadOptions) -> anyhow::Result<(Process, Process)> {
     let engine = flags(&[
         ("--slots", "4096"),
         ("--prefill-us", "0"),
@@ -189,12 +201,12 @@
     ]);
     let service = flags(&[("--work-ms", &options.work_ms.to_string()), ("--slots", "512")]);
     Ok((
-        place.start(
+        launcher.start(
             "engine",
             "gentian-standin",
             &[vec!["engine".to_owned()], engine].concat(),
         )?,
-        place.start(
+        launcher.start(
             "service",
             "gentian-standin",
             &[vec!["service".to_owned()], service].concat(),
@@ -202,17 +214,17 @@
     ))
 }
 
-/// Makes a contract that bounds nothing, so that only the way itself is measured.
+/// Returns a contract with limits that are never reached, so that only the route itself is measured.
 fn contract() -> anyhow::Result<Contract> {
-    let text: Value = json!({
+    let contract: Value = json!({
         "customer": "overhead",
-        "accounts": [{"name": "load", "key_hash": KeyHash::of(KEY)}],
+        "accounts": [{"name": "load", "key_hash": KeyHash::of(ACCOUNT_KEY)}],
         "limits": {"requests_per_s": 1e7, "tokens_per_s": 1e9, "concurrency": 100_000},
         "share": 1,
         "classes": [{"name": "all", "repeat": "idempotent",
             "targets": {"first_token_ms": 30_000, "between_tokens_ms": 1_000, "whole_answer_ms": 60_000}}],
     });
-    serde_json::from_value(text).context("the contract of the comparison")
+    serde_json::from_value(contract).context("parse the contract of the comparison")
 }
 
 fn flags(pairs: &[(&str, &str)]) -> Vec<String> {
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! `gentian-load report`: one page with plots from the JSON output of comparisons.
+//! `gentian-load report`: a page with plots from the JSON output of comparisons.
 
 use anyhow::Context;
 use ctl::chart::{Bars, Page};
@@ -7,10 +7,10 @@
 use crate::compare::Comparison;
 use crate::trial::figures::Run;
 
-/// One plotted figure: its title and how it is read from a run.
-type Figure = (&'static str, fn(&Run) -> f64);
+/// A plotted figure: its title and its value for a run.
+type PlottedFigure = (&'static str, fn(&Run) -> f64);
 
-const FIGURES: [Figure; 8] = [
+const PLOTTED_FIGURES: [PlottedFigure; 8] = [
     ("answers on time (requests)", |run| run.on_time as f64),
     ("cost for 1,000 answers on time (dollars)", |run| {
         run.cost_per_1k_on_time.unwrap_or_default()
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// Renders comparisons as one page that needs nothing else.
+/// Renders comparisons as a self-contained page.
 ///
 /// # Errors
 /// Fails when a plot can't be drawn.
@@ -51,28 +51,28 @@
     let mut page = Page::new("Comparison of policies");
     page.paragraph("Each seed gives every policy the same arrivals and faults. Made by gentian-load report.");
     for comparison in comparisons {
-        page.heading(&name(comparison));
+        page.heading(&title_of(comparison));
         let mut head = vec!["figure"];
         head.extend(comparison.runs.iter().map(|run| run.policy.as_str()));
-        let rows: Vec<Vec<String>> = FIGURES
+        let rows: Vec<Vec<String>> = PLOTTED_FIGURES
             .iter()
-            .map(|(title, read)| row(title, *read, comparison))
+            .map(|(title, value_of)| row(title, *value_of, comparison))
             .collect();
         page.table(&head, &rows);
     }
-    for (title, read) in FIGURES {
-        page.plot(&bars(title, read, comparisons))?;
+    for (title, value_of) in PLOTTED_FIGURES {
+        page.plot(&bars(title, value_of, comparisons))?;
     }
     Ok(page.finish())
 }
 
-fn name(comparison: &Comparison) -> String {
+fn title_of(comparison: &Comparison) -> String {
     format!("{} seed {}", comparison.workload, comparison.seed)
 }
 
-fn row(title: &str, read: fn(&Run) -> f64, comparison: &Comparison) -> Vec<String> {
+fn row(title: &str, value_of: fn(&Run) -> f64, comparison: &Comparison) -> Vec<String> {
     let values = comparison.runs.iter().map(|run| {
-        let value = read(run);
+        let value = value_of(run);
         if value.fract() == 0.0 {
             format!("{value:.0}")
         } else {
@@ -82,8 +82,8 @@
     std::iter::once(title.to_owned()).chain(values).collect()
 }
 
-/// Gives a bar for each policy in a group for each comparison.
-fn bars(title: &str, read: fn(&Run) -> f64, comparisons: &[Comparison]) -> Bars {
+/// Returns a bar chart with a group for each comparison and a bar for each policy.
+fn bars(title: &str, value_of: fn(&Run) -> f64, comparisons: &[Comparison]) -> Bars {
     let mut policies: Vec<&str> = Vec::new();
     for run in comparisons.iter().flat_map(|comparison| &comparison.runs) {
         if !policies.contains(&run.policy.as_str()) {
@@ -92,7 +92,7 @@
     }
     let value = |comparison: &Comparison, policy: &str| {
         let run = comparison.runs.iter().find(|run| run.policy == policy);
-        run.map_or(0.0, read)
+        run.map_or(0.0, value_of)
     };
     let series = policies.into_iter().map(|policy| {
         let values = comparisons.iter().map(|comparison| value(comparison, policy));
@@ -100,7 +100,7 @@
     });
     Bars {
         title: title.to_owned(),
-        groups: comparisons.iter().map(name).collect(),
+        groups: comparisons.iter().map(title_of).collect(),
         series: series.collect(),
     }
 }
--- a/crates/load/src/slopes/bench.rs
+++ b/crates/load/src/slopes/bench.rs
@@ -1,4 +1,4 @@
-//! One point: the processes, a pause to settle, and the counts over a while.
+//! Measures one point: starts the processes, waits for them to settle, and reads counters over a period.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -12,53 +12,54 @@
 use super::usage::Usage;
 use super::{Cost, Point};
 use crate::link::Link;
-use crate::trial::process::{Place, Process, free_address};
+use crate::trial::process::{Launcher, Process, free_address};
 
-/// State nodes.
-const NODES: usize = 3;
-const KEY: &str = "trial-operator-key";
-const TIMEOUT: Duration = Duration::from_secs(2);
-/// Time in which connections are made and buffers filled before anything is counted.
-const SETTLE: Duration = Duration::from_secs(3);
-const STEP: Duration = Duration::from_millis(2);
+/// Number of state nodes.
+const STATE_NODES: usize = 3;
+const OPERATOR_KEY: &str = "trial-operator-key";
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Wait before counting, in which connections are made and buffers filled.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Longest wait for a change to be in force everywhere.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Upstreams that are registered while one change is under way elsewhere.
-const MOST_TRIES: usize = 200;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Most attempts to propose a change, at intervals, while the state group has no leader.
+const MAX_PROPOSALS: usize = 200;
 
-/// Everything that runs for one point; dropped in this order.
-struct Bench {
+/// All processes of one point; the fields are dropped in this order.
+struct TestSystem {
     entries: Vec<Process>,
     nodes: Vec<Process>,
     ops: Vec<SocketAddr>,
     node_links: Vec<Link>,
     engine_link: Link,
     state: StateClient,
-    /// What must outlive the trial and is not asked for anything.
+    /// Values that are only kept alive: the engine, the RPC runtime and the folder.
     _kept: (Process, RpcRuntime, tempfile::TempDir),
 }
 
 /// Measures one point.
 pub(super) fn measure(entries: usize, upstreams: usize, changes: f64, seconds: f64) -> anyhow::Result<Point> {
-    let bench = Bench::start(entries)?;
-    let last = bench.register(upstreams)?;
-    bench.wait_in_force(last)?;
-    std::thread::sleep(SETTLE);
-    let (before, bytes, begun) = (bench.usage()?, bench.bytes(), Instant::now());
-    let digests = bench.digests();
-    let in_force_ms = bench.change_for(changes, Duration::from_secs_f64(seconds))?;
-    let (after, bytes_after, span) = (bench.usage()?, bench.bytes(), begun.elapsed().as_secs_f64());
-    let digests_per_s = (bench.digests() - digests) / span / entries as f64;
-    let cost = |at: usize, passed: u64, share: usize| Cost {
-        millicores: (after[at].seconds - before[at].seconds) / span * 1_000.0,
+    let system = TestSystem::start(entries)?;
+    let last = system.register(upstreams)?;
+    system.wait_in_force(last)?;
+    std::thread::sleep(SETTLE_TIME);
+    let (before, bytes, started) = (system.usage()?, system.bytes(), Instant::now());
+    let digests = system.digests();
+    let in_force_ms = system.change_for(changes, Duration::from_secs_f64(seconds))?;
+    let (after, bytes_after, elapsed_s) = (system.usage()?, system.bytes(), started.elapsed().as_secs_f64());
+    let digests_per_s = (system.digests() - digests) / elapsed_s / entries as f64;
+    let cost = |at: usize, link_bytes: u64, processes: usize| Cost {
+        millicores: (after[at].seconds - before[at].seconds) / elapsed_s * 1_000.0,
         memory_mb: after[at].memory_mb,
-        bytes_per_s: passed as f64 / span / share as f64,
-        digests_per_s: if at < NODES { 0.0 } else { digests_per_s },
+        bytes_per_s: link_bytes as f64 / elapsed_s / processes as f64,
+        digests_per_s: if at < STATE_NODES { 0.0 } else { digests_per_s },
     };
     let to_state = bytes_after.0 - bytes.0;
     let to_engine = bytes_after.1 - bytes.1;
-    let all_nodes: Vec<Cost> = (0..NODES).map(|at| cost(at, to_state, NODES)).collect();
-    let all_entries: Vec<Cost> = (NODES..NODES + entries)
+    let all_nodes: Vec<Cost> = (0..STATE_NODES).map(|at| cost(at, to_state, STATE_NODES)).collect();
+    let all_entries: Vec<Cost> = (STATE_NODES..STATE_NODES + entries)
         .map(|at| cost(at, to_state + to_engine, entries))
         .collect();
     let busiest = all_nodes
@@ -70,7 +71,7 @@
         entries,
         upstreams,
         changes,
-        seconds: span,
+        seconds: elapsed_s,
         entry: mean(&all_entries),
         state: mean(&all_nodes),
         busiest,
@@ -79,7 +80,7 @@
 }
 
 fn mean(costs: &[Cost]) -> Cost {
-    let average = |of: fn(&Cost) -> f64| costs.iter().map(of).sum::<f64>() / costs.len() as f64;
+    let average = |field: fn(&Cost) -> f64| costs.iter().map(field).sum::<f64>() / costs.len() as f64;
     Cost {
         millicores: average(|cost| cost.millicores),
         memory_mb: average(|cost| cost.memory_mb),
@@ -88,23 +89,23 @@
     }
 }
 
-impl Bench {
+impl TestSystem {
     fn start(count: usize) -> anyhow::Result<Self> {
         let folder = tempfile::tempdir()?;
-        let place = Place::new(folder.path())?;
-        let inner = addresses(NODES);
-        let nodes = start_nodes(&inner, &place)?;
-        let node_links = inner
+        let launcher = Launcher::new(folder.path())?;
+        let internal = free_addresses(STATE_NODES);
+        let nodes = start_nodes(&internal, &launcher)?;
+        let node_links = internal
             .iter()
             .map(|address| Link::open(*address))
             .collect::<Result<Vec<_>, _>>()?;
-        let mut engine = place.start("engine", "gentian-standin", &strings(&["engine"]))?;
+        let mut engine = launcher.start("engine", "gentian-standin", &strings(&["engine"]))?;
         let engine_link = Link::open(engine.address()?)?;
-        let linked: Vec<SocketAddr> = node_links.iter().map(Link::address).collect();
-        let ops = addresses(count);
-        let entries = start_entries(&ops, &linked, &place)?;
-        let calls = RpcRuntime::start(2, TIMEOUT)?;
-        let state = StateClient::new(&calls, &"trial".into(), &inner)?;
+        let link_addresses: Vec<SocketAddr> = node_links.iter().map(Link::address).collect();
+        let ops = free_addresses(count);
+        let entries = start_entries(&ops, &link_addresses, &launcher)?;
+        let runtime = RpcRuntime::start(2, CALL_TIMEOUT)?;
+        let state = StateClient::new(&runtime, &"trial".into(), &internal)?;
         Ok(Self {
             entries,
             nodes,
@@ -112,11 +113,11 @@
             node_links,
             engine_link,
             state,
-            _kept: (engine, calls, folder),
+            _kept: (engine, runtime, folder),
         })
     }
 
-    /// Registers upstreams that all lead to the one stand-in; gives the revision of the last.
+    /// Registers upstreams that all have the address of the one stand-in; returns the last revision.
     fn register(&self, count: usize) -> anyhow::Result<Revision> {
         let mut last = Revision::default();
         for number in 0..count.max(1) {
@@ -126,79 +127,80 @@
     }
 
     fn put(&self, spec: &UpstreamSpec, id: &str) -> anyhow::Result<Revision> {
-        let ask = Propose {
+        let proposal = Propose {
             id: id.into(),
             base: None,
             operator: "trial".to_owned(),
             change: Change::PutUpstream(spec.clone()),
         };
-        for _ in 0..MOST_TRIES {
-            match self.state.propose(Revision::default(), &ask) {
+        for _ in 0..MAX_PROPOSALS {
+            match self.state.propose(Revision::default(), &proposal) {
                 Ok(Proposed::Accepted(revision)) => return Ok(revision),
-                Ok(Proposed::Unavailable(_)) | Err(_) => std::thread::sleep(STEP * 25),
+                Ok(Proposed::Unavailable(_)) | Err(_) => std::thread::sleep(POLL_INTERVAL * 25),
                 Ok(other) => anyhow::bail!("register {id}: {other:?}"),
             }
         }
         anyhow::bail!("register {id}: the state group has no leader")
     }
 
-    /// Makes changes at a rate for a while; gives the median and longest time until one is in force everywhere.
-    fn change_for(&self, rate: f64, span: Duration) -> anyhow::Result<Option<(f64, f64)>> {
-        let begun = Instant::now();
-        let mut times = Histogram::<u64>::new(3)?;
+    /// Makes changes at a rate for a period; returns the median and the longest time until a change is in force on all
+    /// entry hosts, in milliseconds.
+    fn change_for(&self, rate: f64, period: Duration) -> anyhow::Result<Option<(f64, f64)>> {
+        let started = Instant::now();
+        let mut latencies = Histogram::<u64>::new(3)?;
         let mut number = 0_usize;
-        while rate > 0.0 && begun.elapsed() < span {
+        while rate > 0.0 && started.elapsed() < period {
             let changed = Instant::now();
             let revision = self.put(&spec(0, self.engine_link.address()), &format!("change-{number}"))?;
             self.wait_in_force(revision)?;
-            times.record(u64::try_from(changed.elapsed().as_micros())?.max(1))?;
+            latencies.record(u64::try_from(changed.elapsed().as_micros())?.max(1))?;
             number += 1;
             let due = Duration::from_secs_f64(number as f64 / rate);
-            std::thread::sleep(due.saturating_sub(begun.elapsed()));
+            std::thread::sleep(due.saturating_sub(started.elapsed()));
         }
-        std::thread::sleep(span.saturating_sub(begun.elapsed()));
+        std::thread::sleep(period.saturating_sub(started.elapsed()));
         let ms = |micros: u64| micros as f64 / 1_000.0;
-        Ok((!times.is_empty()).then(|| (ms(times.value_at_quantile(0.5)), ms(times.max()))))
+        Ok((!latencies.is_empty()).then(|| (ms(latencies.value_at_quantile(0.5)), ms(latencies.max()))))
     }
 
     fn wait_in_force(&self, revision: Revision) -> anyhow::Result<()> {
-        let begun = Instant::now();
+        let started = Instant::now();
         for ops in &self.ops {
             while revision_of(*ops).unwrap_or_default() < revision.0 {
                 anyhow::ensure!(
-                    begun.elapsed() < PATIENCE,
+                    started.elapsed() < READY_TIMEOUT,
                     "revision {revision} is not in force at {ops}"
                 );
-                std::thread::sleep(STEP);
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
         Ok(())
     }
 
-    /// Counts of the state nodes, then of the entry hosts.
+    /// Returns the usage of the state nodes, then of the entry hosts.
     fn usage(&self) -> anyhow::Result<Vec<Usage>> {
         let all = self.nodes.iter().chain(&self.entries);
-        all.map(|process| Usage::of(process.pid()).context("read counts"))
+        all.map(|process| Usage::of(process.pid()).context("read usage"))
             .collect()
     }
 
-    /// Bytes of digests that all entry hosts have sent and received.
+    /// Returns the bytes of digests that all entry hosts have sent and received.
     fn digests(&self) -> f64 {
         self.ops.iter().filter_map(|ops| digests_of(*ops)).sum()
     }
 
-    /// Bytes to the state nodes and to the engine.
+    /// Returns the bytes over the links to the state nodes and to the engine.
     fn bytes(&self) -> (u64, u64) {
         (self.node_links.iter().map(Link::bytes).sum(), self.engine_link.bytes())
     }
 }
 
-fn start_nodes(inner: &[SocketAddr], place: &Place) -> anyhow::Result<Vec<Process>> {
-    let peers = list(inner);
+fn start_nodes(internal: &[SocketAddr], launcher: &Launcher) -> anyhow::Result<Vec<Process>> {
+    let peers = comma_separated(internal);
     let mut nodes = Vec::new();
-    for (number, listen) in inner.iter().enumerate() {
+    for (number, listen) in internal.iter().enumerate() {
         let name = format!("state-{number}");
-        let data = place.file(&name).display().to_string();
+        let data = launcher.file(&name).display().to_string();
         let listen = listen.to_string();
         let args = [
             "--node",
@@ -210,24 +212,24 @@
             "--data",
             &data,
             "--operator-key",
-            KEY,
+            OPERATOR_KEY,
         ];
-        nodes.push(place.start(&name, "gentian-state", &strings(&args))?);
+        nodes.push(launcher.start(&name, "gentian-state", &strings(&args))?);
     }
-    for listen in inner {
+    for listen in internal {
         wait_listening(*listen)?;
     }
     Ok(nodes)
 }
 
-fn start_entries(ops: &[SocketAddr], state: &[SocketAddr], place: &Place) -> anyhow::Result<Vec<Process>> {
-    let inner = addresses(ops.len());
-    let (peers, state) = (list(&inner), list(state));
+fn start_entries(ops: &[SocketAddr], state: &[SocketAddr], launcher: &Launcher) -> anyhow::Result<Vec<Process>> {
+    let internal = free_addresses(ops.len());
+    let (peers, state) = (comma_separated(&internal), comma_separated(state));
     let mut entries = Vec::new();
-    for (number, (ops, inner)) in ops.iter().zip(&inner).enumerate() {
+    for (number, (ops, internal)) in ops.iter().zip(&internal).enumerate() {
         let name = format!("entry-{number}");
-        let (ops, inner) = (ops.to_string(), inner.to_string());
-        let site = [
+        let (ops, internal) = (ops.to_string(), internal.to_string());
+        let own_flags = [
             "--node",
             &name,
             "--data-center",
@@ -235,10 +237,10 @@
             "--ops",
             &ops,
             "--inner",
-            &inner,
+            &internal,
         ];
-        let args = [&site[..], &["--state", &state, "--peers", &peers]].concat();
-        entries.push(place.start(&name, "gentian-entry", &strings(&args))?);
+        let args = [&own_flags[..], &["--state", &state, "--peers", &peers]].concat();
+        entries.push(launcher.start(&name, "gentian-entry", &strings(&args))?);
     }
     for ops in ops {
         wait_listening(*ops)?;
@@ -292,20 +294,20 @@
     }
 }
 
-fn addresses(count: usize) -> Vec<SocketAddr> {
+fn free_addresses(count: usize) -> Vec<SocketAddr> {
     (0..count).map(|_| free_address()).collect()
 }
 
 fn wait_listening(address: SocketAddr) -> anyhow::Result<()> {
-    let begun = Instant::now();
-    while TcpStream::connect_timeout(&address, TIMEOUT).is_err() {
-        anyhow::ensure!(begun.elapsed() < PATIENCE, "nobody listens at {address}");
-        std::thread::sleep(STEP);
+    let started = Instant::now();
+    while TcpStream::connect_timeout(&address, CALL_TIMEOUT).is_err() {
+        anyhow::ensure!(started.elapsed() < READY_TIMEOUT, "no process listens at {address}");
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-fn list(addresses: &[SocketAddr]) -> String {
+fn comma_separated(addresses: &[SocketAddr]) -> String {
     addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(",")
 }
 
--- a/crates/load/src/slopes/mod.rs
+++ b/crates/load/src/slopes/mod.rs
@@ -1,6 +1,6 @@
-//! Slopes of control cost: what each further entry host and each further upstream costs, idle and under changes.
+//! Growth of control-plane cost with each further entry host and upstream, idle and under configuration changes.
 //!
-//! Real processes run on loopback; the links between them count bytes, the kernel counts processor time and memory.
+//! Real processes run on loopback; the links between them count bytes, and the kernel counts CPU time and memory.
 
 mod bench;
 mod fit;
@@ -13,50 +13,50 @@
 
 use crate::cli::SlopesOptions;
 
-/// One point that was measured.
+/// Measurement with one number of entry hosts, upstreams and changes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entries: usize,
-    /// Registered upstreams.
+    /// Number of registered upstreams.
     pub upstreams: usize,
     /// Configuration changes a second.
     pub changes: f64,
-    /// Seconds that it was measured for.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// The average entry host.
+    /// Mean over the entry hosts.
     pub entry: Cost,
-    /// The average state node.
+    /// Mean over the state nodes.
     pub state: Cost,
-    /// The state node that spent most.
+    /// State node with the most CPU time.
     pub busiest: Cost,
-    /// Milliseconds until a change is in force on every entry host: median and most.
+    /// Milliseconds until a change is in force on every entry host, as median and maximum; absent without changes.
     pub in_force_ms: Option<(f64, f64)>,
 }
 
-/// What one process spends on control.
+/// Cost of the control plane in one process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Thousandths of a core.
+    /// CPU time in thousandths of a core.
     pub millicores: f64,
     /// Resident memory in MB.
     pub memory_mb: f64,
-    /// Bytes a second over its links, both ways.
+    /// Bytes a second over its links, in both directions.
     pub bytes_per_s: f64,
     /// Bytes a second of digests to and from other entry hosts, as the process counts them with their headers.
     pub digests_per_s: f64,
 }
 
-/// A fitted line for one quantity.
+/// Fitted line of one quantity.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// What was varied and what was measured.
+    /// Name of what was varied and what was measured.
     pub quantity: String,
-    /// The line.
+    /// Line fitted to the points.
     pub line: Line,
 }
 
-/// Measures every point and fits the lines.
+/// Measures all points, fits the lines and prints both.
 ///
 /// # Errors
 /// Fails when a process can't be started or doesn't answer.
@@ -119,20 +119,20 @@
     let idle: Vec<&Point> = points.iter().filter(by_entries(false)).collect();
     let changing: Vec<&Point> = points.iter().filter(by_entries(true)).collect();
     let by_upstreams = |point: &&Point| point.entries == options.base_entries && point.changes == 0.0;
-    let fleet: Vec<&Point> = points.iter().filter(by_upstreams).collect();
+    let by_upstream: Vec<&Point> = points.iter().filter(by_upstreams).collect();
     let entries = |point: &Point| point.entries as f64;
     let upstreams = |point: &Point| point.upstreams as f64;
     let mut slopes = Vec::new();
-    for (name, chosen, x) in [
+    for (name, selected, x) in [
         ("idle, a further entry host", &idle, entries as fn(&Point) -> f64),
         ("changing, a further entry host", &changing, entries),
-        ("idle, a further upstream", &fleet, upstreams),
+        ("idle, a further upstream", &by_upstream, upstreams),
     ] {
-        for (what, y) in QUANTITIES {
-            let pairs: Vec<(f64, f64)> = chosen.iter().map(|point| (x(point), y(point))).collect();
+        for (quantity, y) in QUANTITIES {
+            let pairs: Vec<(f64, f64)> = selected.iter().map(|point| (x(point), y(point))).collect();
             if let Some(line) = fit(&pairs) {
                 slopes.push(Slope {
-                    quantity: format!("{name}: {what}"),
+                    quantity: format!("{name}: {quantity}"),
                     line,
                 });
             }
--- a/crates/load/src/table.rs
+++ b/crates/load/src/table.rs
@@ -1,10 +1,10 @@
-//! Figures as a table for people.
+//! Table of figures for the terminal.
 
 use std::fmt::Write as _;
 
 use crate::trial::figures::Run;
 
-/// Renders runs side by side.
+/// Renders the figures of runs as columns.
 #[must_use]
 pub fn render(runs: &[Run]) -> String {
     let mut text = String::new();
--- a/crates/load/src/trial/balancer.rs
+++ b/crates/load/src/trial/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer before the entry hosts: it only knows what health checks told a moment ago.
+//! Stand-in for the load balancer in front of the entry hosts: it only knows the result of the last health checks.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,61 +6,64 @@
 
 use ureq::Agent;
 
-/// Pause between two health checks of every entry host.
-const STEP: Duration = Duration::from_millis(100);
-const TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause between two rounds of health checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest duration of a health check.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Entry hosts and whether they were ready at the last check.
+/// Entry hosts, each with the result of its last health check.
 #[derive(Debug)]
 pub struct Balancer {
-    doors: Vec<Door>,
+    entries: Vec<EntryHost>,
 }
 
 #[derive(Debug)]
-struct Door {
+struct EntryHost {
     callers: SocketAddr,
     ops: SocketAddr,
     ready: AtomicBool,
 }
 
 impl Balancer {
-    /// Makes a balancer for addresses for callers and for health checks, all believed ready.
+    /// Creates a balancer for entry hosts, each given by its addresses for callers and for health checks; all count as
+    /// ready at first.
     #[must_use]
-    pub fn new(doors: Vec<(SocketAddr, SocketAddr)>) -> Self {
-        let door = |(callers, ops)| Door {
+    pub fn new(entries: Vec<(SocketAddr, SocketAddr)>) -> Self {
+        let entry = |(callers, ops)| EntryHost {
             callers,
             ops,
             ready: AtomicBool::new(true),
         };
         Self {
-            doors: doors.into_iter().map(door).collect(),
+            entries: entries.into_iter().map(entry).collect(),
         }
     }
 
-    /// Gives the entry hosts in the order in which a request tries them; the unready ones come last.
+    /// Returns the entry hosts in the order in which a request tries them: round from `first`, with unready ones last.
     #[must_use]
-    pub fn order(&self, first: usize) -> Vec<SocketAddr> {
-        let count = self.doors.len();
-        let turned: Vec<&Door> = (0..count).map(|at| &self.doors[(first + at) % count]).collect();
-        let (ready, other): (Vec<&Door>, Vec<&Door>) =
-            turned.into_iter().partition(|door| door.ready.load(Ordering::Relaxed));
-        ready.into_iter().chain(other).map(|door| door.callers).collect()
+    pub fn candidates(&self, first: usize) -> Vec<SocketAddr> {
+        let count = self.entries.len();
+        let rotated: Vec<&EntryHost> = (0..count).map(|at| &self.entries[(first + at) % count]).collect();
+        let (ready, unready): (Vec<&EntryHost>, Vec<&EntryHost>) = rotated
+            .into_iter()
+            .partition(|entry| entry.ready.load(Ordering::Relaxed));
+        ready.into_iter().chain(unready).map(|entry| entry.callers).collect()
     }
 
-    /// Checks every entry host again and again until told to stop.
-    pub fn watch(&self, done: &AtomicBool) {
+    /// Runs health checks until `stop` is set.
+    pub fn run_checks(&self, stop: &AtomicBool) {
         let config = Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(CHECK_TIMEOUT))
             .max_idle_connections(0)
             .proxy(None)
             .build();
         let agent: Agent = config.into();
-        while !done.load(Ordering::Relaxed) {
-            for door in &self.doors {
-                let answer = agent.get(format!("http://{}/readyz", door.ops)).call();
-                door.ready.store(answer.is_ok(), Ordering::Relaxed);
+        while !stop.load(Ordering::Relaxed) {
+            for entry in &self.entries {
+                let answer = agent.get(format!("http://{}/readyz", entry.ops)).call();
+                entry.ready.store(answer.is_ok(), Ordering::Relaxed);
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(CHECK_INTERVAL);
         }
     }
 }
--- a/crates/load/src/trial/caller.rs
+++ b/crates/load/src/trial/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: sends its request when it is due, reads the answer and notes what it was told.
+//! A caller: sends a request when it is due, reads the answer and records its outcome and latency.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -9,45 +9,45 @@
 use ureq::{Agent, Body};
 
 use super::balancer::Balancer;
-use super::sse::{Event, Events};
+use super::sse::{Event, EventReader};
 use crate::workload::{Arrival, Call, bearer_key};
 
-/// Time beyond the promise after which a caller stops listening.
-const GRACE: Duration = Duration::from_secs(2);
-/// Pause between two questions for the rest of an answer.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time after the target of the complete answer at which a caller gives up.
+const READ_GRACE: Duration = Duration::from_secs(2);
+/// Pause between two attempts to fetch the rest of an answer.
+const RESUME_INTERVAL: Duration = Duration::from_millis(50);
 const REQUEST_HEADER: &str = "X-Request-Id";
 const OUTCOME_HEADER: &str = "Gentian-Outcome";
 const KEY_HEADER: &str = "Idempotency-Key";
 
-/// What a caller was told in the end.
+/// Final outcome of a request, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The whole answer.
-    Whole,
-    /// That it was not run.
+pub enum Outcome {
+    /// The complete and correct answer arrived.
+    Complete,
+    /// The caller was told that the request did not run.
     NotRun,
-    /// That the outcome is unknown.
+    /// The caller was told that the outcome is unknown.
     Unknown,
-    /// An answer that is not the one to its own request.
+    /// An answer arrived that is not the expected one.
     Wrong(String),
-    /// Nothing, after the request may have been accepted.
-    Cut(String),
-    /// Nothing, since no entry host took the connection.
-    Unreached,
+    /// The connection broke, or the response named no outcome, after the request may have been accepted.
+    Broken(String),
+    /// No entry host accepted the connection.
+    Unreachable,
 }
 
-/// What a caller saw; times count from when the request was due.
+/// Outcome and latency of a request; times count from when it was due.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// What it was told in the end.
-    pub end: End,
-    /// Until the first token.
-    pub first: Option<Duration>,
-    /// Between tokens.
-    pub gaps: Vec<Duration>,
-    /// Until the end.
-    pub whole: Duration,
+pub struct CallResult {
+    /// Final outcome.
+    pub outcome: Outcome,
+    /// Time to the first token; absent without one and for services.
+    pub first_token: Option<Duration>,
+    /// Gaps between successive tokens.
+    pub token_gaps: Vec<Duration>,
+    /// Time to the final outcome.
+    pub total: Duration,
 }
 
 /// Sends requests through a balancer.
@@ -58,21 +58,21 @@
     agent: Agent,
 }
 
-/// The answer as it comes.
-struct Reading {
+/// The part of a streamed answer received so far.
+struct AnswerProgress {
     due: Instant,
-    first: Option<Duration>,
-    last: Option<Instant>,
-    gaps: Vec<Duration>,
+    first_token: Option<Duration>,
+    last_token: Option<Instant>,
+    token_gaps: Vec<Duration>,
     text: String,
-    count: usize,
+    token_count: usize,
 }
 
 impl<'a> Caller<'a> {
-    /// Makes a caller of a model.
+    /// Creates a caller that sends its chats to a model.
     #[must_use]
     pub fn new(balancer: &'a Balancer, model: &'static str) -> Self {
-        // Each request has a connection of its own: a refused one then surely brought nothing to anybody.
+        // Each request opens its own connection, so that a refused connection proves that nothing was sent.
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .max_idle_connections(0)
@@ -85,71 +85,84 @@
         }
     }
 
-    /// Makes one request, which was due at a time.
+    /// Sends a request, which is due at the given time, and waits for its outcome.
     #[must_use]
-    pub fn call(&self, arrival: &Arrival, due: Instant) -> Told {
-        let mut reading = Reading {
+    pub fn call(&self, arrival: &Arrival, due: Instant) -> CallResult {
+        let mut progress = AnswerProgress {
             due,
-            first: None,
-            last: None,
-            gaps: Vec::new(),
+            first_token: None,
+            last_token: None,
+            token_gaps: Vec::new(),
             text: String::new(),
-            count: 0,
+            token_count: 0,
         };
-        let end = match &arrival.call {
-            Call::Chat { messages, tokens } => self.chat(arrival, messages, *tokens, &mut reading),
+        let outcome = match &arrival.call {
+            Call::Chat { messages, tokens } => self.chat(arrival, messages, *tokens, &mut progress),
             Call::Lookup { service, path } => {
                 let rest = format!("{service}{path}");
                 self.service(arrival, &rest, None, path.trim_start_matches('/'))
             }
-            Call::Once { service, path, key } => self.service(arrival, &format!("{service}{path}"), Some(key), key),
+            Call::Write { service, path, key } => self.service(arrival, &format!("{service}{path}"), Some(key), key),
         };
-        Told {
-            end,
-            first: reading.first,
-            gaps: reading.gaps,
-            whole: due.elapsed(),
+        CallResult {
+            outcome,
+            first_token: progress.first_token,
+            token_gaps: progress.token_gaps,
+            total: due.elapsed(),
         }
     }
 
-    fn chat(&self, arrival: &Arrival, messages: &[(String, String)], tokens: u64, reading: &mut Reading) -> End {
+    fn chat(
+        &self,
+        arrival: &Arrival,
+        messages: &[(String, String)],
+        tokens: u64,
+        progress: &mut AnswerProgress,
+    ) -> Outcome {
         let messages: Vec<Value> = messages
             .iter()
             .map(|(role, content)| json!({"role": role, "content": content}))
             .collect();
         let body = json!({"model": self.model, "stream": true, "max_tokens": tokens, "messages": messages});
-        let until = reading.due + arrival.promise.whole + GRACE;
-        let sent = self.send(arrival, "v1/chat/completions", until, None, Some(&body));
-        let answer = match sent {
+        let deadline = progress.due + arrival.targets.total + READ_GRACE;
+        let response = self.send(arrival, "v1/chat/completions", deadline, None, Some(&body));
+        let answer = match response {
             Ok(answer) => answer,
-            Err(end) => return end,
+            Err(outcome) => return outcome,
         };
         if answer.status() != 200 {
-            return refused(answer);
+            return refusal_outcome(answer);
         }
         let request = header(&answer, REQUEST_HEADER).unwrap_or_default();
-        let end = read(answer, reading);
-        let end = match end {
-            End::Cut(_) if !request.is_empty() => self.resume(arrival, &request, until, reading, end),
-            end => end,
+        let outcome = read_stream(answer, progress);
+        let outcome = match outcome {
+            Outcome::Broken(_) if !request.is_empty() => self.resume(arrival, &request, deadline, progress, outcome),
+            outcome => outcome,
         };
-        let right = || arrival.right_text() == reading.text;
-        match end {
-            End::Whole if right() => End::Whole,
-            End::Whole => End::Wrong(format!(
+        let is_expected = || arrival.expected_text() == progress.text;
+        match outcome {
+            Outcome::Complete if is_expected() => Outcome::Complete,
+            Outcome::Complete => Outcome::Wrong(format!(
                 "{} tokens of {tokens}, request {request}",
-                reading.text.split_whitespace().count()
+                progress.text.split_whitespace().count()
             )),
-            other => other,
+            outcome => outcome,
         }
     }
 
-    /// Asks every entry host for the rest of an answer whose connection broke.
-    fn resume(&self, arrival: &Arrival, request: &str, until: Instant, reading: &mut Reading, cut: End) -> End {
-        while Instant::now() < until {
-            for entry in self.balancer.order(arrival.entry) {
-                let url = format!("http://{entry}/v1/requests/{request}?from={}", reading.count);
-                let asked = self
+    /// Fetches the rest of an answer whose connection broke, from any entry host; returns `broken` after the deadline.
+    fn resume(
+        &self,
+        arrival: &Arrival,
+        request: &str,
+        deadline: Instant,
+        progress: &mut AnswerProgress,
+        broken: Outcome,
+    ) -> Outcome {
+        while Instant::now() < deadline {
+            for entry in self.balancer.candidates(arrival.entry) {
+                let url = format!("http://{entry}/v1/requests/{request}?from={}", progress.token_count);
+                let response = self
                     .agent
                     .get(url)
                     .header("Authorization", format!("Bearer {}", bearer_key(arrival.account)))
@@ -157,65 +170,65 @@
                     .timeout_global(Some(Duration::from_secs(1)))
                     .build()
                     .call();
-                let Ok(mut answer) = asked else { continue };
+                let Ok(mut answer) = response else { continue };
                 if answer.status() != 200 {
                     continue;
                 }
-                let Ok(part) = answer.body_mut().read_json::<Value>() else {
+                let Ok(rest) = answer.body_mut().read_json::<Value>() else {
                     continue;
                 };
-                if let Some(text) = part["text"].as_str().filter(|text| !text.is_empty()) {
-                    reading.token(text);
-                    reading.count = part["next"].as_u64().unwrap_or_default() as usize;
+                if let Some(text) = rest["text"].as_str().filter(|text| !text.is_empty()) {
+                    progress.add_text(text);
+                    progress.token_count = rest["next"].as_u64().unwrap_or_default() as usize;
                 }
-                if part["whole"] == true {
-                    return End::Whole;
+                if rest["whole"] == true {
+                    return Outcome::Complete;
                 }
-                if part["failed"] == true {
-                    return End::Unknown;
+                if rest["failed"] == true {
+                    return Outcome::Unknown;
                 }
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RESUME_INTERVAL);
         }
-        cut
+        broken
     }
 
-    fn service(&self, arrival: &Arrival, rest: &str, key: Option<&str>, own: &str) -> End {
-        let until = Instant::now() + arrival.promise.whole.max(Duration::from_secs(5)) + GRACE;
+    fn service(&self, arrival: &Arrival, rest: &str, key: Option<&str>, expected: &str) -> Outcome {
+        let deadline = Instant::now() + arrival.targets.total.max(Duration::from_secs(5)) + READ_GRACE;
         let body = key.map(|key| json!({"amount": 50, "for": key}));
-        let sent = self.send(arrival, &format!("services/{rest}"), until, key, body.as_ref());
-        let mut answer = match sent {
+        let response = self.send(arrival, &format!("services/{rest}"), deadline, key, body.as_ref());
+        let mut answer = match response {
             Ok(answer) => answer,
-            Err(end) => return end,
+            Err(outcome) => return outcome,
         };
         if !answer.status().is_success() {
-            return refused(answer);
+            return refusal_outcome(answer);
         }
         match answer.body_mut().read_to_string() {
-            Ok(text) if names(&text, own) => End::Whole,
-            Ok(_) => End::Wrong(format!("no {own} in the answer")),
-            Err(error) => End::Cut(format!("read: {error}")),
+            Ok(text) if contains_word(&text, expected) => Outcome::Complete,
+            Ok(_) => Outcome::Wrong(format!("no {expected} in the answer")),
+            Err(error) => Outcome::Broken(format!("read: {error}")),
         }
     }
 
-    /// Sends a request to the first entry host that takes the connection.
+    /// Sends a request to the first entry host that accepts the connection.
     fn send(
         &self,
         arrival: &Arrival,
         path: &str,
-        until: Instant,
+        deadline: Instant,
         key: Option<&str>,
         body: Option<&Value>,
-    ) -> Result<Response<Body>, End> {
-        for entry in self.balancer.order(arrival.entry) {
-            let left = until.saturating_duration_since(Instant::now());
-            match self.send_to(entry, arrival, path, left, key, body) {
+    ) -> Result<Response<Body>, Outcome> {
+        for entry in self.balancer.candidates(arrival.entry) {
+            let timeout = deadline.saturating_duration_since(Instant::now());
+            match self.send_to(entry, arrival, path, timeout, key, body) {
                 Ok(answer) => return Ok(answer),
-                Err(error) if no_connection(&error) => {}
-                Err(error) => return Err(End::Cut(format!("send: {error}"))),
+                Err(error) if not_connected(&error) => {}
+                Err(error) => return Err(Outcome::Broken(format!("send: {error}"))),
             }
         }
-        Err(End::Unreached)
+        Err(Outcome::Unreachable)
     }
 
     fn send_to(
@@ -223,7 +236,7 @@
         entry: SocketAddr,
         arrival: &Arrival,
         path: &str,
-        left: Duration,
+        timeout: Duration,
         key: Option<&str>,
         body: Option<&Value>,
     ) -> Result<Response<Body>, ureq::Error> {
@@ -231,53 +244,53 @@
         let bearer = format!("Bearer {}", bearer_key(arrival.account));
         let Some(body) = body else {
             let get = self.agent.get(url).header("Authorization", bearer);
-            return get.config().timeout_global(Some(left)).build().call();
+            return get.config().timeout_global(Some(timeout)).build().call();
         };
         let mut post = self.agent.post(url).header("Authorization", bearer);
         if let Some(key) = key {
             post = post.header(KEY_HEADER, key);
         }
-        post.config().timeout_global(Some(left)).build().send_json(body)
+        post.config().timeout_global(Some(timeout)).build().send_json(body)
     }
 }
 
-impl Reading {
-    fn token(&mut self, text: &str) {
+impl AnswerProgress {
+    fn add_text(&mut self, text: &str) {
         let now = Instant::now();
-        if let Some(last) = self.last {
-            self.gaps.push(now - last);
+        if let Some(last) = self.last_token {
+            self.token_gaps.push(now - last);
         }
-        self.first
+        self.first_token
             .get_or_insert_with(|| now.saturating_duration_since(self.due));
-        self.last = Some(now);
+        self.last_token = Some(now);
         self.text.push_str(text);
     }
 }
 
-fn read(answer: Response<Body>, reading: &mut Reading) -> End {
-    let mut events = Events::new(answer.into_body().into_reader());
+fn read_stream(answer: Response<Body>, progress: &mut AnswerProgress) -> Outcome {
+    let mut events = EventReader::new(answer.into_body().into_reader());
     loop {
         match events.next_event() {
             Ok(Event::Token(token)) => {
-                reading.token(&token);
-                reading.count += 1;
+                progress.add_text(&token);
+                progress.token_count += 1;
             }
-            Ok(Event::Done) => return End::Whole,
-            Ok(Event::Failed) => return End::Unknown,
-            Err(error) => return End::Cut(format!("stream: {error}")),
+            Ok(Event::Done) => return Outcome::Complete,
+            Ok(Event::Failed) => return Outcome::Unknown,
+            Err(error) => return Outcome::Broken(format!("stream: {error}")),
         }
     }
 }
 
-/// Reads from a refusal what it says about the request.
-fn refused(mut answer: Response<Body>) -> End {
+/// Returns the outcome that an error response states.
+fn refusal_outcome(mut answer: Response<Body>) -> Outcome {
     if header(&answer, OUTCOME_HEADER).as_deref() == Some("not-run") {
-        return End::NotRun;
+        return Outcome::NotRun;
     }
     let status = answer.status();
     match answer.body_mut().read_json::<Value>() {
-        Ok(body) if body["outcome"] == "unknown" => End::Unknown,
-        Ok(_) | Err(_) => End::Cut(format!("status {status} without an outcome")),
+        Ok(body) if body["outcome"] == "unknown" => Outcome::Unknown,
+        Ok(_) | Err(_) => Outcome::Broken(format!("status {status} without an outcome")),
     }
 }
 
@@ -286,13 +299,14 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-/// Tells whether a text names something and not merely something longer.
-fn names(text: &str, own: &str) -> bool {
-    let ends = |rest: &str| !rest.starts_with(|c: char| c.is_ascii_alphanumeric());
-    text.match_indices(own).any(|(at, _)| ends(&text[at + own.len()..]))
+/// Returns whether a text contains a word, not merely a longer word that starts with it.
+fn contains_word(text: &str, expected: &str) -> bool {
+    let at_word_end = |rest: &str| !rest.starts_with(|c: char| c.is_ascii_alphanumeric());
+    text.match_indices(expected)
+        .any(|(at, _)| at_word_end(&text[at + expected.len()..]))
 }
 
-fn no_connection(error: &ureq::Error) -> bool {
+fn not_connected(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(error) => error.kind() == ErrorKind::ConnectionRefused,
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
--- a/crates/load/src/trial/check.rs
+++ b/crates/load/src/trial/check.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the stand-ins did.
+//! Compares what callers were told with what the stand-ins ran.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::path::Path;
@@ -6,42 +6,42 @@
 use anyhow::Context;
 use standin::record::Line;
 
-use super::caller::{End, Told};
+use super::caller::{CallResult, Outcome};
 use crate::workload::{Arrival, Call};
 
-/// What the stand-ins did, over all their processes and incarnations.
+/// Executions on the stand-ins, over all processes and incarnations.
 #[derive(Debug, Default)]
-pub struct Seen {
-    prompts: HashSet<u64>,
-    paths: HashSet<String>,
-    runs: HashMap<String, u64>,
+pub struct ExecutionLog {
+    prompt_ids: HashSet<u64>,
+    lookup_paths: HashSet<String>,
+    run_counts: HashMap<String, u64>,
     lines: Vec<Line>,
 }
 
-/// What the comparison found.
+/// Violations that the comparison found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Accepted, and neither answered whole nor told that the outcome is unknown.
+    /// Requests that were accepted but neither answered correctly nor reported as of unknown outcome.
     pub lost: Vec<String>,
-    /// Keys that ran more than once.
+    /// Idempotency keys that ran more than once.
     pub doubled: Vec<String>,
-    /// Requests that ran though their callers were told that they did not.
+    /// Requests that ran although their callers were told that they did not.
     pub after_refusal: Vec<String>,
 }
 
-impl Seen {
-    /// Reads every record of a folder.
+impl ExecutionLog {
+    /// Reads all event logs in a folder.
     ///
     /// # Errors
-    /// Fails when a record can't be read; only a last line that a kill cut off is left out.
+    /// Fails when an event log can't be read; an incomplete last line, which a killed process leaves, is skipped.
     pub fn read(folder: &Path) -> anyhow::Result<Self> {
         let mut lines = Vec::new();
         for file in std::fs::read_dir(folder)? {
             let path = file?.path();
             if path.extension().is_some_and(|kind| kind == "record") {
                 let text = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
-                let whole = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
-                for line in whole {
+                let complete_lines = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
+                for line in complete_lines {
                     lines.push(serde_json::from_str(line).with_context(|| path.display().to_string())?);
                 }
             }
@@ -49,85 +49,98 @@
         Ok(Self::new(lines))
     }
 
-    /// Takes over lines of records.
+    /// Indexes the events of all stand-ins.
     #[must_use]
     pub fn new(lines: Vec<Line>) -> Self {
-        let mut seen = Self::default();
+        let mut log = Self::default();
         for line in &lines {
             match line {
                 Line::Begun { prompt, .. } => {
-                    seen.prompts.insert(*prompt);
+                    log.prompt_ids.insert(*prompt);
                 }
-                Line::Ran { key, .. } => *seen.runs.entry(key.clone()).or_default() += 1,
+                Line::Ran { key, .. } => *log.run_counts.entry(key.clone()).or_default() += 1,
                 Line::Read { path, .. } => {
-                    seen.paths.insert(path.clone());
+                    log.lookup_paths.insert(path.clone());
                 }
                 Line::Ended { .. } => {}
             }
         }
-        seen.lines = lines;
-        seen
+        log.lines = lines;
+        log
     }
 
-    /// Tells whether a stand-in did anything for a request.
+    /// Returns whether a stand-in ran a request, in part or in full.
     #[must_use]
-    pub fn ran(&self, call: &Call) -> bool {
+    pub fn executed(&self, call: &Call) -> bool {
         match call {
-            Call::Chat { messages, .. } => self.prompts.contains(&standin::engine::continuation(messages, false).0),
-            Call::Lookup { path, .. } => self.paths.contains(path),
-            Call::Once { key, .. } => self.runs.contains_key(key),
+            Call::Chat { messages, .. } => self
+                .prompt_ids
+                .contains(&standin::engine::continuation(messages, false).0),
+            Call::Lookup { path, .. } => self.lookup_paths.contains(path),
+            Call::Write { key, .. } => self.run_counts.contains_key(key),
         }
     }
 
-    /// Gives the tokens that engines prefilled although an earlier run of the same conversation had computed or made
-    /// them somewhere.
+    /// Returns the number of prefilled tokens that an earlier run of the same conversation had already computed on some
+    /// engine.
     #[must_use]
     pub fn recomputed(&self) -> u64 {
-        let mut steps: Vec<Step> = self.lines.iter().flat_map(Step::of).collect();
-        steps.sort_by_key(|step| step.at);
-        let mut reached: HashMap<u64, u64> = HashMap::new();
+        let mut steps: Vec<CacheStep> = self.lines.iter().flat_map(CacheStep::of).collect();
+        steps.sort_by_key(|step| step.at_us);
+        let mut computed: HashMap<u64, u64> = HashMap::new();
         let mut total = 0;
         for step in steps {
-            let known = reached.entry(step.conversation).or_default();
+            let reusable = computed.entry(step.conversation).or_default();
             match step.kind {
-                Kind::Reach(tokens) => *known = (*known).max(tokens),
-                Kind::Prefill { prompt, cached, begun } => {
-                    // A begun answer was made by an earlier run, together with everything before it.
-                    let known = if begun { prompt } else { (*known).min(prompt) };
-                    total += known.saturating_sub(cached);
+                StepKind::Computed(tokens) => *reusable = (*reusable).max(tokens),
+                StepKind::Prefill {
+                    prompt,
+                    cached,
+                    continues,
+                } => {
+                    // A partial answer was generated by an earlier run, which had computed the whole prompt before it.
+                    let reusable = if continues { prompt } else { (*reusable).min(prompt) };
+                    total += reusable.saturating_sub(cached);
                 }
             }
         }
         total
     }
 
-    /// Compares with what callers were told.
+    /// Compares the executions with what callers were told; the results are in the order of the arrivals.
     #[must_use]
-    pub fn compare(&self, arrivals: &[Arrival], told: &[Told]) -> Verdict {
+    pub fn compare(&self, arrivals: &[Arrival], results: &[CallResult]) -> Verdict {
         let mut verdict = Verdict::default();
-        let mut refused: BTreeMap<&str, bool> = BTreeMap::new();
-        for (arrival, told) in arrivals.iter().zip(told) {
-            let not_run = told.end == End::NotRun;
-            match (&arrival.call, &told.end) {
-                (call, End::Cut(why)) if self.ran(call) || why.starts_with("stream") || why.starts_with("status") => {
-                    verdict.lost.push(format!("{}: {why}", call.label()));
+        let mut all_refused: BTreeMap<&str, bool> = BTreeMap::new();
+        for (arrival, result) in arrivals.iter().zip(results) {
+            let not_run = result.outcome == Outcome::NotRun;
+            match (&arrival.call, &result.outcome) {
+                (call, Outcome::Broken(cause))
+                    if self.executed(call) || cause.starts_with("stream") || cause.starts_with("status") =>
+                {
+                    verdict.lost.push(format!("{}: {cause}", call.label()));
                 }
-                (call, End::Wrong(why)) => verdict.lost.push(format!("{}: wrong answer: {why}", call.label())),
+                (call, Outcome::Wrong(cause)) => verdict.lost.push(format!("{}: wrong answer: {cause}", call.label())),
                 _ => {}
             }
             match &arrival.call {
-                Call::Once { key, .. } => {
-                    refused.entry(key).and_modify(|all| *all &= not_run).or_insert(not_run);
+                Call::Write { key, .. } => {
+                    all_refused
+                        .entry(key)
+                        .and_modify(|refused| *refused &= not_run)
+                        .or_insert(not_run);
                 }
-                call if not_run && self.ran(call) => verdict.after_refusal.push(call.label()),
+                call if not_run && self.executed(call) => verdict.after_refusal.push(call.label()),
                 _ => {}
             }
         }
-        let keys = refused
+        let false_refusals = all_refused
             .iter()
-            .filter(|(key, all)| **all && self.runs.contains_key(**key));
-        verdict.after_refusal.extend(keys.map(|(key, _)| (*key).to_owned()));
-        let doubled = self.runs.iter().filter(|(_, count)| **count > 1);
+            .filter(|(key, refused)| **refused && self.run_counts.contains_key(**key));
+        verdict
+            .after_refusal
+            .extend(false_refusals.map(|(key, _)| (*key).to_owned()));
+        let doubled = self.run_counts.iter().filter(|(_, count)| **count > 1);
         verdict
             .doubled
             .extend(doubled.map(|(key, count)| format!("{key} ran {count} times")));
@@ -136,21 +149,21 @@
     }
 }
 
-/// One step of a conversation at some engine.
-struct Step {
-    at: u64,
+/// A change of what has been computed for a conversation, or a prefill, on any engine.
+struct CacheStep {
+    at_us: u64,
     conversation: u64,
-    kind: Kind,
+    kind: StepKind,
 }
 
-enum Kind {
-    /// Everything up to a position is now computed or made.
-    Reach(u64),
-    /// A prefill begins.
-    Prefill { prompt: u64, cached: u64, begun: bool },
+enum StepKind {
+    /// All tokens up to this position are computed.
+    Computed(u64),
+    /// A prefill starts; counts are in tokens.
+    Prefill { prompt: u64, cached: u64, continues: bool },
 }
 
-impl Step {
+impl CacheStep {
     fn of(line: &Line) -> Vec<Self> {
         match line {
             Line::Begun {
@@ -162,22 +175,22 @@
                 begun_tokens,
                 ..
             } => {
-                let kind = Kind::Prefill {
+                let kind = StepKind::Prefill {
                     prompt: *prompt_tokens,
                     cached: *cached_tokens,
-                    begun: *begun_tokens > 0,
+                    continues: *begun_tokens > 0,
                 };
-                let begin = Self {
-                    at: *from_us,
+                let prefill_step = Self {
+                    at_us: *from_us,
                     conversation: *conversation,
                     kind,
                 };
-                let reach = Self {
-                    at: *at_us,
+                let computed_step = Self {
+                    at_us: *at_us,
                     conversation: *conversation,
-                    kind: Kind::Reach(*prompt_tokens),
+                    kind: StepKind::Computed(*prompt_tokens),
                 };
-                vec![begin, reach]
+                vec![prefill_step, computed_step]
             }
             Line::Ended {
                 at_us,
@@ -186,9 +199,9 @@
                 made_tokens,
                 ..
             } => vec![Self {
-                at: *at_us,
+                at_us: *at_us,
                 conversation: *conversation,
-                kind: Kind::Reach(prompt_tokens + made_tokens),
+                kind: StepKind::Computed(prompt_tokens + made_tokens),
             }],
             Line::Ran { .. } | Line::Read { .. } => Vec::new(),
         }
--- a/crates/load/src/trial/fleet.rs
+++ b/crates/load/src/trial/fleet.rs
@@ -1,4 +1,4 @@
-//! The stand-in fleet of a trial: hosts over four data centres with engines and services on them.
+//! Fleet of a trial: stand-in engines and services on hosts in four data centres.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,16 +6,17 @@
 use contract::{HostSpec, MachineClass, UpstreamId, UpstreamKind, UpstreamSpec};
 use rustix::process::Signal;
 
-use super::process::{Place, Process};
+use super::process::{Launcher, Process};
 use crate::workload::Plan;
 
-/// Engines in the fleet.
+/// Number of engines in the fleet.
 pub const ENGINES: usize = 10;
-/// Zones, one in each data centre.
+/// Number of zones, one in each data centre.
 pub const ZONES: usize = 4;
-/// Requests that an engine runs at once.
-const SLOTS: u32 = 6;
-const ENGINE: [&str; 10] = [
+/// Concurrent requests of an engine; the same as `--slots` in its flags.
+const ENGINE_SLOTS: u32 = 6;
+/// Flags of every engine.
+const ENGINE_FLAGS: [&str; 10] = [
     "--slots",
     "6",
     "--prefill-us",
@@ -27,162 +28,165 @@
     "--cache-tokens",
     "8192",
 ];
+/// Concurrent requests of a service replica.
 const SERVICE_SLOTS: u32 = 16;
-/// Price of a host that can be reclaimed, in micro-dollars an hour, by zone.
-const RECLAIMABLE: [u64; ZONES] = [800_000, 650_000, 900_000, 750_000];
-/// Price of a host that is kept.
-const ON_DEMAND: [u64; ZONES] = [2_000_000, 1_800_000, 2_200_000, 1_900_000];
-/// Price of a host for a service.
-const SMALL: u64 = 200_000;
-
-/// A host with its upstream, held from start to end.
+/// Price of a reclaimable host by zone, in micro-dollars an hour.
+const RECLAIMABLE_PRICES: [u64; ZONES] = [800_000, 650_000, 900_000, 750_000];
+/// Price of an on-demand host by zone, in micro-dollars an hour.
+const ON_DEMAND_PRICES: [u64; ZONES] = [2_000_000, 1_800_000, 2_200_000, 1_900_000];
+/// Price of the host of a service replica, in micro-dollars an hour.
+const SERVICE_HOST_PRICE: u64 = 200_000;
+
+/// An upstream and its host.
 #[derive(Debug)]
 pub struct Member {
-    /// What the system knows of it.
+    /// Description that is registered with the system.
     pub spec: UpstreamSpec,
     process: Option<Process>,
-    held: Option<Instant>,
-    paid: f64,
+    held_since: Option<Instant>,
+    cost_dollars: f64,
 }
 
-/// Every host of a trial.
+/// All upstreams of a trial.
 #[derive(Debug)]
 pub struct Fleet {
-    place: Place,
+    launcher: Launcher,
     model: &'static str,
     /// Members: engines first, then services.
     pub members: Vec<Member>,
 }
 
 impl Fleet {
-    /// Starts every engine and service.
+    /// Starts all engines and services.
     ///
     /// # Errors
     /// Fails when a process doesn't start.
-    pub fn start(place: &Place, plan: &Plan) -> anyhow::Result<Self> {
-        let engines = (0..ENGINES).map(|at| member(at, engine(plan.model), &format!("engine-{at}"), SLOTS));
+    pub fn start(launcher: &Launcher, plan: &Plan) -> anyhow::Result<Self> {
+        let engines =
+            (0..ENGINES).map(|index| member(index, engine(plan.model), &format!("engine-{index}"), ENGINE_SLOTS));
         let services = plan
             .services
             .iter()
-            .flat_map(|(name, count)| (0..*count).map(move |at| (*name, at)));
-        let services = services.map(|(name, at)| member(at, service(name), &format!("{name}-{at}"), SERVICE_SLOTS));
+            .flat_map(|(name, count)| (0..*count).map(move |index| (*name, index)));
+        let services =
+            services.map(|(name, index)| member(index, service(name), &format!("{name}-{index}"), SERVICE_SLOTS));
         let mut fleet = Self {
-            place: place.clone(),
+            launcher: launcher.clone(),
             model: plan.model,
             members: engines.chain(services).collect(),
         };
-        for at in 0..fleet.members.len() {
-            fleet.spawn(at)?;
+        for index in 0..fleet.members.len() {
+            fleet.spawn(index)?;
         }
-        for at in 0..fleet.members.len() {
-            fleet.read_address(at)?;
+        for index in 0..fleet.members.len() {
+            fleet.read_address(index)?;
         }
         Ok(fleet)
     }
 
-    /// Starts the process of a member again, on a new host of the same name.
+    /// Restarts the process of a member, as on a new host with the same name.
     ///
     /// # Errors
     /// Fails when the process doesn't start.
-    pub fn restart(&mut self, at: usize, incarnation: u64) -> anyhow::Result<()> {
-        self.members[at].spec.host.incarnation = incarnation;
-        self.spawn(at)?;
-        self.read_address(at)
+    pub fn restart(&mut self, index: usize, incarnation: u64) -> anyhow::Result<()> {
+        self.members[index].spec.host.incarnation = incarnation;
+        self.spawn(index)?;
+        self.read_address(index)
     }
 
-    fn spawn(&mut self, at: usize) -> anyhow::Result<()> {
-        let member = &mut self.members[at];
+    fn spawn(&mut self, index: usize) -> anyhow::Result<()> {
+        let member = &mut self.members[index];
         let name = member.spec.id.as_str();
-        let record = self.place.file(&format!("{name}.record")).display().to_string();
+        let record = self.launcher.file(&format!("{name}.record")).display().to_string();
         let mut args = match &member.spec.kind {
             UpstreamKind::Engine { .. } => vec!["engine", "--checks-fencing", "--model", self.model],
             UpstreamKind::Service { .. } => vec!["service", "--work-ms", "8"],
         };
-        if at < ENGINES {
-            args.extend(ENGINE);
+        if index < ENGINES {
+            args.extend(ENGINE_FLAGS);
         }
         args.extend(["--record", &record]);
         let args: Vec<String> = args.into_iter().map(str::to_owned).collect();
-        member.process = Some(self.place.start(name, "gentian-standin", &args)?);
-        member.held = Some(Instant::now());
+        member.process = Some(self.launcher.start(name, "gentian-standin", &args)?);
+        member.held_since = Some(Instant::now());
         Ok(())
     }
 
-    fn read_address(&mut self, at: usize) -> anyhow::Result<()> {
-        let member = &mut self.members[at];
+    fn read_address(&mut self, index: usize) -> anyhow::Result<()> {
+        let member = &mut self.members[index];
         if let Some(process) = &mut member.process {
             member.spec.address = process.address()?;
         }
         Ok(())
     }
 
-    /// Takes hosts away without a word.
-    pub fn kill(&mut self, at: usize) {
-        let member = &mut self.members[at];
+    /// Kills a member without notice and stops its billing.
+    pub fn kill(&mut self, index: usize) {
+        let member = &mut self.members[index];
         member.process = None;
-        member.pay();
+        member.add_cost();
     }
 
-    /// Stops or continues a process.
+    /// Freezes or resumes the process of a member.
     ///
     /// # Errors
-    /// Fails when it is gone.
-    pub fn freeze(&self, at: usize, frozen: bool) -> anyhow::Result<()> {
+    /// Fails when the process can't be signalled.
+    pub fn freeze(&self, index: usize, frozen: bool) -> anyhow::Result<()> {
         let signal = if frozen { Signal::STOP } else { Signal::CONT };
-        self.members[at]
+        self.members[index]
             .process
             .as_ref()
             .map_or(Ok(()), |process| process.signal(signal))
     }
 
-    /// Begins to count what the hosts cost; what their start cost is the same for every policy.
-    pub fn open_bill(&mut self) {
+    /// Starts billing of all hosts. The time of their start is left out, as it is the same for every policy.
+    pub fn start_billing(&mut self) {
         for member in &mut self.members {
-            member.paid = 0.0;
-            member.held = Some(Instant::now());
+            member.cost_dollars = 0.0;
+            member.held_since = Some(Instant::now());
         }
     }
 
-    /// Ends counting for every host that is still held.
-    pub fn close_bill(&mut self) {
+    /// Stops billing of all hosts that still run.
+    pub fn stop_billing(&mut self) {
         for member in &mut self.members {
-            member.pay();
+            member.add_cost();
         }
     }
 
-    /// Gives what the hosts cost between the two, in dollars.
+    /// Returns the cost of all hosts while they were billed, in dollars.
     #[must_use]
     pub fn cost(&self) -> f64 {
-        self.members.iter().map(|member| member.paid).sum()
+        self.members.iter().map(|member| member.cost_dollars).sum()
     }
 }
 
 impl Member {
-    fn pay(&mut self) {
-        let held = self.held.take().map_or(Duration::ZERO, |since| since.elapsed());
-        self.paid += held.as_secs_f64() / 3_600.0 * self.spec.host.price as f64 / 1e6;
+    fn add_cost(&mut self) {
+        let held = self.held_since.take().map_or(Duration::ZERO, |start| start.elapsed());
+        self.cost_dollars += held.as_secs_f64() / 3_600.0 * self.spec.host.price as f64 / 1e6;
     }
 }
 
-/// Gives the name of a zone.
+/// Returns the name of a zone.
 #[must_use]
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{}", zone + 1)
 }
 
-fn member(at: usize, kind: UpstreamKind, name: &str, slots: u32) -> Member {
-    let zone = at % ZONES;
+fn member(index: usize, kind: UpstreamKind, name: &str, slots: u32) -> Member {
+    let zone = index % ZONES;
     let is_engine = matches!(kind, UpstreamKind::Engine { .. });
-    // About half of the engines' hosts can be reclaimed, whole zones of them.
+    // About half of the engines are on reclaimable hosts, in the first two zones.
     let class = if is_engine && zone < 2 {
         MachineClass::Reclaimable
     } else {
         MachineClass::OnDemand
     };
     let price = match class {
-        _ if !is_engine => SMALL,
-        MachineClass::Reclaimable => RECLAIMABLE[zone],
-        MachineClass::OnDemand => ON_DEMAND[zone],
+        _ if !is_engine => SERVICE_HOST_PRICE,
+        MachineClass::Reclaimable => RECLAIMABLE_PRICES[zone],
+        MachineClass::OnDemand => ON_DEMAND_PRICES[zone],
     };
     let spec = UpstreamSpec {
         id: UpstreamId::from(name),
@@ -201,8 +205,8 @@
     Member {
         spec,
         process: None,
-        held: None,
-        paid: 0.0,
+        held_since: None,
+        cost_dollars: 0.0,
     }
 }
 
--- a/crates/load/src/trial/mod.rs
+++ b/crates/load/src/trial/mod.rs
@@ -1,4 +1,4 @@
-//! Trials: a system of real processes, callers that do not wait for one another, faults on a schedule.
+//! Trials: a system of real processes under open-loop load, with faults on a schedule.
 
 pub mod balancer;
 pub mod caller;
--- a/crates/load/src/trial/process.rs
+++ b/crates/load/src/trial/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a trial; none outlives the value that stands for it.
+//! Processes of a trial; each is killed when its value is dropped.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -10,8 +10,8 @@
 use anyhow::{Context, ensure};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Ports that are given out; below those that the operating system gives to outgoing connections.
-const PORTS: std::ops::Range<u16> = 10_000..30_000;
+/// Ports of [`free_address`]; below those that the operating system uses for outgoing connections.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..30_000;
 
 /// A running process.
 #[derive(Debug)]
@@ -20,34 +20,34 @@
     child: Child,
 }
 
-/// Where programs are found and their logs go.
+/// Starts the programs of a trial and keeps their files in its folder.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Launcher {
     programs: PathBuf,
     folder: PathBuf,
 }
 
-impl Place {
-    /// Finds the programs beside the running one; logs and data go into a folder.
+impl Launcher {
+    /// Uses the programs next to the running one; logs and data go into `folder`.
     ///
     /// # Errors
     /// Fails when the running program's own file can't be found.
     pub fn new(folder: &Path) -> anyhow::Result<Self> {
-        let own = std::env::current_exe().context("find the running program")?;
-        let programs = own.parent().context("find the folder of the running program")?;
+        let executable = std::env::current_exe().context("find the running program")?;
+        let programs = executable.parent().context("find the folder of the running program")?;
         Ok(Self {
             programs: programs.to_owned(),
             folder: folder.to_owned(),
         })
     }
 
-    /// Gives a file or folder of the trial.
+    /// Returns the path of a file or folder of the trial.
     #[must_use]
     pub fn file(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// Starts a program.
+    /// Starts a program under a name, which its log file gets.
     ///
     /// # Errors
     /// Fails when the program is not built or the operating system refuses.
@@ -62,16 +62,16 @@
             .create(true)
             .append(true)
             .open(self.file(&format!("{name}.log")))?;
-        // Settings come as flags only, so that the environment of the trial can't change them.
-        let environment = std::env::vars().filter(|(name, _)| name.starts_with("GENTIAN_"));
-        // A stand-in prints its address for the trial to read; the others log to their output.
+        // Removed so that settings come from flags only and the environment can't change them.
+        let variables = std::env::vars().filter(|(name, _)| name.starts_with("GENTIAN_"));
+        // A stand-in prints its address, which is read from the pipe; the other programs log to standard output.
         let output = if program == "gentian-standin" {
             Stdio::piped()
         } else {
             Stdio::from(log.try_clone()?)
         };
         let mut command = Command::new(&path);
-        for (variable, _) in environment {
+        for (variable, _) in variables {
             command.env_remove(variable);
         }
         let child = command
@@ -92,7 +92,7 @@
     /// Reads the address that a stand-in prints once it listens.
     ///
     /// # Errors
-    /// Fails when the process ends before.
+    /// Fails when the process exits before, or when the address was read already.
     pub fn address(&mut self) -> anyhow::Result<SocketAddr> {
         let out = self.child.stdout.take().context("the address was read before")?;
         let mut line = String::new();
@@ -102,7 +102,7 @@
         text.parse().with_context(|| format!("address of {}", self.name))
     }
 
-    /// Gives the process id.
+    /// Returns the process id.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.child.id()
@@ -118,34 +118,38 @@
         kill_process(pid, signal).with_context(|| format!("signal {}", self.name))
     }
 
-    /// Gives how the process ended, if it has.
+    /// Returns the exit status; `None` while the process runs.
     ///
     /// # Errors
-    /// Fails when the operating system can't tell.
-    pub fn ended(&mut self) -> anyhow::Result<Option<ExitStatus>> {
-        self.child.try_wait().with_context(|| format!("ask for {}", self.name))
+    /// Fails when the operating system can't return the status.
+    pub fn exit_status(&mut self) -> anyhow::Result<Option<ExitStatus>> {
+        self.child
+            .try_wait()
+            .with_context(|| format!("get exit status of {}", self.name))
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A process that has ended already can't be killed; that is what is wanted.
+        // Errors mean that the process has exited already, which is the wanted state.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Gives a loopback address that nobody listens on at the moment.
+/// Returns a loopback address whose port is free at the moment.
 ///
 /// # Panics
 /// Panics when the machine has no free port left.
 #[must_use]
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let own = (std::process::id() % 1_000) as u16;
-    for _ in PORTS {
-        let count = NEXT.fetch_add(1, Ordering::Relaxed).wrapping_add(own.wrapping_mul(17));
-        let port = PORTS.start + count % (PORTS.end - PORTS.start);
+    let pid_part = (std::process::id() % 1_000) as u16;
+    for _ in PORT_RANGE {
+        let offset = NEXT
+            .fetch_add(1, Ordering::Relaxed)
+            .wrapping_add(pid_part.wrapping_mul(17));
+        let port = PORT_RANGE.start + offset % (PORT_RANGE.end - PORT_RANGE.start);
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(address).is_ok() {
             return address;
--- a/crates/load/src/trial/run.rs
+++ b/crates/load/src/trial/run.rs
@@ -1,4 +1,4 @@
-//! One run: a policy, a plan, a schedule of faults.
+//! Runs one plan under one policy with a schedule of faults.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,29 +9,30 @@
 use derive_more::{Display, FromStr};
 
 use super::balancer::Balancer;
-use super::caller::{Caller, End, Told};
-use super::check::{Seen, Verdict};
+use super::caller::{CallResult, Caller, Outcome};
+use super::check::{ExecutionLog, Verdict};
 use super::faults::Schedule;
 use super::figures::Run;
-use super::process::Place;
-use super::system::{Choice, System};
+use super::process::Launcher;
+use super::system::{RoutingOptions, System};
 use crate::workload::{Arrival, Plan};
 
-/// Stack of a caller's thread, in bytes.
-const STACK: usize = 512 * 1024;
-const STEP: Duration = Duration::from_millis(50);
+/// Stack size of a caller thread; every request has a thread.
+const CALLER_STACK_BYTES: usize = 512 * 1024;
+/// Longest time between two checks for an interrupt.
+const INTERRUPT_POLL: Duration = Duration::from_millis(50);
 
-/// How upstreams are chosen in a run.
+/// Policy by which entry hosts choose an upstream.
 #[derive(Clone, Copy, Debug, Display, FromStr, PartialEq, Eq)]
 #[from_str(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The system's own.
+    /// The system's own cost-based routing.
     #[display("gentianspring")]
     Gentianspring,
-    /// Fewest requests under way.
+    /// The upstream with the fewest requests in flight.
     #[display("least-loaded")]
     LeastLoaded,
-    /// One after the other.
+    /// All upstreams in turn.
     #[display("round-robin")]
     RoundRobin,
 }
@@ -49,21 +50,21 @@
     }
 }
 
-/// What a run gave, with what people want to know beside the figures.
+/// Result of a run.
 #[derive(Clone, Debug)]
-pub struct Outcome {
-    /// The figures.
+pub struct RunOutput {
+    /// Figures of the run.
     pub run: Run,
-    /// What the comparison with the stand-ins found.
-    pub found: Verdict,
-    /// What callers were told, in the order of the arrivals.
-    pub told: Vec<Told>,
+    /// Violations found by comparing callers with stand-ins.
+    pub verdict: Verdict,
+    /// Result of each request, in the order of the arrivals.
+    pub results: Vec<CallResult>,
 }
 
 /// Runs a plan under a policy.
 ///
 /// # Errors
-/// Fails when the system doesn't start, a fault can't be brought about, or the run is interrupted.
+/// Fails when the system doesn't start, a fault can't be injected, or the run is interrupted.
 pub fn run(
     plan: &Plan,
     faults: &Schedule,
@@ -71,93 +72,95 @@
     without: &[String],
     folder: &Path,
     interrupted: &AtomicBool,
-) -> anyhow::Result<Outcome> {
-    let place = Place::new(folder)?;
-    let choice = Choice {
+) -> anyhow::Result<RunOutput> {
+    let launcher = Launcher::new(folder)?;
+    let routing_options = RoutingOptions {
         routing: policy.routing(),
         without: without.to_vec(),
     };
-    let system = System::start(&place, plan, &choice).with_context(|| format!("start for {policy}"))?;
-    let balancer = Balancer::new(system.doors());
-    let (told, system) = play(plan, faults, system, &balancer, interrupted)?;
-    let dollars = system.fleet.cost();
+    let system = System::start(&launcher, plan, &routing_options).with_context(|| format!("start for {policy}"))?;
+    let balancer = Balancer::new(system.entry_addresses());
+    let (results, system) = drive(plan, faults, system, &balancer, interrupted)?;
+    let cost_dollars = system.fleet.cost();
     drop(system);
     ensure!(!interrupted.load(Ordering::Relaxed), "interrupted");
-    let seen = Seen::read(folder)?;
-    let found = seen.compare(&plan.arrivals, &told);
+    let log = ExecutionLog::read(folder)?;
+    let verdict = log.compare(&plan.arrivals, &results);
     let run = Run::new(
         &policy.to_string(),
         &plan.arrivals,
-        &told,
-        dollars,
-        seen.recomputed(),
-        &found,
+        &results,
+        cost_dollars,
+        log.recomputed(),
+        &verdict,
     );
-    Ok(Outcome { run, found, told })
+    Ok(RunOutput { run, verdict, results })
 }
 
-fn play(
+fn drive(
     plan: &Plan,
     faults: &Schedule,
     system: System,
     balancer: &Balancer,
     interrupted: &AtomicBool,
-) -> anyhow::Result<(Vec<Told>, System)> {
-    let done = AtomicBool::new(false);
+) -> anyhow::Result<(Vec<CallResult>, System)> {
+    let stop = AtomicBool::new(false);
     let caller = Caller::new(balancer, plan.model);
     let start = Instant::now();
     thread::scope(|scope| {
-        let done = &done;
-        let faults = scope.spawn(move || faults.run(system, start, done));
-        let watch = scope.spawn(|| balancer.watch(done));
-        let told = callers(scope, plan, &caller, start, interrupted);
-        done.store(true, Ordering::Relaxed);
-        let system = faults.join().expect("the thread of the faults does not panic")?;
-        watch.join().expect("the thread of the balancer does not panic");
-        Ok((told?, system))
+        let stop = &stop;
+        let fault_thread = scope.spawn(move || faults.run(system, start, stop));
+        let health_checks = scope.spawn(|| balancer.run_checks(stop));
+        let results = run_callers(scope, plan, &caller, start, interrupted);
+        stop.store(true, Ordering::Relaxed);
+        let system = fault_thread.join().expect("the thread of the faults does not panic")?;
+        health_checks.join().expect("the thread of the balancer does not panic");
+        Ok((results?, system))
     })
 }
 
-/// Starts a thread for each arrival when it is due, however long earlier ones wait.
-fn callers<'scope>(
+/// Starts a thread for each arrival when it is due, regardless of earlier requests that still wait (open loop).
+fn run_callers<'scope>(
     scope: &'scope thread::Scope<'scope, '_>,
     plan: &'scope Plan,
     caller: &'scope Caller<'_>,
     start: Instant,
     interrupted: &AtomicBool,
-) -> anyhow::Result<Vec<Told>> {
+) -> anyhow::Result<Vec<CallResult>> {
     let mut threads = Vec::with_capacity(plan.arrivals.len());
     for arrival in &plan.arrivals {
         let due = start + arrival.at;
         while Instant::now() < due && !interrupted.load(Ordering::Relaxed) {
-            thread::sleep(due.saturating_duration_since(Instant::now()).min(STEP));
+            thread::sleep(due.saturating_duration_since(Instant::now()).min(INTERRUPT_POLL));
         }
         if interrupted.load(Ordering::Relaxed) {
             break;
         }
-        let builder = thread::Builder::new().name("caller".to_owned()).stack_size(STACK);
+        let builder = thread::Builder::new()
+            .name("caller".to_owned())
+            .stack_size(CALLER_STACK_BYTES);
         let call = move || caller.call(arrival, due);
         threads.push(builder.spawn_scoped(scope, call).context("start a caller")?);
     }
-    let told = threads
+    let results = threads
         .into_iter()
         .map(|thread| thread.join().expect("a caller does not panic"));
-    Ok(told.collect())
+    Ok(results.collect())
 }
 
-/// Counts requests by what their callers were told, for people.
+/// Returns a line with the number of requests by outcome.
 #[must_use]
-pub fn summary(arrivals: &[Arrival], outcome: &Outcome) -> String {
-    let count = |kind: fn(&End) -> bool| outcome.told.iter().filter(|told| kind(&told.end)).count();
+pub fn summary(arrivals: &[Arrival], output: &RunOutput) -> String {
+    let count = |kind: fn(&Outcome) -> bool| output.results.iter().filter(|result| kind(&result.outcome)).count();
     format!(
         "{}: {} requests, {} whole, {} not run, {} unknown, {} wrong, {} cut, {} unreached",
-        outcome.run.policy,
+        output.run.policy,
         arrivals.len(),
-        count(|end| *end == End::Whole),
-        count(|end| *end == End::NotRun),
-        count(|end| *end == End::Unknown),
-        count(|end| matches!(end, End::Wrong(_))),
-        count(|end| matches!(end, End::Cut(_))),
-        count(|end| *end == End::Unreached),
+        count(|outcome| *outcome == Outcome::Complete),
+        count(|outcome| *outcome == Outcome::NotRun),
+        count(|outcome| *outcome == Outcome::Unknown),
+        count(|outcome| matches!(outcome, Outcome::Wrong(_))),
+        count(|outcome| matches!(outcome, Outcome::Broken(_))),
+        count(|outcome| *outcome == Outcome::Unreachable),
     )
 }
--- a/crates/load/src/trial/sse.rs
+++ b/crates/load/src/trial/sse.rs
@@ -1,46 +1,46 @@
-//! Reads a streamed answer.
+//! Reads streamed answers (server-sent events).
 
 use std::io::{BufRead, BufReader, Read};
 
 use derive_more::{Display, Error};
 use serde::Deserialize;
 
-/// Longest line that is read, in bytes; a stream without line ends must not fill the memory.
-pub const MAX_LINE: u64 = 256 * 1024;
+/// Longest line that is read, so that a stream without line ends can't exhaust memory.
+pub const MAX_LINE_BYTES: u64 = 256 * 1024;
 
-/// One event of a stream.
+/// An event of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The next token.
+    /// Text of the next token.
     Token(String),
-    /// The answer failed; whether it may have run is unknown.
+    /// The answer failed; whether the request ran is unknown.
     Failed,
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
 }
 
-/// Why a stream can't be read on.
+/// Why reading a stream failed.
 #[derive(Debug, Display, Error)]
 pub enum SseError {
-    /// The connection broke.
+    /// Reading from the connection failed.
     #[display("the connection broke: {_0}")]
     Broken(std::io::Error),
-    /// It ended before the answer did.
+    /// The stream ended before the answer was complete.
     #[display("the stream ended early")]
-    Early,
-    /// An event is not what the convention says.
+    EndedEarly,
+    /// An event does not follow the format of the API.
     #[display("an event can't be read")]
     Malformed,
 }
 
-/// A stream of events.
+/// Reads the events of a stream.
 #[derive(Debug)]
-pub struct Events<R> {
-    lines: BufReader<R>,
+pub struct EventReader<R> {
+    reader: BufReader<R>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Data {
+struct EventData {
     #[serde(default)]
     choices: Vec<Choice>,
     error: Option<serde_json::Value>,
@@ -57,21 +57,21 @@
     content: Option<String>,
 }
 
-impl<R: Read> Events<R> {
-    /// Reads events from a body.
+impl<R: Read> EventReader<R> {
+    /// Creates a reader of a response body.
     pub fn new(body: R) -> Self {
         Self {
-            lines: BufReader::new(body),
+            reader: BufReader::new(body),
         }
     }
 
-    /// Reads up to the next event that says something.
+    /// Returns the next event; skips comments and events without text.
     ///
     /// # Errors
-    /// Fails when the stream breaks, ends early or holds something else.
+    /// Fails when the stream breaks, ends early or is malformed.
     pub fn next_event(&mut self) -> Result<Event, SseError> {
         loop {
-            let line = self.line()?;
+            let line = self.read_line()?;
             let Some(data) = line.strip_prefix("data:") else {
                 continue;
             };
@@ -81,14 +81,14 @@
         }
     }
 
-    fn line(&mut self) -> Result<String, SseError> {
+    fn read_line(&mut self) -> Result<String, SseError> {
         let mut bytes = Vec::new();
-        let read = (&mut self.lines).take(MAX_LINE).read_until(b'\n', &mut bytes);
-        match read.map_err(SseError::Broken)? {
-            0 => Err(SseError::Early),
+        let result = (&mut self.reader).take(MAX_LINE_BYTES).read_until(b'\n', &mut bytes);
+        match result.map_err(SseError::Broken)? {
+            0 => Err(SseError::EndedEarly),
             _ if bytes.last() == Some(&b'\n') => String::from_utf8(bytes).map_err(|_bytes| SseError::Malformed),
-            count if count as u64 == MAX_LINE => Err(SseError::Malformed),
-            _ => Err(SseError::Early),
+            count if count as u64 == MAX_LINE_BYTES => Err(SseError::Malformed),
+            _ => Err(SseError::EndedEarly),
         }
     }
 }
@@ -97,7 +97,7 @@
     if data == "[DONE]" {
         return Ok(Some(Event::Done));
     }
-    let data: Data = serde_json::from_str(data).map_err(|_error| SseError::Malformed)?;
+    let data: EventData = serde_json::from_str(data).map_err(|_error| SseError::Malformed)?;
     if data.error.is_some() {
         return Ok(Some(Event::Failed));
     }
--- a/crates/load/src/trial/system.rs
+++ b/crates/load/src/trial/system.rs
@@ -1,4 +1,4 @@
-//! The system under trial: state group, entry hosts, capacity and the cloud stand-in, all as processes on loopback.
+//! The system of a trial: state nodes, entry hosts, capacity controller and cloud stand-in, as processes on loopback.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,25 +11,27 @@
 use ureq::Agent;
 
 use super::fleet::{Fleet, ZONES};
-use super::process::{Place, Process, free_address};
+use super::process::{Launcher, Process, free_address};
 use crate::workload::Plan;
 
 const OPERATOR_KEY: &str = "trial-operator-key-0001";
-const STATES: usize = 3;
+/// Number of state nodes.
+const STATE_NODES: usize = 3;
 /// Longest wait for a process to become ready or to stop.
-const PATIENCE: Duration = Duration::from_secs(15);
-const STEP: Duration = Duration::from_millis(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Pause between two attempts or checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How the system is set.
+/// Settings by which policies differ.
 #[derive(Clone, Debug)]
-pub struct Choice {
-    /// Value of `--routing`.
+pub struct RoutingOptions {
+    /// Value of `--routing` of the entry hosts.
     pub routing: &'static str,
-    /// Mechanisms that are switched off.
+    /// Mechanisms to switch off, for `--without`.
     pub without: Vec<String>,
 }
 
-/// An entry host.
+/// An entry host and its process.
 #[derive(Debug)]
 struct Entry {
     args: Vec<String>,
@@ -39,52 +41,58 @@
     stopping: bool,
 }
 
-/// Everything that runs.
+/// All processes of a trial.
 #[derive(Debug)]
 pub struct System {
-    place: Place,
+    launcher: Launcher,
     agent: Agent,
     admins: Vec<SocketAddr>,
     cloud: SocketAddr,
     entries: Vec<Entry>,
-    changes: u64,
-    /// Hosts with engines and services.
+    change_count: u64,
+    /// Engines and services.
     pub fleet: Fleet,
-    /// Kept only so that they are stopped when the system is dropped.
-    others: Vec<Process>,
+    /// Processes that are only kept so that dropping the system stops them.
+    kept_processes: Vec<Process>,
 }
 
 impl System {
-    /// Starts everything and waits until each entry host has the whole configuration.
+    /// Starts all processes and waits until each entry host has the complete configuration.
     ///
     /// # Errors
     /// Fails when a process doesn't start or become ready.
-    pub fn start(place: &Place, plan: &Plan, choice: &Choice) -> anyhow::Result<Self> {
-        let mut others = Vec::new();
-        let inner: Vec<SocketAddr> = (0..STATES).map(|_| free_address()).collect();
-        let admins: Vec<SocketAddr> = (0..STATES).map(|_| free_address()).collect();
-        let group = listed(&inner);
-        for at in 0..STATES {
-            others.push(start_state(place, at, &group, inner[at], admins[at])?);
+    pub fn start(launcher: &Launcher, plan: &Plan, routing_options: &RoutingOptions) -> anyhow::Result<Self> {
+        let mut kept_processes = Vec::new();
+        let internal: Vec<SocketAddr> = (0..STATE_NODES).map(|_| free_address()).collect();
+        let admins: Vec<SocketAddr> = (0..STATE_NODES).map(|_| free_address()).collect();
+        let state_peers = comma_separated(&internal);
+        for index in 0..STATE_NODES {
+            kept_processes.push(start_state(
+                launcher,
+                index,
+                &state_peers,
+                internal[index],
+                admins[index],
+            )?);
         }
-        let mut cloud = place.start("cloud", "gentian-standin", &args(&["cloud"]))?;
-        let fleet = Fleet::start(place, plan)?;
+        let mut cloud = launcher.start("cloud", "gentian-standin", &args(&["cloud"]))?;
+        let fleet = Fleet::start(launcher, plan)?;
         let cloud_address = cloud.address()?;
-        others.push(cloud);
+        kept_processes.push(cloud);
         let peers: Vec<SocketAddr> = (0..ZONES).map(|_| free_address()).collect();
         let mut system = Self {
-            place: place.clone(),
+            launcher: launcher.clone(),
             agent: agent(),
             admins,
             cloud: cloud_address,
-            entries: entries(&peers, &group, choice),
-            changes: 0,
+            entries: entries(&peers, &state_peers, routing_options),
+            change_count: 0,
             fleet,
-            others: Vec::new(),
+            kept_processes: Vec::new(),
         };
         system.register_all(&plan.contract)?;
-        for at in 0..system.entries.len() {
-            system.start_entry(at)?;
+        for index in 0..system.entries.len() {
+            system.start_entry(index)?;
         }
         let capacity = [
             "--node",
@@ -92,78 +100,78 @@
             "--cloud",
             &cloud_address.to_string(),
             "--state",
-            &group,
+            &state_peers,
             "--entries",
-            &listed(&peers),
+            &comma_separated(&peers),
         ];
-        others.push(place.start("capacity", "gentian-capacity", &args(&capacity))?);
-        system.others = others;
+        kept_processes.push(launcher.start("capacity", "gentian-capacity", &args(&capacity))?);
+        system.kept_processes = kept_processes;
         system.wait_ready()?;
         Ok(system)
     }
 
-    /// Gives the addresses for callers and for health checks of each entry host.
+    /// Returns the addresses for callers and for health checks of each entry host.
     #[must_use]
-    pub fn doors(&self) -> Vec<(SocketAddr, SocketAddr)> {
+    pub fn entry_addresses(&self) -> Vec<(SocketAddr, SocketAddr)> {
         self.entries.iter().map(|entry| (entry.callers, entry.ops)).collect()
     }
 
-    /// Announces that a zone's hosts will be taken away.
+    /// Announces the reclaim of all hosts in a zone.
     ///
     /// # Errors
     /// Fails when the cloud stand-in doesn't answer.
-    pub fn announce(&self, zone: &str, notice: Duration) -> anyhow::Result<()> {
+    pub fn announce_reclaim(&self, zone: &str, notice: Duration) -> anyhow::Result<()> {
         let body = json!({"zone": zone, "notice_ms": notice.as_millis() as u64});
         let url = format!("http://{}/_standin/reclaim", self.cloud);
         self.agent.post(url).send_json(body).context("announce a reclaim")?;
         Ok(())
     }
 
-    /// Brings a member back on a new host and registers it.
+    /// Restarts a member on a new host and registers it.
     ///
     /// # Errors
     /// Fails when the cloud or the state group refuses.
-    pub fn bring_back(&mut self, at: usize) -> anyhow::Result<()> {
-        let incarnation = self.start_host(at)?;
-        self.fleet.restart(at, incarnation)?;
-        self.register(at)
+    pub fn replace_member(&mut self, index: usize) -> anyhow::Result<()> {
+        let incarnation = self.start_host(index)?;
+        self.fleet.restart(index, incarnation)?;
+        self.register(index)
     }
 
-    /// Tells an entry host to stop; [`System::tend`] starts it again as soon as it has.
+    /// Sends SIGTERM to an entry host; [`System::restart_entries`] restarts it once it has exited.
     ///
     /// # Errors
-    /// Fails when it doesn't run.
-    pub fn stop_entry(&mut self, at: usize) -> anyhow::Result<()> {
-        let entry = &mut self.entries[at];
-        let process = entry.process.as_ref().context("an entry host that runs")?;
+    /// Fails when the entry host is not running.
+    pub fn stop_entry(&mut self, index: usize) -> anyhow::Result<()> {
+        let entry = &mut self.entries[index];
+        let process = entry.process.as_ref().context("the entry host is not running")?;
         process.signal(Signal::TERM)?;
         entry.stopping = true;
         Ok(())
     }
 
-    /// Starts entry hosts again that have stopped as they were told.
+    /// Restarts the entry hosts that have exited after [`System::stop_entry`].
     ///
     /// # Errors
-    /// Fails when one has not stopped cleanly.
-    pub fn tend(&mut self) -> anyhow::Result<()> {
-        for at in 0..self.entries.len() {
-            let entry = &mut self.entries[at];
+    /// Fails when one has exited with an error.
+    pub fn restart_entries(&mut self) -> anyhow::Result<()> {
+        for index in 0..self.entries.len() {
+            let entry = &mut self.entries[index];
             let stopping = entry.process.as_mut().filter(|_| entry.stopping);
-            let Some(status) = stopping.map_or(Ok(None), Process::ended)? else {
+            let Some(status) = stopping.map_or(Ok(None), Process::exit_status)? else {
                 continue;
             };
-            ensure!(status.success(), "entry host {} stopped with {status}", at + 1);
+            ensure!(status.success(), "entry host {} stopped with {status}", index + 1);
             entry.stopping = false;
-            self.start_entry(at)?;
+            self.start_entry(index)?;
         }
         Ok(())
     }
 
-    fn start_entry(&mut self, at: usize) -> anyhow::Result<()> {
-        let entry = &mut self.entries[at];
+    fn start_entry(&mut self, index: usize) -> anyhow::Result<()> {
+        let entry = &mut self.entries[index];
         entry.process = Some(
-            self.place
-                .start(&format!("entry-{}", at + 1), "gentian-entry", &entry.args)?,
+            self.launcher
+                .start(&format!("entry-{}", index + 1), "gentian-entry", &entry.args)?,
         );
         Ok(())
     }
@@ -171,72 +179,77 @@
     fn register_all(&mut self, contract: &Contract) -> anyhow::Result<()> {
         let name = contract.customer.to_string();
         self.put(&format!("contracts/{name}"), contract)?;
-        for at in 0..self.fleet.members.len() {
-            self.start_host(at)?;
-            self.register(at)?;
+        for index in 0..self.fleet.members.len() {
+            self.start_host(index)?;
+            self.register(index)?;
         }
         Ok(())
     }
 
-    fn start_host(&self, at: usize) -> anyhow::Result<u64> {
-        let host = &self.fleet.members[at].spec.host;
+    fn start_host(&self, index: usize) -> anyhow::Result<u64> {
+        let host = &self.fleet.members[index].spec.host;
         let body = json!({"id": host.id, "zone": host.zone, "class": host.class, "price": host.price});
         let url = format!("http://{}/v1/hosts", self.cloud);
-        let mut answer = self.agent.post(url).send_json(body).context("start a host")?;
-        let host: Value = answer.body_mut().read_json().context("start a host")?;
-        host["incarnation"].as_u64().context("the incarnation of a host")
+        let mut response = self.agent.post(url).send_json(body).context("start a host")?;
+        let host: Value = response.body_mut().read_json().context("start a host")?;
+        host["incarnation"]
+            .as_u64()
+            .context("the cloud returned no incarnation")
     }
 
-    fn register(&mut self, at: usize) -> anyhow::Result<()> {
-        let spec: UpstreamSpec = self.fleet.members[at].spec.clone();
+    fn register(&mut self, index: usize) -> anyhow::Result<()> {
+        let spec: UpstreamSpec = self.fleet.members[index].spec.clone();
         self.put(&format!("upstreams/{}", spec.id), &spec)
     }
 
-    /// Puts an item, asking one node after the other until one decides.
+    /// Writes an item through the administration API, trying the state nodes in turn until one commits it.
     fn put(&mut self, path: &str, item: &impl Serialize) -> anyhow::Result<()> {
-        self.changes += 1;
-        let id = format!("trial-{}", self.changes);
-        let until = Instant::now() + PATIENCE;
-        let mut last = String::new();
-        while Instant::now() < until {
+        self.change_count += 1;
+        let id = format!("trial-{}", self.change_count);
+        let deadline = Instant::now() + READY_TIMEOUT;
+        let mut last_error = String::new();
+        while Instant::now() < deadline {
             for admin in &self.admins {
-                let answer = self
+                let response = self
                     .agent
                     .put(format!("http://{admin}/v1/{path}"))
                     .header("Authorization", format!("Bearer {OPERATOR_KEY}"))
                     .header("Change-Id", &id)
                     .send_json(item);
-                match answer {
+                match response {
                     Ok(_) => return Ok(()),
                     Err(ureq::Error::StatusCode(status)) if status != 503 => {
                         bail!("put {path} at {admin}: status {status}")
                     }
-                    Err(error) => last = error.to_string(),
+                    Err(error) => last_error = error.to_string(),
                 }
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        bail!("put {path}: no node decided it: {last}")
+        bail!("put {path}: no state node committed it: {last_error}")
     }
 
     fn wait_ready(&mut self) -> anyhow::Result<()> {
-        let until = Instant::now() + PATIENCE;
-        for at in 0..self.entries.len() {
-            let ops = self.entries[at].ops;
-            while self.revision(ops).is_none_or(|revision| revision < self.changes) {
-                let ended = self.entries[at].process.as_mut().map_or(Ok(None), Process::ended)?;
-                if let Some(status) = ended {
-                    bail!("entry host {} ended with {status}; its log says why", at + 1);
+        let deadline = Instant::now() + READY_TIMEOUT;
+        for index in 0..self.entries.len() {
+            let ops = self.entries[index].ops;
+            while self.revision(ops).is_none_or(|revision| revision < self.change_count) {
+                let exit_status = self.entries[index]
+                    .process
+                    .as_mut()
+                    .map_or(Ok(None), Process::exit_status)?;
+                if let Some(status) = exit_status {
+                    bail!("entry host {} ended with {status}; its log says why", index + 1);
                 }
                 ensure!(
-                    Instant::now() < until,
-                    "entry host {} has no whole configuration",
-                    at + 1
+                    Instant::now() < deadline,
+                    "entry host {} has no complete configuration",
+                    index + 1
                 );
-                std::thread::sleep(STEP);
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
-        // Load reports come a few times a second; the first ones are part of the start.
+        // Load reports arrive a few times a second; waits for the first ones.
         std::thread::sleep(Duration::from_millis(500));
         Ok(())
     }
@@ -251,17 +264,23 @@
     }
 }
 
-fn start_state(place: &Place, at: usize, group: &str, inner: SocketAddr, admin: SocketAddr) -> anyhow::Result<Process> {
-    let name = format!("state-{}", at + 1);
-    let data = place.file(&name).display().to_string();
-    let (inner, admin) = (inner.to_string(), admin.to_string());
+fn start_state(
+    launcher: &Launcher,
+    index: usize,
+    state_peers: &str,
+    internal: SocketAddr,
+    admin: SocketAddr,
+) -> anyhow::Result<Process> {
+    let name = format!("state-{}", index + 1);
+    let data = launcher.file(&name).display().to_string();
+    let (internal, admin) = (internal.to_string(), admin.to_string());
     let flags = [
         "--node",
         &name,
         "--peers",
-        group,
+        state_peers,
         "--listen",
-        &inner,
+        &internal,
         "--admin",
         &admin,
         "--data",
@@ -269,33 +288,33 @@
         "--operator-key",
         OPERATOR_KEY,
     ];
-    place.start(&name, "gentian-state", &args(&flags))
+    launcher.start(&name, "gentian-state", &args(&flags))
 }
 
-fn entries(peers: &[SocketAddr], group: &str, choice: &Choice) -> Vec<Entry> {
-    let all = listed(peers);
-    let rows = peers.iter().enumerate().map(|(at, inner)| {
+fn entries(peers: &[SocketAddr], state_peers: &str, routing_options: &RoutingOptions) -> Vec<Entry> {
+    let all_peers = comma_separated(peers);
+    let entries = peers.iter().enumerate().map(|(index, internal)| {
         let (callers, ops) = (free_address(), free_address());
         let mut flags = args(&[
             "--node",
-            &format!("entry-{}", at + 1),
+            &format!("entry-{}", index + 1),
             "--data-center",
-            &format!("dc-{}", at + 1),
+            &format!("dc-{}", index + 1),
             "--listen",
             &callers.to_string(),
             "--ops",
             &ops.to_string(),
             "--inner",
-            &inner.to_string(),
+            &internal.to_string(),
             "--state",
-            group,
+            state_peers,
             "--peers",
-            &all,
+            &all_peers,
             "--routing",
-            choice.routing,
+            routing_options.routing,
         ]);
-        if !choice.without.is_empty() {
-            flags.extend(args(&["--without", &choice.without.join(",")]));
+        if !routing_options.without.is_empty() {
+            flags.extend(args(&["--without", &routing_options.without.join(",")]));
         }
         Entry {
             args: flags,
@@ -305,7 +324,7 @@
             stopping: false,
         }
     });
-    rows.collect()
+    entries.collect()
 }
 
 fn agent() -> Agent {
@@ -321,7 +340,7 @@
     flags.iter().map(|flag| (*flag).to_owned()).collect()
 }
 
-fn listed(addresses: &[SocketAddr]) -> String {
+fn comma_separated(addresses: &[SocketAddr]) -> String {
     let texts: Vec<String> = addresses.iter().map(ToString::to_string).collect();
     texts.join(",")
 }
--- a/crates/load/src/workload/counter.rs
+++ b/crates/load/src/workload/counter.rs
@@ -1,74 +1,81 @@
-//! The jewellers' counter: long consultations, aftercare, stock lookups, deposits and bookings.
+//! Workload of a jeweller: long consultations, aftercare questions, stock lookups, deposits and bookings.
 
 use contract::Repeat;
 
-use super::text::{Talk, class, contract, to_model, to_service};
-use super::{Call, Draw, Plan, Promise};
+use super::text::{ConversationShape, class, contract, match_model, match_service};
+use super::{Call, LatencyTargets, Plan, PlanGenerator};
 
 const MODEL: &str = "counter-1";
 const TILL: &str = "till";
-const SHORT: u64 = 128;
-const CONSULTATION: Promise = Promise::chat(1_100, 66, 8_000);
-const AFTERCARE: Promise = Promise::chat(600, 66, 4_000);
-const LOOKUP: Promise = Promise::service(500);
-const DEPOSIT: Promise = Promise::service(5_000);
+/// Longest prompt of the class of short chats.
+const SHORT_PROMPT_TOKENS: u64 = 128;
+const CONSULTATION: LatencyTargets = LatencyTargets::chat(1_100, 66, 8_000);
+const AFTERCARE: LatencyTargets = LatencyTargets::chat(600, 66, 4_000);
+const LOOKUP: LatencyTargets = LatencyTargets::service(500);
+const DEPOSIT: LatencyTargets = LatencyTargets::service(5_000);
 
-pub(super) fn plan(draw: &mut Draw) -> Plan {
-    let consultation = Talk {
-        shared: 192,
-        variants: 3,
+pub(super) fn plan(generator: &mut PlanGenerator) -> Plan {
+    let consultation = ConversationShape {
+        instruction_words: 192,
+        instruction_variants: 3,
         turns: (4, 8),
-        words: (60, 140),
-        tokens: (24, 48),
-        pause: (1_000, 1_800),
-        promise: CONSULTATION,
+        question_words: (60, 140),
+        answer_tokens: (24, 48),
+        pause_ms: (1_000, 1_800),
+        targets: CONSULTATION,
     };
-    let aftercare = Talk {
-        shared: 48,
-        variants: 2,
+    let aftercare = ConversationShape {
+        instruction_words: 48,
+        instruction_variants: 2,
         turns: (1, 1),
-        words: (16, 64),
-        tokens: (16, 32),
-        pause: (1, 2),
-        promise: AFTERCARE,
+        question_words: (16, 64),
+        answer_tokens: (16, 32),
+        pause_ms: (1, 2),
+        targets: AFTERCARE,
     };
     let mut arrivals = Vec::new();
-    for at in draw.times(0.5 / consultation.mean_turns()) {
-        arrivals.extend(draw.talk(at, &consultation));
+    for at in generator.arrival_times(0.5 / consultation.mean_turns()) {
+        arrivals.extend(generator.conversation(at, &consultation));
     }
-    for at in draw.times(0.2) {
-        arrivals.extend(draw.talk(at, &aftercare));
+    for at in generator.arrival_times(0.2) {
+        arrivals.extend(generator.conversation(at, &aftercare));
     }
-    for at in draw.times(0.2) {
-        let path = format!("/stock/item-{}", draw.number());
+    for at in generator.arrival_times(0.2) {
+        let path = format!("/stock/item-{}", generator.unique_number());
         let call = Call::Lookup { service: TILL, path };
-        let account = draw.account();
-        arrivals.push(draw.arrival(at, account, call, LOOKUP));
+        let account = generator.random_account();
+        arrivals.push(generator.arrival(at, account, call, LOOKUP));
     }
     for (path, share) in [("/deposits", 0.05), ("/bookings", 0.03)] {
-        for at in draw.times(share) {
-            let key = draw.key("till");
-            let call = Call::Once {
+        for at in generator.arrival_times(share) {
+            let key = generator.idempotency_key("till");
+            let call = Call::Write {
                 service: TILL,
                 path,
                 key,
             };
-            arrivals.extend(draw.once(at, &call, DEPOSIT));
+            arrivals.extend(generator.retried_call(at, &call, DEPOSIT));
         }
     }
     let classes = vec![
-        class("deposit", to_service(TILL, "POST"), DEPOSIT, Repeat::AtMostOnce, 0),
-        class("stock-lookup", to_service(TILL, "GET"), LOOKUP, Repeat::Idempotent, 1),
+        class("deposit", match_service(TILL, "POST"), DEPOSIT, Repeat::AtMostOnce, 0),
+        class(
+            "stock-lookup",
+            match_service(TILL, "GET"),
+            LOOKUP,
+            Repeat::Idempotent,
+            1,
+        ),
         class(
             "aftercare",
-            to_model(MODEL, Some(SHORT)),
+            match_model(MODEL, Some(SHORT_PROMPT_TOKENS)),
             AFTERCARE,
             Repeat::Idempotent,
             0,
         ),
         class(
             "consultation",
-            to_model(MODEL, None),
+            match_model(MODEL, None),
             CONSULTATION,
             Repeat::Idempotent,
             2,
--- a/crates/load/src/workload/mod.rs
+++ b/crates/load/src/workload/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded workloads: every arrival with its time, its caller and the right answer, fixed before anything runs.
+//! Seeded workloads: every arrival with its time, client account and expected answer, fixed before the run starts.
 
 mod counter;
 mod tents;
@@ -13,10 +13,10 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// Shares of the requests that each account makes; a few are large.
-const ACCOUNTS: [f64; 5] = [0.42, 0.30, 0.14, 0.09, 0.05];
+/// Share of the requests of each client account; a few accounts are large.
+const ACCOUNT_SHARES: [f64; 5] = [0.42, 0.30, 0.14, 0.09, 0.05];
 
-/// Whose workload it is.
+/// The customer whose traffic is modelled.
 #[derive(Clone, Copy, Debug, Display, FromStr, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
@@ -30,7 +30,7 @@
 }
 
 impl Workload {
-    /// Gives the requests a second under which the fleet of a trial is busy but not overrun.
+    /// Returns the default rate in requests a second, which keeps the fleet of a trial busy but not overloaded.
     #[must_use]
     pub const fn usual_rate(self) -> f64 {
         match self {
@@ -43,97 +43,97 @@
 /// One request that a caller makes at a fixed time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Time since the start.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Which account makes it.
+    /// Index of the client account that sends it.
     pub account: usize,
-    /// Which entry host the balancer would give it.
+    /// Entry host that the balancer tries first, taken modulo the number of entry hosts.
     pub entry: usize,
-    /// What is asked.
+    /// Request to send.
     pub call: Call,
-    /// What the contract promises for it.
-    pub promise: Promise,
+    /// Latency targets of its class in the contract.
+    pub targets: LatencyTargets,
 }
 
-/// What is asked.
+/// A request to a model or a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// A streamed chat completion.
     Chat {
-        /// Role and content of each message.
+        /// Role and content of each message, oldest first.
         messages: Vec<(String, String)>,
-        /// Tokens of the answer.
+        /// Number of tokens to generate.
         tokens: u64,
     },
     /// A lookup at a service.
     Lookup {
-        /// The service.
+        /// Name of the service.
         service: &'static str,
-        /// The path, which no other arrival has.
+        /// Path, which is unique to the arrival.
         path: String,
     },
-    /// A call that may run once only.
-    Once {
-        /// The service.
+    /// A call that may run at most once.
+    Write {
+        /// Name of the service.
         service: &'static str,
-        /// The path.
+        /// Path below the service.
         path: &'static str,
-        /// The idempotency key; a resend has the same one.
+        /// Idempotency key, which a retry repeats.
         key: String,
     },
 }
 
-/// When an answer is on time; all counted from the arrival's own time.
+/// Latency targets; times count from the scheduled arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Promise {
-    /// Until the first token.
-    pub first: Option<Duration>,
-    /// Between tokens, for 95 of 100.
-    pub between: Option<Duration>,
-    /// Until the whole answer.
-    pub whole: Duration,
+pub struct LatencyTargets {
+    /// Time to the first token; absent for services.
+    pub first_token: Option<Duration>,
+    /// 95th percentile of the gaps between tokens; absent for services.
+    pub token_gap: Option<Duration>,
+    /// Time to the complete answer.
+    pub total: Duration,
 }
 
-/// Everything that callers will do.
+/// All requests of a run and what they need.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The contract under which they do it.
+    /// Contract of the customer.
     pub contract: Contract,
-    /// The model.
+    /// Model that chats are sent to.
     pub model: &'static str,
-    /// Services with the number of their replicas.
+    /// Each service with its number of replicas.
     pub services: &'static [(&'static str, usize)],
-    /// Arrivals in order of time.
+    /// Arrivals, ordered by time.
     pub arrivals: Vec<Arrival>,
 }
 
-/// How much of it.
+/// Parameters of a plan.
 #[derive(Clone, Copy, Debug)]
-pub struct Extent {
-    /// Seed of everything random.
+pub struct PlanOptions {
+    /// Seed of all random choices.
     pub seed: u64,
     /// Time in which requests arrive.
     pub duration: Duration,
-    /// Requests a second.
+    /// Mean rate of requests a second, without retries.
     pub rate: f64,
 }
 
 impl Plan {
-    /// Makes the plan of a workload; the same extent gives the same plan.
+    /// Generates the plan of a workload; the same options give the same plan.
     #[must_use]
-    pub fn new(workload: Workload, extent: &Extent) -> Self {
-        let mut draw = Draw::new(extent);
+    pub fn new(workload: Workload, options: &PlanOptions) -> Self {
+        let mut generator = PlanGenerator::new(options);
         let mut plan = match workload {
-            Workload::TanSengHuat => counter::plan(&mut draw),
-            Workload::Mwangaza => tents::plan(&mut draw),
+            Workload::TanSengHuat => counter::plan(&mut generator),
+            Workload::Mwangaza => tents::plan(&mut generator),
         };
-        plan.arrivals.retain(|arrival| arrival.at < extent.duration);
+        plan.arrivals.retain(|arrival| arrival.at < options.duration);
         plan.arrivals.sort_by_key(|arrival| arrival.at);
         plan
     }
 }
 
-/// Gives the bearer key of an account.
+/// Returns the bearer key of a client account.
 #[must_use]
 pub fn bearer_key(account: usize) -> String {
     format!("trial-key-{account}")
@@ -143,131 +143,132 @@
     KeyHash::of(&bearer_key(account))
 }
 
-/// Random choices of a plan.
-struct Draw {
+/// Generates the arrivals of a plan from a seed.
+struct PlanGenerator {
     rng: ChaCha8Rng,
-    extent: Extent,
-    count: u64,
+    options: PlanOptions,
+    used_numbers: u64,
 }
 
-impl Draw {
-    fn new(extent: &Extent) -> Self {
+impl PlanGenerator {
+    fn new(options: &PlanOptions) -> Self {
         Self {
-            rng: ChaCha8Rng::seed_from_u64(extent.seed),
-            extent: *extent,
-            count: 0,
+            rng: ChaCha8Rng::seed_from_u64(options.seed),
+            options: *options,
+            used_numbers: 0,
         }
     }
 
-    /// Gives the times of independent arrivals at a share of the rate.
-    fn times(&mut self, share: f64) -> Vec<Duration> {
-        let rate = self.extent.rate * share;
-        let end = self.extent.duration.as_secs_f64();
+    /// Returns the times of a Poisson process at a share of the rate.
+    fn arrival_times(&mut self, share: f64) -> Vec<Duration> {
+        let rate = self.options.rate * share;
+        let end_s = self.options.duration.as_secs_f64();
         let mut times = Vec::new();
-        let mut at = self.pause(rate);
-        while at < end {
+        let mut at = self.interarrival(rate);
+        while at < end_s {
             times.push(Duration::from_secs_f64(at));
-            at += self.pause(rate);
+            at += self.interarrival(rate);
         }
         times
     }
 
-    fn pause(&mut self, rate: f64) -> f64 {
-        let part: f64 = self.rng.random();
-        -(1.0 - part).ln() / rate.max(1e-6)
+    fn interarrival(&mut self, rate: f64) -> f64 {
+        let fraction: f64 = self.rng.random();
+        -(1.0 - fraction).ln() / rate.max(1e-6)
     }
 
-    fn within(&mut self, from_ms: u64, to_ms: u64) -> Duration {
+    fn random_duration(&mut self, from_ms: u64, to_ms: u64) -> Duration {
         Duration::from_millis(self.rng.random_range(from_ms..to_ms))
     }
 
-    fn account(&mut self) -> usize {
-        let mut part: f64 = self.rng.random();
-        for (account, share) in ACCOUNTS.iter().enumerate() {
-            if part < *share {
+    fn random_account(&mut self) -> usize {
+        let mut fraction: f64 = self.rng.random();
+        for (account, share) in ACCOUNT_SHARES.iter().enumerate() {
+            if fraction < *share {
                 return account;
             }
-            part -= share;
+            fraction -= share;
         }
         0
     }
 
-    /// Gives an idempotency key that no other call of this plan and no plan of another seed gets.
-    fn key(&mut self, kind: &str) -> String {
-        let number = self.number();
-        format!("{kind}-{}-{number}", self.extent.seed)
+    /// Returns an idempotency key that is unique over the plans of all seeds.
+    fn idempotency_key(&mut self, kind: &str) -> String {
+        let number = self.unique_number();
+        format!("{kind}-{}-{number}", self.options.seed)
     }
 
-    /// Gives a number that no other call of the plan gets.
-    fn number(&mut self) -> u64 {
-        self.count += 1;
-        self.count
+    /// Returns a number that is unique in the plan.
+    fn unique_number(&mut self) -> u64 {
+        self.used_numbers += 1;
+        self.used_numbers
     }
 
-    fn arrival(&mut self, at: Duration, account: usize, call: Call, promise: Promise) -> Arrival {
+    fn arrival(&mut self, at: Duration, account: usize, call: Call, targets: LatencyTargets) -> Arrival {
         let entry = self.rng.random_range(0..1 << 16);
         Arrival {
             at,
             account,
             entry,
             call,
-            promise,
+            targets,
         }
     }
 
-    /// Gives a call that runs once and, for one in four, its resend under the same key through another entry host.
-    fn once(&mut self, at: Duration, call: &Call, promise: Promise) -> Vec<Arrival> {
-        let account = self.account();
-        let first = self.arrival(at, account, call.clone(), promise);
+    /// Returns a call that may run at most once and, for one in four, its retry with the same key through another entry
+    /// host.
+    fn retried_call(&mut self, at: Duration, call: &Call, targets: LatencyTargets) -> Vec<Arrival> {
+        let account = self.random_account();
+        let first = self.arrival(at, account, call.clone(), targets);
         let mut arrivals = vec![first];
         if self.rng.random_bool(0.25) {
-            let later = at + self.within(1, 600);
-            arrivals.push(self.arrival(later, account, call.clone(), promise));
+            let retry_at = at + self.random_duration(1, 600);
+            arrivals.push(self.arrival(retry_at, account, call.clone(), targets));
         }
         arrivals
     }
 }
 
-impl Promise {
+impl LatencyTargets {
     const fn chat(first_ms: u64, between_ms: u64, whole_ms: u64) -> Self {
         Self {
-            first: Some(Duration::from_millis(first_ms)),
-            between: Some(Duration::from_millis(between_ms)),
-            whole: Duration::from_millis(whole_ms),
+            first_token: Some(Duration::from_millis(first_ms)),
+            token_gap: Some(Duration::from_millis(between_ms)),
+            total: Duration::from_millis(whole_ms),
         }
     }
 
     const fn service(whole_ms: u64) -> Self {
         Self {
-            first: None,
-            between: None,
-            whole: Duration::from_millis(whole_ms),
+            first_token: None,
+            token_gap: None,
+            total: Duration::from_millis(whole_ms),
         }
     }
 
-    fn targets(&self) -> contract::Targets {
+    fn contract_targets(&self) -> contract::Targets {
         let ms = |time: Duration| time.as_millis() as u64;
         contract::Targets {
-            first_token_ms: self.first.map(ms),
-            between_tokens_ms: self.between.map(ms),
-            whole_answer_ms: ms(self.whole),
+            first_token_ms: self.first_token.map(ms),
+            between_tokens_ms: self.token_gap.map(ms),
+            whole_answer_ms: ms(self.total),
         }
     }
 }
 
 impl Arrival {
-    /// Gives the whole answer that is right for a chat, and nothing for other calls.
+    /// Returns the expected answer of a chat; empty for other calls.
     #[must_use]
-    pub fn right_text(&self) -> String {
+    pub fn expected_text(&self) -> String {
         match &self.call {
-            Call::Chat { messages, tokens } => text::right_answer(messages, *tokens),
-            Call::Lookup { .. } | Call::Once { .. } => String::new(),
+            Call::Chat { messages, tokens } => text::expected_answer(messages, *tokens),
+            Call::Lookup { .. } | Call::Write { .. } => String::new(),
         }
     }
 }
 
 impl Call {
-    /// Gives a short text for people.
+    /// Returns a short description for reports.
     #[must_use]
     pub fn label(&self) -> String {
         match self {
@@ -276,7 +277,7 @@
                 format!("chat of {words} words for {tokens} tokens")
             }
             Self::Lookup { path, .. } => path.clone(),
-            Self::Once { key, .. } => key.clone(),
+            Self::Write { key, .. } => key.clone(),
         }
     }
 }
--- a/crates/load/src/workload/text.rs
+++ b/crates/load/src/workload/text.rs
@@ -1,74 +1,75 @@
-//! Words, conversations and what contracts of trials share.
+//! Conversations, and helpers for the contracts of all workloads.
 
 use contract::{Account, AccountName, Class, ClassName, Contract, CustomerId, Limits, Matcher, Repeat};
 use rand::Rng;
 
-use super::{ACCOUNTS, Arrival, Call, Draw, Promise, key_hash};
+use super::{ACCOUNT_SHARES, Arrival, Call, LatencyTargets, PlanGenerator, key_hash};
 
-/// How conversations go.
-pub(super) struct Talk {
-    /// Instructions that several conversations share, in words.
-    pub(super) shared: usize,
-    /// Different instructions.
-    pub(super) variants: u64,
-    /// Turns, least and most.
+/// Shape of the conversations of one kind.
+pub(super) struct ConversationShape {
+    /// Length of the system prompt, which several conversations share, in words.
+    pub(super) instruction_words: usize,
+    /// Number of different system prompts.
+    pub(super) instruction_variants: u64,
+    /// Fewest and most turns.
     pub(super) turns: (u64, u64),
-    /// Words of a question, least and most.
-    pub(super) words: (usize, usize),
-    /// Tokens of an answer, least and most.
-    pub(super) tokens: (u64, u64),
-    /// Milliseconds from one turn to the next, least and most.
-    pub(super) pause: (u64, u64),
-    /// What is promised.
-    pub(super) promise: Promise,
+    /// Fewest and most words of a question.
+    pub(super) question_words: (usize, usize),
+    /// Fewest and most tokens of an answer.
+    pub(super) answer_tokens: (u64, u64),
+    /// Shortest and longest time from one turn to the next, in milliseconds.
+    pub(super) pause_ms: (u64, u64),
+    /// Latency targets of each turn.
+    pub(super) targets: LatencyTargets,
 }
 
-impl Talk {
-    /// Gives the mean number of turns.
+impl ConversationShape {
+    /// Returns the mean number of turns.
     pub(super) fn mean_turns(&self) -> f64 {
         (self.turns.0 + self.turns.1) as f64 / 2.0
     }
 }
 
-impl Draw {
-    /// Gives a text whose words depend on the number and the draw alone.
-    fn words(&mut self, count: usize) -> String {
+impl PlanGenerator {
+    /// Returns a text of random words.
+    fn random_words(&mut self, count: usize) -> String {
         let words: Vec<String> = (0..count)
             .map(|_| format!("{:04x}", self.rng.random::<u16>()))
             .collect();
         words.join(" ")
     }
 
-    /// Gives the turns of a conversation that begins at a time.
+    /// Returns the turns of a conversation that starts at a given time.
     ///
-    /// An answer is a function of its prompt, so that later turns can hold it before it was made.
-    pub(super) fn talk(&mut self, at: std::time::Duration, talk: &Talk) -> Vec<Arrival> {
-        let account = self.account();
-        let variant = self.rng.random_range(0..talk.variants);
-        let mut messages = vec![("system".to_owned(), instructions(variant, talk.shared))];
+    /// Later turns contain the answers to earlier ones, which are known in advance because an answer is a function of
+    /// its prompt.
+    pub(super) fn conversation(&mut self, at: std::time::Duration, shape: &ConversationShape) -> Vec<Arrival> {
+        let account = self.random_account();
+        let variant = self.rng.random_range(0..shape.instruction_variants);
+        let mut messages = vec![("system".to_owned(), instructions(variant, shape.instruction_words))];
         let mut arrivals = Vec::new();
         let mut at = at;
-        for _ in 0..self.rng.random_range(talk.turns.0..=talk.turns.1) {
-            let count = self.rng.random_range(talk.words.0..=talk.words.1);
-            messages.push(("user".to_owned(), self.words(count)));
-            let tokens = self.rng.random_range(talk.tokens.0..=talk.tokens.1);
+        for _ in 0..self.rng.random_range(shape.turns.0..=shape.turns.1) {
+            let count = self.rng.random_range(shape.question_words.0..=shape.question_words.1);
+            messages.push(("user".to_owned(), self.random_words(count)));
+            let tokens = self.rng.random_range(shape.answer_tokens.0..=shape.answer_tokens.1);
             let call = Call::Chat {
                 messages: messages.clone(),
                 tokens,
             };
-            arrivals.push(self.arrival(at, account, call, talk.promise));
-            messages.push(("assistant".to_owned(), right_answer(&messages, tokens)));
-            at += self.within(talk.pause.0, talk.pause.1);
+            arrivals.push(self.arrival(at, account, call, shape.targets));
+            messages.push(("assistant".to_owned(), expected_answer(&messages, tokens)));
+            at += self.random_duration(shape.pause_ms.0, shape.pause_ms.1);
         }
         arrivals
     }
 }
 
-/// Gives the answer that an engine makes from a prompt.
-pub(crate) fn right_answer(messages: &[(String, String)], tokens: u64) -> String {
-    let (prompt, begun) = standin::engine::continuation(messages, false);
-    (begun..tokens)
-        .map(|position| standin::engine::token(prompt, position))
+/// Returns the answer that a stand-in engine generates for a prompt.
+pub(crate) fn expected_answer(messages: &[(String, String)], tokens: u64) -> String {
+    let (prompt_id, start) = standin::engine::continuation(messages, false);
+    (start..tokens)
+        .map(|position| standin::engine::token(prompt_id, position))
         .collect()
 }
 
@@ -77,9 +78,9 @@
     words.join(" ")
 }
 
-/// Makes a contract whose limits are not what a trial measures.
+/// Returns a contract with limits too high to affect a trial.
 pub(super) fn contract(customer: &str, classes: Vec<Class>) -> Contract {
-    let accounts = (0..ACCOUNTS.len()).map(|account| Account {
+    let accounts = (0..ACCOUNT_SHARES.len()).map(|account| Account {
         name: AccountName::from(format!("account-{account}")),
         key_hash: key_hash(account),
     });
@@ -96,19 +97,19 @@
     }
 }
 
-/// Makes a class.
-pub(super) fn class(name: &str, matches: Matcher, promise: Promise, repeat: Repeat, shed: u8) -> Class {
+/// Returns a request class.
+pub(super) fn class(name: &str, matches: Matcher, targets: LatencyTargets, repeat: Repeat, shed: u8) -> Class {
     Class {
         name: ClassName::from(name),
         matches,
-        targets: promise.targets(),
+        targets: targets.contract_targets(),
         repeat,
         shed,
     }
 }
 
-/// Matches calls to a service.
-pub(super) fn to_service(service: &str, method: &str) -> Matcher {
+/// Returns a matcher for calls to a service.
+pub(super) fn match_service(service: &str, method: &str) -> Matcher {
     Matcher {
         service: Some(service.into()),
         method: Some(method.to_owned()),
@@ -116,8 +117,8 @@
     }
 }
 
-/// Matches questions to a model.
-pub(super) fn to_model(model: &str, prompt_up_to: Option<u64>) -> Matcher {
+/// Returns a matcher for chats with a model.
+pub(super) fn match_model(model: &str, prompt_up_to: Option<u64>) -> Matcher {
     Matcher {
         model: Some(model.into()),
         prompt_up_to,
--- a/crates/load/tests/plan_seeds.rs
+++ b/crates/load/tests/plan_seeds.rs
@@ -1,18 +1,18 @@
-//! Plans of arrivals.
+//! Generated plans: seeds, targets, conversations and retries.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
 use contract::Request;
-use load::workload::{Arrival, Call, Extent, Plan, Workload};
+use load::workload::{Arrival, Call, Plan, PlanOptions, Workload};
 
-const BOTH: [Workload; 2] = [Workload::TanSengHuat, Workload::Mwangaza];
+const WORKLOADS: [Workload; 2] = [Workload::TanSengHuat, Workload::Mwangaza];
 
 fn plan(workload: Workload, seed: u64) -> Plan {
     let duration = Duration::from_secs(20);
     Plan::new(
         workload,
-        &Extent {
+        &PlanOptions {
             seed,
             duration,
             rate: 80.0,
@@ -20,37 +20,39 @@
     )
 }
 
+/// Policies would be compared on different arrivals if the seed did not determine the plan.
 #[test]
-fn seed_decides() {
-    for workload in BOTH {
+fn seed_determines() {
+    for workload in WORKLOADS {
         assert_eq!(plan(workload, 3).arrivals, plan(workload, 3).arrivals);
         assert_ne!(plan(workload, 3).arrivals, plan(workload, 4).arrivals);
     }
 }
 
+/// An answer would be measured against targets that the system does not aim for if those of the arrival differed from
+/// those of its class in the contract.
 #[test]
-fn contract_agrees() {
-    // The promise that an arrival is measured against is the target of the class that the contract gives it.
-    for workload in BOTH {
+fn targets_match() {
+    for workload in WORKLOADS {
         let plan = plan(workload, 1);
         plan.contract.validate().expect("a valid contract");
         for arrival in &plan.arrivals {
-            let class = plan.contract.class_of(&asked(arrival, plan.model)).expect("a class");
+            let class = plan.contract.class_of(&request(arrival, plan.model)).expect("a class");
             let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap();
-            assert_eq!(class.targets.first_token_ms, arrival.promise.first.map(ms));
-            assert!(ms(arrival.promise.whole) <= class.targets.whole_answer_ms);
+            assert_eq!(class.targets.first_token_ms, arrival.targets.first_token.map(ms));
+            assert!(ms(arrival.targets.total) <= class.targets.whole_answer_ms);
         }
     }
 }
 
-fn asked<'a>(arrival: &'a Arrival, model: &'a str) -> Request<'a> {
+fn request<'a>(arrival: &'a Arrival, model: &'a str) -> Request<'a> {
     let (service, method, model, words) = match &arrival.call {
         Call::Chat { messages, .. } => {
             let words = messages.iter().map(|(_, text)| text.split_whitespace().count() as u64);
             (None, "POST", Some(model), words.sum())
         }
         Call::Lookup { service, .. } => (Some(*service), "GET", None, 0),
-        Call::Once { service, .. } => (Some(*service), "POST", None, 0),
+        Call::Write { service, .. } => (Some(*service), "POST", None, 0),
     };
     Request {
         service,
@@ -61,9 +63,9 @@
     }
 }
 
+/// A prefix cache would find nothing if a turn did not contain the one before with its expected answer.
 #[test]
 fn turns_extend() {
-    // Each turn holds the one before with its right answer, so that a prefix cache has something to find.
     let plan = plan(Workload::TanSengHuat, 1);
     let chats: Vec<&Vec<(String, String)>> = plan
         .arrivals
@@ -74,7 +76,7 @@
         })
         .collect();
     assert!(chats.len() > 100);
-    let known: HashSet<&[(String, String)]> = plan
+    let prompts: HashSet<&[(String, String)]> = plan
         .arrivals
         .iter()
         .filter_map(|arrival| match &arrival.call {
@@ -83,20 +85,20 @@
         })
         .collect();
     for messages in chats {
-        assert!(known.contains(&messages[..messages.len() - 2]));
+        assert!(prompts.contains(&messages[..messages.len() - 2]));
     }
 }
 
+/// At-most-once execution would go untested if no call was retried with its key, or if two calls shared one.
 #[test]
-fn resends_share() {
-    // Some deposits are sent again under the same key, and no key serves two calls.
-    for workload in BOTH {
+fn retries_share_keys() {
+    for workload in WORKLOADS {
         let plan = plan(workload, 2);
         let keys: Vec<&str> = plan
             .arrivals
             .iter()
             .filter_map(|arrival| match &arrival.call {
-                Call::Once { key, .. } => Some(key.as_str()),
+                Call::Write { key, .. } => Some(key.as_str()),
                 _ => None,
             })
             .collect();
--- a/crates/load/tests/reference_pages.rs
+++ b/crates/load/tests/reference_pages.rs
@@ -1,11 +1,11 @@
-//! The reference pages agree with the code.
+//! Agreement of the reference pages with the code.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 use contract::settings::{Setting, reference};
 
-const HEAD: &str = "# Settings
+const PAGE_HEAD: &str = "# Settings
 
 Made from the definitions in the code; `UPDATE_PAGES=yes cargo test -p load --test reference_pages` writes it anew.
 
@@ -27,6 +27,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
+/// The page of the settings would mislead operators if it differed from the definitions.
 #[test]
 fn settings_page() {
     let programs: [(&str, &[&Setting]); 3] = [
@@ -35,7 +36,7 @@
         ("gentian-capacity", &capacity::settings::ALL),
     ];
     let tables: Vec<String> = programs.iter().map(|(name, all)| reference(name, all)).collect();
-    let expected = format!("{HEAD}\n{}", tables.join("\n"));
+    let expected = format!("{PAGE_HEAD}\n{}", tables.join("\n"));
     if std::env::var("UPDATE_PAGES").is_ok() {
         std::fs::write(root().join("docs/reference/settings.md"), &expected).expect("the page can be written");
     }
@@ -45,6 +46,8 @@
     );
 }
 
+/// Two settings of a program with the same flag, or a variable that does not follow from its flag, would confuse
+/// operators.
 #[test]
 fn settings_distinct() {
     for all in [
@@ -61,8 +64,8 @@
     }
 }
 
-/// Gives every metric that the sources of the programs name.
-fn metrics_named() -> BTreeSet<String> {
+/// Returns the names of all metrics in the sources of the programs.
+fn metrics_in_sources() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     let mut folders = vec![root().join("crates")];
     while let Some(folder) = folders.pop() {
@@ -83,7 +86,7 @@
     names
 }
 
-/// An operator sees a metric that no page explains, or looks for one that is gone.
+/// Operators would see a metric that is not documented, or look for one that was removed.
 #[test]
 fn metrics_page() {
     let page = page("metrics.md");
@@ -92,18 +95,18 @@
         .filter_map(|row| row.split('`').next())
         .map(str::to_owned)
         .collect();
-    let named = metrics_named();
+    let named = metrics_in_sources();
     let missing: Vec<&String> = named.difference(&listed).collect();
-    let gone: Vec<&String> = listed.difference(&named).collect();
+    let stale: Vec<&String> = listed.difference(&named).collect();
     assert!(
-        missing.is_empty() && gone.is_empty(),
-        "not on the page: {missing:?}; on the page and not in the code: {gone:?}"
+        missing.is_empty() && stale.is_empty(),
+        "not on the page: {missing:?}; on the page and not in the code: {stale:?}"
     );
 }
 
+/// Operators would misread a metric whose name does not say what it counts or its unit.
 #[test]
 fn metric_units() {
-    // Each name says what it counts or in which unit it measures.
     let units = [
         "total",
         "seconds",
@@ -123,7 +126,7 @@
         "count",
         "is",
     ];
-    for name in metrics_named() {
+    for name in metrics_in_sources() {
         assert!(
             name.split('_').any(|word| units.contains(&word)),
             "{name} has no unit in its name"
--- a/crates/load/tests/report_page.rs
+++ b/crates/load/tests/report_page.rs
@@ -1,4 +1,4 @@
-//! The page with plots.
+//! The report page and the names in the JSON output.
 
 use load::compare::Comparison;
 use load::report::render;
@@ -29,14 +29,15 @@
     }
 }
 
+/// The page would not work offline if it loaded anything from elsewhere.
 #[test]
-fn needs_nothing() {
+fn self_contained() {
     let page = render(&[comparison(1), comparison(2)]).expect("a page");
     assert_eq!(page.matches("<svg").count(), 8);
     for part in ["mwangaza seed 1", "mwangaza seed 2", "least-loaded", "12345"] {
         assert!(page.contains(part), "{part}");
     }
-    // The only address in a page is the name space of its plots; nothing is loaded from elsewhere.
+    // The only URL in the page is the XML namespace of its plots.
     assert_eq!(
         page.matches("http").count(),
         page.matches("http://www.w3.org/2000/svg").count()
@@ -44,9 +45,9 @@
     assert!(!page.contains("src="));
 }
 
+/// Readers of the JSON output would break if a field was renamed with the code.
 #[test]
 fn names_stable() {
-    // The names in the output are what others read; they don't change with the code.
     let text = serde_json::to_value(comparison(7)).expect("plain data");
     let fields: Vec<&String> = text["runs"][0].as_object().expect("an object").keys().collect();
     assert_eq!(text["workload"], "mwangaza");
--- a/crates/load/tests/stream_reading.rs
+++ b/crates/load/tests/stream_reading.rs
@@ -1,44 +1,44 @@
-//! Reading of streamed answers.
+//! Parsing of streamed answers.
 
-use load::trial::sse::{Event, Events, MAX_LINE, SseError};
+use load::trial::sse::{Event, EventReader, MAX_LINE_BYTES, SseError};
 use quickcheck::{Gen, QuickCheck};
 
 const SEED: u64 = 6;
 
-fn all(bytes: &[u8]) -> (Vec<Event>, Option<SseError>) {
-    let mut events = Events::new(bytes);
-    let mut got = Vec::new();
+fn read_all(bytes: &[u8]) -> (Vec<Event>, Option<SseError>) {
+    let mut events = EventReader::new(bytes);
+    let mut read = Vec::new();
     loop {
         match events.next_event() {
-            Ok(event) => got.push(event),
-            Err(error) => return (got, Some(error)),
+            Ok(event) => read.push(event),
+            Err(error) => return (read, Some(error)),
         }
-        if got.last() == Some(&Event::Done) {
-            return (got, None);
+        if read.last() == Some(&Event::Done) {
+            return (read, None);
         }
     }
 }
 
+/// Guards against panics and endless loops on arbitrary input.
 #[test]
 fn any_bytes() {
-    // Whatever comes, reading ends with an event or an error and never panics.
-    fn ends(bytes: Vec<u8>, tail: String) -> bool {
+    fn terminates(bytes: Vec<u8>, tail: String) -> bool {
         let mut text = b"data: ".to_vec();
         text.extend(&bytes);
         text.extend(tail.as_bytes());
-        let (events, _) = all(&text);
+        let (events, _) = read_all(&text);
         events.len() <= text.len()
     }
     println!("seed {SEED}");
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, SEED))
-        .quickcheck(ends as fn(Vec<u8>, String) -> bool);
+        .quickcheck(terminates as fn(Vec<u8>, String) -> bool);
 }
 
+/// Guards against tokens that are altered by special characters.
 #[test]
-fn tokens_return() {
-    // What an engine writes as tokens comes back as the same tokens, however they are spelt.
-    fn same(tokens: Vec<String>) -> bool {
+fn tokens_round_trip() {
+    fn round_trips(tokens: Vec<String>) -> bool {
         let tokens: Vec<String> = tokens.into_iter().filter(|token| !token.is_empty()).collect();
         let mut text = String::new();
         for token in &tokens {
@@ -47,28 +47,27 @@
         }
         text.push_str("data: [DONE]\n\n");
         let expected: Vec<Event> = tokens.into_iter().map(Event::Token).chain([Event::Done]).collect();
-        all(text.as_bytes()).0 == expected
+        read_all(text.as_bytes()).0 == expected
     }
     println!("seed {SEED}");
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, SEED))
-        .quickcheck(same as fn(Vec<String>) -> bool);
+        .quickcheck(round_trips as fn(Vec<String>) -> bool);
 }
 
-/// An engine host is taken away in the middle of a line. The caller sees an end of the stream, which must not pass for
-/// the end of the answer.
+/// An engine is lost in the middle of a line. The end of the stream must not count as the end of the answer.
 #[test]
 fn cut_line() {
-    let (events, error) = all(b"data: {\"choices\":[{\"delta\":{\"content\":\"a \"}}]}\n\ndata: [DO");
+    let (events, error) = read_all(b"data: {\"choices\":[{\"delta\":{\"content\":\"a \"}}]}\n\ndata: [DO");
     assert_eq!(events, [Event::Token("a ".to_owned())]);
-    assert!(matches!(error, Some(SseError::Early)), "{error:?}");
+    assert!(matches!(error, Some(SseError::EndedEarly)), "{error:?}");
 }
 
-/// A broken peer sends bytes without ever ending the line. Without a bound the caller's memory fills.
+/// A faulty peer sends bytes without a line end. Without a limit, the memory of the caller would be exhausted.
 #[test]
 fn endless_line() {
-    let bytes = vec![b'x'; 3 * usize::try_from(MAX_LINE).unwrap()];
-    let (events, error) = all(&bytes);
+    let bytes = vec![b'x'; 3 * usize::try_from(MAX_LINE_BYTES).unwrap()];
+    let (events, error) = read_all(&bytes);
     assert!(events.is_empty());
     assert!(matches!(error, Some(SseError::Malformed)), "{error:?}");
 }
--- a/crates/load/tests/trial_checks.rs
+++ b/crates/load/tests/trial_checks.rs
@@ -1,17 +1,17 @@
-//! The comparison of what callers were told with what the stand-ins did.
+//! Comparison of what callers were told with what the stand-ins ran.
 
 use std::time::Duration;
 
-use load::trial::caller::{End, Told};
-use load::trial::check::Seen;
-use load::workload::{Arrival, Call, Promise};
+use load::trial::caller::{CallResult, Outcome};
+use load::trial::check::ExecutionLog;
+use load::workload::{Arrival, Call, LatencyTargets};
 use standin::engine::continuation;
 use standin::record::Line;
 
-const PROMISE: Promise = Promise {
-    first: None,
-    between: None,
-    whole: Duration::from_secs(1),
+const TARGETS: LatencyTargets = LatencyTargets {
+    first_token: None,
+    token_gap: None,
+    total: Duration::from_secs(1),
 };
 
 fn arrival(call: Call) -> Arrival {
@@ -20,24 +20,24 @@
         account: 0,
         entry: 0,
         call,
-        promise: PROMISE,
+        targets: TARGETS,
     }
 }
 
 fn deposit(key: &str) -> Arrival {
-    arrival(Call::Once {
+    arrival(Call::Write {
         service: "till",
         path: "/deposits",
         key: key.to_owned(),
     })
 }
 
-fn told(end: End) -> Told {
-    Told {
-        end,
-        first: None,
-        gaps: Vec::new(),
-        whole: Duration::ZERO,
+fn call_result(outcome: Outcome) -> CallResult {
+    CallResult {
+        outcome,
+        first_token: None,
+        token_gaps: Vec::new(),
+        total: Duration::ZERO,
     }
 }
 
@@ -72,84 +72,96 @@
     }
 }
 
-/// A deposit is sent to two tills. The customer pays twice.
+/// A deposit runs on two replicas, and the client is charged twice.
 #[test]
 fn double_run() {
-    let found = Seen::new(vec![ran("a"), ran("a"), ran("b")]).compare(&[deposit("a")], &[told(End::Whole)]);
-    assert_eq!(found.doubled, ["a ran 2 times"]);
-    assert!(found.after_refusal.is_empty());
+    let verdict = ExecutionLog::new(vec![ran("a"), ran("a"), ran("b")])
+        .compare(&[deposit("a")], &[call_result(Outcome::Complete)]);
+    assert_eq!(verdict.doubled, ["a ran 2 times"]);
+    assert!(verdict.after_refusal.is_empty());
 }
 
-/// The caller of a deposit is told that it was not run, and books it elsewhere. The till ran it all the same.
+/// The caller of a deposit is told that it did not run and books it elsewhere, although a replica ran it.
 #[test]
 fn false_refusal() {
     let arrivals = [deposit("a"), deposit("a"), deposit("b"), deposit("b")];
-    let ends = [End::NotRun, End::NotRun, End::NotRun, End::Whole].map(told);
-    let found = Seen::new(vec![ran("a"), ran("b")]).compare(&arrivals, &ends);
-    assert_eq!(found.after_refusal, ["a"]);
+    let outcomes = [Outcome::NotRun, Outcome::NotRun, Outcome::NotRun, Outcome::Complete].map(call_result);
+    let verdict = ExecutionLog::new(vec![ran("a"), ran("b")]).compare(&arrivals, &outcomes);
+    assert_eq!(verdict.after_refusal, ["a"]);
 }
 
-/// A question is refused as not run while an engine answered it for nobody.
+/// A chat is refused as not run although an engine generated an answer.
 #[test]
 fn refused_chat() {
     let messages = vec![("user".to_owned(), "a ring".to_owned())];
     let prompt = continuation(&messages, false).0;
     let mut line = begun(5, 2, 0, 0);
-    if let Line::Begun { prompt: of, .. } = &mut line {
-        *of = prompt;
+    if let Line::Begun {
+        prompt: line_prompt, ..
+    } = &mut line
+    {
+        *line_prompt = prompt;
     }
     let call = Call::Chat { messages, tokens: 4 };
-    let found = Seen::new(vec![line]).compare(&[arrival(call)], &[told(End::NotRun)]);
-    assert_eq!(found.after_refusal.len(), 1);
+    let verdict = ExecutionLog::new(vec![line]).compare(&[arrival(call)], &[call_result(Outcome::NotRun)]);
+    assert_eq!(verdict.after_refusal.len(), 1);
 }
 
-/// An entry host dies with a deposit in its hands. Its caller hears nothing, though the till ran it.
+/// An entry host crashes while it forwards a deposit. The caller gets no response, although a replica ran the deposit.
 #[test]
 fn silent_loss() {
     let arrivals = [deposit("a"), deposit("b"), deposit("c")];
-    let cut = || told(End::Cut("send: reset".to_owned()));
-    let found = Seen::new(vec![ran("a"), ran("c")]).compare(&arrivals, &[cut(), cut(), told(End::Unknown)]);
-    assert_eq!(found.lost, ["a: send: reset"]);
+    let broken = || call_result(Outcome::Broken("send: reset".to_owned()));
+    let verdict = ExecutionLog::new(vec![ran("a"), ran("c")])
+        .compare(&arrivals, &[broken(), broken(), call_result(Outcome::Unknown)]);
+    assert_eq!(verdict.lost, ["a: send: reset"]);
 }
 
+/// A caller gets the answer to another request, which must count as lost.
 #[test]
 fn wrong_answer() {
-    let found = Seen::default().compare(&[deposit("a")], &[told(End::Wrong("no a in the answer".to_owned()))]);
-    assert_eq!(found.lost.len(), 1);
+    let verdict = ExecutionLog::default().compare(
+        &[deposit("a")],
+        &[call_result(Outcome::Wrong("no a in the answer".to_owned()))],
+    );
+    assert_eq!(verdict.lost.len(), 1);
 }
 
+/// The first prefill of a conversation must not count as recomputed.
 #[test]
 fn first_run() {
     assert_eq!(
-        Seen::new(vec![begun(10, 300, 0, 0), ended(20, 300, 40)]).recomputed(),
+        ExecutionLog::new(vec![begun(10, 300, 0, 0), ended(20, 300, 40)]).recomputed(),
         0
     );
 }
 
-/// The second turn of a consultation goes to an engine that never saw the first. Its prompt holds the 340 tokens of the
-/// first turn and 60 new ones; only the former were computed before.
+/// The second turn of a conversation goes to an engine that does not have the first in its cache. Its prompt has the
+/// 340 tokens of the first turn and 60 new ones; only the former were computed before.
 #[test]
 fn cold_turn() {
     let lines = vec![begun(10, 300, 0, 0), ended(20, 300, 40), begun(30, 400, 0, 0)];
-    assert_eq!(Seen::new(lines).recomputed(), 340);
+    assert_eq!(ExecutionLog::new(lines).recomputed(), 340);
 }
 
+/// The second turn goes to the same engine; only the tokens after the last cached block are recomputed.
 #[test]
 fn warm_turn() {
     let lines = vec![begun(10, 300, 0, 0), ended(20, 300, 40), begun(30, 400, 336, 0)];
-    assert_eq!(Seen::new(lines).recomputed(), 4);
+    assert_eq!(ExecutionLog::new(lines).recomputed(), 4);
 }
 
-/// An engine is killed after 12 tokens and leaves no word. The rest is made elsewhere from the prompt and these 12.
+/// An engine is killed after 12 tokens without an end in its event log. Another engine continues the answer and
+/// prefills the prompt and these 12 tokens again.
 #[test]
 fn replayed_answer() {
     let lines = vec![begun(10, 300, 0, 0), begun(30, 312, 0, 12)];
-    assert_eq!(Seen::new(lines).recomputed(), 312);
+    assert_eq!(ExecutionLog::new(lines).recomputed(), 312);
 }
 
-/// The next turn comes before the answer to the last one is made. Its tokens were not computed anywhere yet.
+/// A turn arrives before the answer to the previous one is complete. The tokens of that answer were not computed yet.
 #[test]
 fn early_turn() {
     let lines = vec![begun(10, 300, 0, 0), begun(15, 400, 0, 0), ended(20, 300, 40)];
-    assert_eq!(Seen::new(lines).recomputed(), 300);
+    assert_eq!(ExecutionLog::new(lines).recomputed(), 300);
 }
