--- a/crates/contract/src/customer.rs
+++ b/crates/contract/src/customer.rs
@@ -71,6 +71,7 @@
 /// Rate and concurrency limits of a customer over all entry hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Limits")]
 pub struct CustomerLimits {
     /// Requests per second; above 0.
     pub requests_per_s: f64,
--- a/crates/telemetry/src/burn/counters.rs
+++ b/crates/telemetry/src/burn/counters.rs
@@ -54,6 +54,7 @@
 
 /// Counts of one process of an entry host, in serializable form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct Part")]
 pub struct NodeCounts {
     /// Entry host that counted.
     pub node: NodeId,
