--- a/crates/entry/src/callers/checked_chat.rs
+++ b/crates/entry/src/callers/checked_chat.rs
@@ -69,6 +69,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "struct Said")]
 struct RawMessage {
     role: String,
     content: RawContent,
@@ -76,6 +77,7 @@
 
 #[derive(Deserialize)]
 #[serde(untagged)]
+#[serde(expecting = "data did not match any variant of untagged enum Content")]
 enum RawContent {
     Text(String),
     Parts(Vec<TextPart>),
--- a/crates/state/src/admin/members.rs
+++ b/crates/state/src/admin/members.rs
@@ -13,6 +13,7 @@
 
 /// Body of a replacement request.
 #[derive(Debug, Deserialize)]
+#[serde(expecting = "struct Asked")]
 struct ReplaceBody {
     /// Name of the member whose disk is lost.
     old: NodeId,
