--- a/crates/entry/tests/doubt_ends.rs
+++ b/crates/entry/tests/doubt_ends.rs
@@ -38,6 +38,8 @@
         assert_eq!(call(host.address, "GET", "/services/till/stock", &[], b"").status, 503);
     }
     let _back = Standin::start("service", &["--listen", &till.to_string()]);
+    // The wait begins when the service is back: starting it may include building it.
+    let until = Instant::now() + TIMEOUT;
     for host in &hosts {
         while call(host.address, "GET", "/services/till/stock", &[], b"").status != 200 {
             assert!(Instant::now() < until, "{} still refuses", host.entry.settings.node);
